--- /dev/null
+++ b/tests/stored_forms.py
@@ -0,0 +1,285 @@
+"""Examples of all that is stored, or sent between processes that may be of different versions.
+
+``python -m tests.stored_forms`` writes them anew, where a format changes on purpose.
+An example is built from its type, with a value in every field that is not the default one: reading and
+writing it again gives the same bytes only while every field keeps its encoded name, order and meaning.
+"""
+
+from __future__ import annotations
+
+import base64
+import sys
+from collections.abc import Callable
+from dataclasses import asdict, dataclass
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from msgspec import inspect
+
+from merlinbay.access import tokens
+from merlinbay.access.settings import Access
+from merlinbay.config import File
+from merlinbay.control import keyspace
+from merlinbay.control.consensus import messages as consensus
+from merlinbay.control.consensus import records
+from merlinbay.control.fanout import messages as fanout
+from merlinbay.control_service import durable_log, operator_calls, schema, sealing, status
+from merlinbay.control_service.settings import ControlFile
+from merlinbay.core import ports
+from merlinbay.drmaa import schema as drmaa
+from merlinbay.emulator.play import Result
+from merlinbay.emulator.spec import Script
+from merlinbay.experiment.grid import Cell, Grid
+from merlinbay.experiment.store import Store
+from merlinbay.fleet import members, wire
+from merlinbay.fleet.epochs import Kept
+from merlinbay.handover import messages as handover
+from merlinbay.operator_file import Operator
+from merlinbay.platform import messages as platform
+from merlinbay.rig.script import Script as RigScript
+from merlinbay.scale.plan import Plan
+from merlinbay.scale.results import ScaleRun
+from merlinbay.store.engine import Engine
+
+GOLDEN = Path(__file__).parent / "golden"
+KEYS = wire.Keys((b"0123456789abcdef",))
+
+
+@dataclass(frozen=True)
+class Form:
+    """One type, and the encoding that it is stored or sent in; of a file of settings, the names alone."""
+
+    type: Any
+    encoding: str = "msgpack"  # msgpack | json | names
+
+    def encode(self, value: Any) -> bytes:
+        """Write a value."""
+        return msgspec.msgpack.encode(value) if self.encoding == "msgpack" else msgspec.json.encode(value)
+
+    def decode(self, data: bytes) -> Any:
+        """Read a value."""
+        if self.encoding == "msgpack":
+            return msgspec.msgpack.decode(data, type=self.type)
+        return msgspec.json.decode(data, type=self.type)
+
+
+FORMS: dict[str, Form] = {
+    # The hand-over between two processes of a node.
+    "handover.hello": Form(handover.Hello),
+    "handover.part": Form(handover.Part),
+    "handover.whole": Form(handover.Whole),
+    "handover.serves": Form(handover.Serves),
+    "handover.unclaimed-started": Form(ports.AttemptStarted),
+    "handover.unclaimed-progress": Form(ports.AttemptProgress),
+    "handover.unclaimed-finished": Form(ports.AttemptFinished),
+    "handover.unclaimed": Form(handover.Unclaimed),
+    "handover.banned": Form(handover.Banned),
+    "handover.away": Form(handover.Away),
+    "handover.edge-given": Form(handover.EdgeGiven),
+    # The control log: on disk, between voters, and to watchers.
+    "control.record-identity": Form(records.IdentityRecord),
+    "control.record-term": Form(records.TermRecord),
+    "control.record-entries": Form(records.EntriesRecord),
+    "control.record-checkpoint": Form(records.CheckpointRecord),
+    "control.snapshot": Form(records.SnapshotData),
+    "control.keyspace": Form(keyspace.KeyspaceSnapshot),
+    "control.batch": Form(list[durable_log.Entry]),
+    "control.vote": Form(consensus.VoteRequest),
+    "control.voted": Form(consensus.VoteResponse),
+    "control.append": Form(consensus.AppendRequest),
+    "control.appended": Form(consensus.AppendResponse),
+    "control.install": Form(consensus.SnapshotRequest),
+    "control.installed": Form(consensus.SnapshotResponse),
+    "control.timeout-now": Form(consensus.TimeoutNow),
+    "control.envelope": Form(consensus.Envelope),
+    "control.hello": Form(sealing.Hello),
+    "control.welcome": Form(sealing.Welcome),
+    "fanout.watch": Form(fanout.Watch),
+    "fanout.progress": Form(fanout.Progress),
+    "fanout.accepted": Form(fanout.Accepted),
+    "fanout.delta": Form(fanout.DeltaMessage),
+    "fanout.snapshot": Form(fanout.SnapshotMessage),
+    "fanout.keep-alive": Form(fanout.KeepAlive),
+    "fanout.busy": Form(fanout.Busy),
+    "fanout.goodbye": Form(fanout.Goodbye),
+    # Settings in the replicated configuration.
+    "schema.team": Form(schema.TeamSettings, "json"),
+    "schema.limits": Form(schema.LimitSettings, "json"),
+    "schema.free": Form(schema.FreeSetting, "json"),
+    "schema.machine": Form(schema.ControlMachine, "json"),
+    # What members have promised, keys, results.
+    "fleet.kept": Form(Kept, "json"),
+    "access.ring": Form(tokens.Ring, "json"),
+    "scale.run": Form(ScaleRun, "json"),
+    # Files of settings, and scripts.
+    "file.node": Form(File, "names"),
+    "file.operator": Form(Operator, "names"),
+    "file.access": Form(Access, "names"),
+    "file.control": Form(ControlFile, "names"),
+    "file.script": Form(Script, "names"),
+    "file.rig-script": Form(RigScript, "names"),
+    "file.plan": Form(Plan, "names"),
+    "file.grid": Form(Grid, "names"),
+    # JSON of the platform, of the submission front and of operators' calls.
+    "platform.listing": Form(platform.Listing, "json"),
+    "platform.job-event": Form(platform.JobEvent, "json"),
+    "drmaa.job-template": Form(drmaa.JobTemplate, "json"),
+    "drmaa.run-job": Form(drmaa.RunJob, "json"),
+    "drmaa.run-bulk": Form(drmaa.RunBulkJobs, "json"),
+    "drmaa.wait-any": Form(drmaa.WaitAny, "json"),
+    "drmaa.create-session": Form(drmaa.CreateSession, "json"),
+    "drmaa.job-info": Form(drmaa.JobInfo, "json"),
+    "drmaa.notification": Form(drmaa.Notification, "json"),
+    "control.change-request": Form(operator_calls.ChangeRequest, "json"),
+    "control.voters-request": Form(operator_calls.VotersRequest, "json"),
+    "control.voters": Form(operator_calls.Voters, "json"),
+    "control.applied": Form(operator_calls.Applied, "json"),
+    "control.entries": Form(operator_calls.Entries, "json"),
+    "control.problem": Form(operator_calls.Problem, "json"),
+    "control.status": Form(status.ProcessStatus, "json"),
+}
+
+SEALED: dict[str, Any] = {"k": "ping", "n": "node-1", "q": 7}
+CLAIM = members.Claim(
+    name="node-1",
+    health=members.Health.SUSPECT,
+    incarnation=65_537,
+    instance=9,
+    addr="127.0.0.1:7001",
+    zone="a",
+    speaks=(1, 2),
+    revision=3,
+    draining=True,
+    tags={"role": "voter"},
+    gauges={"load": 0.5},
+    disk="5d1f",
+    by="node-2",
+    extra={"later": [1]},
+)
+
+
+class Builder:
+    """Builds plain values that a type can be read from, each different from the one before."""
+
+    def __init__(self) -> None:
+        self.count = 0
+
+    def number(self) -> int:
+        """Return the next number."""
+        self.count += 1
+        return self.count
+
+    def names(self, kind: Any) -> Any:
+        """Return the names of a type's fields, each with those of its own type."""
+        if isinstance(kind, inspect.Metadata):
+            return self.names(kind.type)
+        if isinstance(kind, (inspect.StructType, inspect.DataclassType)):
+            return {field.encode_name: self.names(field.type) for field in kind.fields}
+        if isinstance(kind, inspect.UnionType):
+            return [self.names(one) for one in kind.types]
+        if isinstance(kind, (inspect.ListType, inspect.VarTupleType)):
+            return [self.names(kind.item_type)]
+        if isinstance(kind, inspect.DictType):
+            return {"*": self.names(kind.value_type)}
+        return sorted(map(str, kind.values)) if isinstance(kind, inspect.LiteralType) else ""
+
+    def build(self, kind: Any) -> Any:
+        """Return a value of a type as ``msgspec.inspect`` describes it."""
+        if isinstance(kind, inspect.Metadata):
+            return self.build(kind.type)
+        if isinstance(kind, inspect.StructType):
+            return self._struct(kind)
+        if isinstance(kind, inspect.DataclassType):
+            return {field.encode_name: self.build(field.type) for field in kind.fields}
+        if isinstance(kind, inspect.UnionType):
+            return self.build(next(one for one in kind.types if not isinstance(one, inspect.NoneType)))
+        if isinstance(kind, inspect.EnumType):
+            return list(kind.cls)[-1].value
+        if isinstance(kind, inspect.LiteralType):
+            return sorted(kind.values, key=str)[-1]
+        return self._container(kind)
+
+    def _struct(self, kind: inspect.StructType) -> Any:
+        values = {field.encode_name: self.build(field.type) for field in kind.fields}
+        if kind.array_like:
+            return [*([] if kind.tag is None else [kind.tag]), *values.values()]
+        return values if kind.tag is None else {kind.tag_field: kind.tag, **values}
+
+    def _container(self, kind: Any) -> Any:
+        if isinstance(kind, (inspect.ListType, inspect.VarTupleType)):
+            return [self.build(kind.item_type)]
+        if isinstance(kind, inspect.TupleType):
+            return [self.build(one) for one in kind.item_types]
+        if isinstance(kind, inspect.DictType):
+            return {self.build(kind.key_type): self.build(kind.value_type)}
+        return self._scalar(kind)
+
+    def _scalar(self, kind: Any) -> Any:
+        if isinstance(kind, inspect.BoolType):
+            return True
+        if isinstance(kind, inspect.IntType):
+            return min(self.number(), kind.le if kind.le is not None else sys.maxsize)
+        if isinstance(kind, inspect.FloatType):
+            return min(self.number() + 0.5, kind.le if kind.le is not None else sys.maxsize)
+        if isinstance(kind, inspect.StrType):
+            return f"text-{self.number()}"
+        if isinstance(kind, inspect.BytesType):
+            return f"bytes-{self.number()}".encode()
+        if isinstance(kind, inspect.DateTimeType):
+            return f"2026-01-01T00:00:{self.number() % 60:02d}Z"
+        if isinstance(kind, inspect.AnyType):
+            return f"any-{self.number()}"
+        raise TypeError(f"no example of {kind}")
+
+
+def example(form: Form) -> bytes:
+    """Return an encoded example of a type."""
+    if form.encoding == "names":
+        return msgspec.json.encode(Builder().names(inspect.type_info(form.type)))
+    raw = Builder().build(inspect.type_info(form.type))
+    return form.encode(form.decode(form.encode(raw)))
+
+
+def make_store(path: Path) -> None:
+    """Make a log with a snapshot."""
+    engine = Engine(path)
+    engine.append([b"first", b"second"])
+    engine.snapshot(b"state after two")
+    engine.append([b"third"])
+    engine.close()
+
+
+CELL = Cell("monday", "{}", "module", 3, "a1b2")
+
+
+def result() -> Result:
+    """Return a day's result, each field with a value of its own."""
+    kinds: dict[str, Callable[[int], Any]] = {"str": lambda n: f"text-{n}", "int": int, "float": float}
+    names = Result.__dataclass_fields__.items()
+    return Result(**{name: kinds[str(one.type)](n) for n, (name, one) in enumerate(names, 1)})
+
+
+def make_results(path: Path) -> None:
+    """Make a file of one result."""
+    store = Store(path)
+    store.add(CELL, result())
+    store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    store.close()
+
+
+def main() -> None:
+    """Write all examples."""
+    GOLDEN.mkdir(exist_ok=True)
+    found = {name: base64.b64encode(example(form)).decode() for name, form in FORMS.items()}
+    found["fleet.claim"] = base64.b64encode(wire.pack(members.write(CLAIM))).decode()
+    found["fleet.sealed"] = base64.b64encode(wire.seal(KEYS, "north", SEALED)).decode()
+    (GOLDEN / "forms.json").write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
+    for name, make in (("store.db", make_store), ("results.db", make_results)):
+        (GOLDEN / name).unlink(missing_ok=True)
+        make(GOLDEN / name)
+    print(len(found), asdict(result()))
+
+
+if __name__ == "__main__":
+    main()
