--- a/bench/batch.py
+++ b/bench/batch.py
@@ -16,9 +16,9 @@
 
 from bench.nodes import PLAIN, ROOT, Node, StandIns
 from merlinbay.http.client import ClientConnection
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
-LIMITS = replace(Limits(), body_bytes=1 << 20)
+LIMITS = replace(ResourceLimits(), body_bytes=1 << 20)
 TEMPLATE = {"remoteCommand": "transcribe", "args": ["--minutes", "42"], "jobEnvironment": {"LANG": "en"}}
 BACKLOG = (
     PLAIN
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -24,11 +24,15 @@
 from merlinbay.batch.registry import Bounds, Offer
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import AttemptEnded, EndpointEntry, EndpointsChanged, RequestReceived
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import RequestClass, Settings
 from merlinbay.executor.server import Executor
 from merlinbay.executor.slots import Slots
 from merlinbay.http.connection import Request
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 BALANCERS = 200  # dispatcher nodes that the decision module is told of
@@ -47,17 +51,17 @@
 
 def table(entries: int) -> list[float]:
     """Return the bytes that the decision module grows by, with a list and after some jobs."""
-    admit = api.JobClass("admit", 120_000, 5_000_000, effect="by_key", group="cell", window_us=7_500_000)
-    settings = api.Settings([admit], balancers=BALANCERS, kinds=["k"], tells_start=True)
+    admit = RequestClass("admit", 120_000, 5_000_000, effect="by_key", group="cell", window_us=7_500_000)
+    settings = Settings([admit], balancers=BALANCERS, kinds=["k"], tells_start=True)
     before, now_us = resident_bytes(), 0
     module = Balancer(settings, 1, now_us)
-    listed = [api.WorkerEntry(f"w{n}", "z", "k", n // 6, "up", 1.0, 0) for n in range(entries)]
-    module.handle(now_us, [api.ListChanged("all", listed)])
+    listed = [EndpointEntry(f"w{n}", "z", "k", n // 6, "up", 1.0, 0) for n in range(entries)]
+    module.handle(now_us, [EndpointsChanged("all", listed)])
     for number in range(JOBS_DECIDED):
         now_us += 50_000
-        actions = module.handle(now_us, [api.JobArrived(number, "admit", 5_000_000)])
-        for attempt, place in enumerate(one for one in actions if isinstance(one, api.Place)):
-            ended = api.AttemptEnded(number, attempt, api.Outcome.OK, 40_000, True, [2.0, 2.0], place.worker)
+        actions = module.handle(now_us, [RequestReceived(number, "admit", 5_000_000)])
+        for attempt, place in enumerate(one for one in actions if isinstance(one, Dispatch)):
+            ended = AttemptEnded(number, attempt, Outcome.OK, 40_000, True, [2.0, 2.0], place.endpoint)
             module.handle(now_us + 40_000, [ended])
     return [resident_bytes() - before]
 
@@ -102,7 +106,9 @@
     """Return an executor's own processor time for starts and ends, beside so many tasks, and their number."""
     connection: Any = SimpleNamespace(proven=False)
     with tempfile.TemporaryDirectory() as folder:
-        executor = Executor("x", Slots(running + 1), Path(folder), Limits(), Counters(), Log(1), Clock())
+        executor = Executor(
+            "x", Slots(running + 1), Path(folder), ResourceLimits(), Counters(), Log(1), Clock()
+        )
 
         async def submit(*command: str) -> None:
             template = {"jobName": "t", "remoteCommand": command[0], "args": command[1:]}
--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -11,13 +11,15 @@
 from typing import Any
 from unittest.mock import patch
 
-from merlinbay.core import ports
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import ServerAttempt
+from merlinbay.core import dispatcher
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.messages import AttemptProgress
 from merlinbay.core.requests import RequestTable
-from merlinbay.decision import api
+from merlinbay.decision import outcomes, rules
 from merlinbay.decision.eligibility import Eligibility
-from merlinbay.decision.records import Attempt, Job, Worker
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome
+from merlinbay.decision.records import Attempt, Endpoint, Job
 from merlinbay.http.client import ClientConnection, Reply
 from merlinbay.http.pool import ConnectionPool, RealServer
 from merlinbay.http.servers import PooledServers
@@ -59,12 +61,12 @@
 
 
 def any_group(self: Eligibility, job: Job, unresolved: Attempt, zone: str, cell: int) -> bool:
-    """Take every worker for one that drops repeats."""
+    """Take every endpoint for one that drops repeats."""
     return True
 
 
-def no_group(self: Eligibility, job: Job) -> list[Worker] | None:
-    """Look for workers everywhere."""
+def no_group(self: Eligibility, job: Job) -> list[Endpoint] | None:
+    """Look for endpoints everywhere."""
     return None
 
 
@@ -80,12 +82,12 @@
 
 def never_ran_after_all(outcome: int, started: bool) -> bool:
     """Take a hand-back for a proof, whatever was reported before."""
-    return outcome in api.NEVER_RAN
+    return outcome in NEVER_RAN
 
 
 def looks_for_the_client_only(self: ServerAttempt) -> bool:
     """Ask before the first byte whether the client is still there, and nothing else."""
-    return not self.ended and (self.edge is None or not self.edge.left())
+    return not self.ended and (self.responder is None or not self.responder.left())
 
 
 def looks_at_the_old_time(self: Eligibility, job_id: int, number: int, now: int) -> bool:
@@ -109,22 +111,22 @@
 
 def zone_of_now(self: Attempt) -> str:
     """Return the zone that the list says now."""
-    return self.worker.zone
+    return self.endpoint.zone
 
 
 def cell_of_now(self: Attempt) -> int:
     """Return the cell that the list says now."""
-    return self.worker.cell
+    return self.endpoint.cell
 
 
 def forget_value(self: Attempt, value: object) -> None:
     """Keep nothing of the moment of the send."""
 
 
-async def broken_is_unsent(self: PooledServers, *args: Any, **named: Any) -> Reply | api.Outcome:
+async def broken_is_unsent(self: PooledServers, *args: Any, **named: Any) -> Reply | Outcome:
     """Take a connection that broke before the 202 for one that never came up."""
     result = await _exchange(self, *args, **named)
-    return api.Outcome.CONNECT_FAILED if result is api.Outcome.RESET else result
+    return Outcome.CONNECT_FAILED if result is Outcome.RESET else result
 
 
 def bare_503_refuses(reply: Reply) -> JobReply:
@@ -138,7 +140,7 @@
     return JobReply.FAILED if found is JobReply.UNKNOWN else found
 
 
-def progress_goes_unheard(self: Owner, message: ports.AttemptProgress) -> None:
+def progress_goes_unheard(self: Dispatcher, message: AttemptProgress) -> None:
     """Take no notice of progress, from which it follows that the job has started."""
 
 
@@ -147,16 +149,25 @@
     return name in self.by_name
 
 
+def never_ran_too(outcome: Outcome) -> tuple[tuple[Any, str, Any], ...]:
+    """Count another outcome as proof that an attempt never ran, wherever that is asked."""
+    wrong = NEVER_RAN | {outcome}
+    return ((outcomes, "NEVER_RAN", wrong), (dispatcher, "NEVER_RAN", wrong))
+
+
 MUTANTS = (
     Mutant("window: none", ((Eligibility, "_may_repeat", repeats_at_any_time),)),
     Mutant("window: from the latest attempt", ((Eligibility, "_may_repeat", counts_from_the_latest),)),
     Mutant("group: any", ((Eligibility, "_same_group", any_group), (Eligibility, "repeat_group", no_group))),
     Mutant("effect: once is repeatable", ((Job, "effect", property(once_is_repeatable)),)),
     Mutant("effect: a job without its key is keyed", ((Job, "effect", property(key_goes_unread)),)),
-    Mutant("outcome: a reset never ran", ((api, "NEVER_RAN", api.NEVER_RAN | {api.Outcome.RESET}),)),
-    Mutant("outcome: an error never ran", ((api, "NEVER_RAN", api.NEVER_RAN | {api.Outcome.ERROR}),)),
-    Mutant("outcome: returned after a start never ran", ((api, "never_ran", never_ran_after_all),)),
-    Mutant("outcome: progress is no start", ((Owner, "_on_attempt_progress", progress_goes_unheard),)),
+    Mutant("outcome: a reset never ran", never_ran_too(Outcome.RESET)),
+    Mutant("outcome: an error never ran", never_ran_too(Outcome.ERROR)),
+    Mutant(
+        "outcome: returned after a start never ran",
+        ((rules, "never_ran", never_ran_after_all), (dispatcher, "never_ran", never_ran_after_all)),
+    ),
+    Mutant("outcome: progress is no start", ((Dispatcher, "_on_attempt_progress", progress_goes_unheard),)),
     Mutant("outcome: broken before the 202 is unsent", ((PooledServers, "exchange", broken_is_unsent),)),
     Mutant("answer: a bare 503 is a refusal", ((replies, "classify", bare_503_refuses),)),
     Mutant("answer: an unnamed status is an end", ((replies, "classify", unnamed_status_fails),)),
--- a/bench/events.py
+++ b/bench/events.py
@@ -27,15 +27,15 @@
 from merlinbay.batch.registry import Bounds
 from merlinbay.batch.timers import Timers
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import Message
 from merlinbay.counters import Counters
-from merlinbay.decision.api import JobClass
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import listening
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.settings import Drmaa, NamedSession
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.monitor import filters, view
 from merlinbay.notify.hub import Hub, wanted_of
@@ -67,7 +67,7 @@
 async def deliver(listeners: int, rate: int) -> str:
     """Offer events at a rate; say what was delivered, how late, what was missed, and the memory."""
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    limits, counters, log, clock, sink = Limits(), Counters(), Log(5), Clock(), Sink()
+    limits, counters, log, clock, sink = ResourceLimits(), Counters(), Log(5), Clock(), Sink()
     hub = Hub(
         Journal(20_000, 1 << 30, lambda: "s"),
         ListenerBounds(),
@@ -114,10 +114,18 @@
 
 def front_of(gate: tokens.TokenGate | None) -> DrmaaFront:
     """Return a front with a backlog, whose core takes nothing."""
-    send, _ = trio.open_memory_channel[ports.Message](1)
+    send, _ = trio.open_memory_channel[Message](1)
     settings = Drmaa(front=True, session=[NamedSession(name="q", backlog=True)])
     return DrmaaFront(
-        send, Clock(), Limits(), Counters(), Log(5), [JobClass("print", 1, 9_000_000)], settings, "n", gate
+        send,
+        Clock(),
+        ResourceLimits(),
+        Counters(),
+        Log(5),
+        [RequestClass("print", 1, 9_000_000)],
+        settings,
+        "n",
+        gate,
     )
 
 
@@ -146,7 +154,7 @@
 
 async def access() -> None:
     """Print CPU a job without, with tokens, and over TLS, in slices that take turns."""
-    limits, counters, log, ca = Limits(), Counters(), Log(5), trustme.CA()
+    limits, counters, log, ca = ResourceLimits(), Counters(), Log(5), trustme.CA()
     ring = tokens.Ring([tokens.new_key()])
     token = tokens.issue(ring, "a", list(Scope), 999, int(time.time())).encode()
     made = ca.issue_cert("127.0.0.1")
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,24 +19,36 @@
     import merlinbay.node
 except ModuleNotFoundError:  # a tree from before it
     import merlinbay.__main__
-from merlinbay.decision import Balancer, api
+import merlinbay.decision as face
+
+def named(*names):  # the first that a tree has: older trees have other names
+    return next(getattr(face, name) for name in names if hasattr(face, name))
+
+Balancer, Settings, Outcome, AttemptEnded = face.Balancer, face.Settings, face.Outcome, face.AttemptEnded
+RequestClass, DispatchLimits = named("RequestClass", "JobClass"), named("DispatchLimits", "Limits")
+EndpointsChanged = named("EndpointsChanged", "ListChanged")
+EndpointEntry = named("EndpointEntry", "WorkerEntry")
+RequestReceived, Dispatch = named("RequestReceived", "JobArrived"), named("Dispatch", "Place")
+place = "endpoint" if hasattr(face, "Dispatch") else "worker"
+ExecutionStarted = named("ExecutionStarted", "JobStarted")
 entries, jobs, balancers = (int(word) for word in sys.argv[1:])
-admit = api.JobClass("admit", 120_000, 5_000_000, effect="by_key", group="cell", window_us=7_500_000)
-settings = api.Settings([admit],
+admit = RequestClass("admit", 120_000, 5_000_000, effect="by_key", group="cell", window_us=7_500_000)
+settings = Settings([admit],
     balancers=balancers, kinds=["k"], tells_start=True, report_fields=["active", "x0"], free_slots_field="x0",
-    held_field="active", limits=api.Limits(cancelling=True, second_copies=True, send_cap=5, retry_after=True))
+    held_field="active",
+    limits=DispatchLimits(cancelling=True, second_copies=True, send_cap=5, retry_after=True))
 made = Balancer(settings, 1, 0)
-made.handle(0, [api.ListChanged("all", [
-    api.WorkerEntry(f"w{n}", "z", "k", n // 6, "up", 1.0, 0) for n in range(entries)])])
+made.handle(0, [EndpointsChanged("all", [
+    EndpointEntry(f"w{n}", "z", "k", n // 6, "up", 1.0, 0) for n in range(entries)])])
 started = time.process_time()
 now = 0
 for number in range(jobs):
     now += 50_000
-    actions = made.handle(now, [api.JobArrived(number, "admit", 5_000_000)])
-    for attempt, action in enumerate(a for a in actions if isinstance(a, api.Place)):
-        made.handle(now + 1_000, [api.JobStarted(number, attempt)])
-        made.handle(now + 40_000, [api.AttemptEnded(number, attempt, api.Outcome.OK, 40_000, True,
-                                                    [2.0, 2.0], action.worker)])
+    actions = made.handle(now, [RequestReceived(number, "admit", 5_000_000)])
+    for attempt, action in enumerate(a for a in actions if isinstance(a, Dispatch)):
+        made.handle(now + 1_000, [ExecutionStarted(number, attempt)])
+        made.handle(now + 40_000, [AttemptEnded(number, attempt, Outcome.OK, 40_000, True,
+                                                    [2.0, 2.0], getattr(action, place))])
 job_us = (time.process_time() - started) / jobs * 1e6
 try:
     from merlinbay.platform import messages
@@ -48,7 +60,7 @@
 began = time.process_time()
 for _ in range(20):
     listed = messages.entries(messages.read_listing(text))
-    made.handle(now, [api.ListChanged("all", [api.WorkerEntry(
+    made.handle(now, [EndpointsChanged("all", [EndpointEntry(
         e.server, e.zone, e.kind, e.cell, e.state, e.weight, e.started_us) for e in listed])])
 list_us = (time.process_time() - began) / 20 * 1e6
 memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -10,7 +10,11 @@
 import random
 from dataclasses import dataclass
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch, Reject
+from merlinbay.decision.events import AttemptEnded, EndpointEntry, EndpointsChanged, RequestReceived
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 
 SERVERS, SLOTS, RUN_US, ALL, DIE_US, END_US = 60, 4, 150_000, 40, 4_000_000, 7_000_000
 
@@ -27,21 +31,21 @@
 def play(left: int, load: float, seed: int) -> Tally:
     """Play it with so many that outlive the others, at a share of all slots."""
     rng, tally = random.Random(seed), Tally()
-    settings = api.Settings(
-        [api.JobClass("admit", 100_000, 5_000_000)],
+    settings = Settings(
+        [RequestClass("admit", 100_000, 5_000_000)],
         balancers=ALL,
         kinds=["k"],
         report_fields=["active", "x0"],
         free_slots_field="x0",
         held_field="active",
-        limits=api.Limits(cancelling=True, send_cap=5, retry_after=True),
+        limits=DispatchLimits(cancelling=True, send_cap=5, retry_after=True),
     )
     fleet = [Balancer(settings, who, 0) for who in range(ALL)]
     due: list[tuple[int, int, int, str]] = []  # when, job, balancer, server
     busy: dict[str, list[int]] = {f"w{n}": [] for n in range(SERVERS)}
-    entries = [api.WorkerEntry(name, "z", "k", 0, "up", 1.0, 0) for name in busy]
+    entries = [EndpointEntry(name, "z", "k", 0, "up", 1.0, 0) for name in busy]
     for made in fleet:
-        made.handle(0, [api.ListChanged("all", entries)])
+        made.handle(0, [EndpointsChanged("all", entries)])
     now, job = 0, 0
     while now < END_US:
         now, job = now + int(rng.expovariate(load * SERVERS * SLOTS / RUN_US)), job + 1
@@ -53,10 +57,10 @@
                 fleet[who].handle(
                     at,
                     [
-                        api.AttemptEnded(
+                        AttemptEnded(
                             ended,
                             0,
-                            api.Outcome.OK,
+                            Outcome.OK,
                             RUN_US,
                             True,
                             [float(held), float(max(0, SLOTS - held))],
@@ -67,14 +71,14 @@
         counts = now >= DIE_US
         tally.offered += counts
         who = rng.randrange(alive)
-        for action in fleet[who].handle(now, [api.JobArrived(job, "admit", 5_000_000)]):
-            if isinstance(action, api.Place):
-                ends = sorted(end for end in busy[action.worker] if end > now)
+        for action in fleet[who].handle(now, [RequestReceived(job, "admit", 5_000_000)]):
+            if isinstance(action, Dispatch):
+                ends = sorted(end for end in busy[action.endpoint] if end > now)
                 starts = now if len(ends) < SLOTS else ends[-SLOTS]
-                busy[action.worker] = [*ends, starts + RUN_US]
-                heapq.heappush(due, (starts + RUN_US, job, who, action.worker))
+                busy[action.endpoint] = [*ends, starts + RUN_US]
+                heapq.heappush(due, (starts + RUN_US, job, who, action.endpoint))
                 tally.late += counts and starts - now > 100_000
-            tally.refused += counts and isinstance(action, api.Refuse)
+            tally.refused += counts and isinstance(action, Reject)
     return tally
 
 
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -8,15 +8,15 @@
 
 import trio
 
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-LIMITS = replace(Limits(), edge_connections=4000, server_connections=4000)
+LIMITS = replace(ResourceLimits(), edge_connections=4000, server_connections=4000)
 
 
 class Scheduler:
--- a/bench/view.py
+++ b/bench/view.py
@@ -139,7 +139,7 @@
         try:
             walk.walk(seed)
             stories.story(seed)
-        except (simulate.InvariantViolation, walk.EpochConflict) as error:
+        except (simulate.InvariantViolationError, walk.EpochConflictError) as error:
             found.append(f"seed {seed}: {error}")
     return found
 
@@ -171,10 +171,10 @@
             "from merlinbay.fleet import simulate, stories, walk\n"
             "for seed in range(400):\n"
             "    try: walk.walk(seed)\n"
-            "    except walk.EpochConflict as error: print('walk', seed, error); raise SystemExit\n"
+            "    except walk.EpochConflictError as error: print('walk', seed, error); raise SystemExit\n"
             "for seed in range(150):\n"
             "    try: stories.story(seed)\n"
-            "    except simulate.InvariantViolation as error: print(seed, error); break\n"
+            "    except simulate.InvariantViolationError as error: print(seed, error); break\n"
             "    except Exception as error: print(seed, repr(error)); break\n"
         )
         done = subprocess.run([sys.executable, "-B", "-c", code], cwd=folder, capture_output=True, text=True)
--- a/merlinbay/access/tls.py
+++ b/merlinbay/access/tls.py
@@ -13,7 +13,7 @@
 RECORD_BYTES = 16_384  # the most that one TLS record carries
 
 
-class BadCertificate(Exception):
+class CertificateError(Exception):
     """Certificates that cannot be used; the text is one line."""
 
 
@@ -26,18 +26,18 @@
     client_ca: str = ""
 
     def context(self) -> ssl.SSLContext:
-        """Read them. Raises ``BadCertificate``."""
+        """Read them. Raises ``CertificateError``."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         try:
             context.load_cert_chain(self.certificate, self.key)
         except (OSError, ssl.SSLError) as error:
-            raise BadCertificate(f"{self.certificate}: {error}") from None
+            raise CertificateError(f"{self.certificate}: {error}") from None
         if self.client_ca:
             try:
                 context.load_verify_locations(self.client_ca)
             except (OSError, ssl.SSLError) as error:
-                raise BadCertificate(f"{self.client_ca}: {error}") from None
+                raise CertificateError(f"{self.client_ca}: {error}") from None
             context.verify_mode = ssl.CERT_REQUIRED
         return context
 
@@ -83,7 +83,7 @@
         self.count = 0
 
     def reload(self) -> None:
-        """Read the certificates again; open connections go on. Raises ``BadCertificate``."""
+        """Read the certificates again; open connections go on. Raises ``CertificateError``."""
         self.context = self.files.context()
 
     async def __call__(self, raw: trio.socket.SocketType) -> TlsSocket:
--- a/merlinbay/access/tokens.py
+++ b/merlinbay/access/tokens.py
@@ -26,7 +26,7 @@
 AUDIENCE = "merlinbay"
 
 
-class BadKeys(Exception):
+class KeyRingError(Exception):
     """The ring cannot be used; the text is one line."""
 
 
@@ -38,13 +38,13 @@
     until: int = 0  # Unix time, seconds, from which it checks no token; 0: none
 
     def raw(self) -> bytes:
-        """Return the secret's bytes. Raises ``BadKeys``."""
+        """Return the secret's bytes. Raises ``KeyRingError``."""
         try:
             found = base64.b64decode(self.secret, validate=True)
         except binascii.Error:
-            raise BadKeys(f"key {self.kid!r}: the secret is not base64") from None
+            raise KeyRingError(f"key {self.kid!r}: the secret is not base64") from None
         if len(found) < LEAST:
-            raise BadKeys(f"key {self.kid!r}: the secret has less than {LEAST} bytes")
+            raise KeyRingError(f"key {self.kid!r}: the secret has less than {LEAST} bytes")
         return found
 
 
@@ -54,31 +54,31 @@
     keys: list[Key]
 
     def check(self) -> None:
-        """Raise ``BadKeys`` if it cannot be used."""
+        """Raise ``KeyRingError`` if it cannot be used."""
         if not self.keys:
-            raise BadKeys("there is no key")
+            raise KeyRingError("there is no key")
         if len({key.kid for key in self.keys}) < len(self.keys):
-            raise BadKeys("two keys have one kid")
+            raise KeyRingError("two keys have one kid")
         for key in self.keys:
             key.raw()
 
 
 def load(path: Path) -> Ring:
-    """Read a ring. Raises ``BadKeys``."""
+    """Read a ring. Raises ``KeyRingError``."""
     try:
         with path.open("rb") as file:
             mode = os.fstat(file.fileno()).st_mode
             data = file.read(1 << 20)
         if mode & (stat.S_IRWXG | stat.S_IRWXO):
-            raise BadKeys(f"{path}: others may read it (mode {stat.S_IMODE(mode):04o}); chmod 600")
+            raise KeyRingError(f"{path}: others may read it (mode {stat.S_IMODE(mode):04o}); chmod 600")
         ring = msgspec.json.decode(data, type=Ring)
         ring.check()
     except OSError as error:
-        raise BadKeys(f"{path}: {error.strerror}") from None
+        raise KeyRingError(f"{path}: {error.strerror}") from None
     except (msgspec.DecodeError, RecursionError) as error:
-        raise BadKeys(f"{path}: {error}") from None
-    except BadKeys as error:
-        raise error if str(error).startswith(str(path)) else BadKeys(f"{path}: {error}") from None
+        raise KeyRingError(f"{path}: {error}") from None
+    except KeyRingError as error:
+        raise error if str(error).startswith(str(path)) else KeyRingError(f"{path}: {error}") from None
     return ring
 
 
--- a/merlinbay/batch/registry.py
+++ b/merlinbay/batch/registry.py
@@ -14,7 +14,7 @@
 from merlinbay.batch.jobs import Backlog, Job, JobArray, Session, Wait
 from merlinbay.batch.pacing import Pacing
 from merlinbay.batch.quota import Allowance, Quota
-from merlinbay.batch.states import ENDED, STARTED, Event, InvalidState, State, after
+from merlinbay.batch.states import ENDED, STARTED, Event, InvalidStateError, State, after
 from merlinbay.batch.timers import Timers
 
 ROOM = "OutOfResourceException"
@@ -206,7 +206,7 @@
         """Return the state that follows. Raises ``DrmaaError`` where the table has none."""
         try:
             return after(job.state, event)
-        except InvalidState as error:
+        except InvalidStateError as error:
             raise invalid_state(str(error)) from None
 
     def _move(self, job: Job, event: Event) -> None:
--- a/merlinbay/batch/states.py
+++ b/merlinbay/batch/states.py
@@ -34,7 +34,7 @@
     FAIL = "fail"
 
 
-class InvalidState(Exception):
+class InvalidStateError(Exception):
     """The job's state does not allow what was asked for; the state is unchanged."""
 
 
@@ -78,8 +78,8 @@
 
 
 def after(state: State, event: Event) -> State:
-    """Return the state that follows. Raises ``InvalidState`` where the table has no such transition."""
+    """Return the state that follows. Raises ``InvalidStateError`` where the table has no such transition."""
     try:
         return TABLE[state, event]
     except KeyError:
-        raise InvalidState(f"cannot {event.value} a job that is {state.value}") from None
+        raise InvalidStateError(f"cannot {event.value} a job that is {state.value}") from None
--- a/merlinbay/capacity/fit.py
+++ b/merlinbay/capacity/fit.py
@@ -41,7 +41,7 @@
 }
 
 
-class TooFewSizes(ValueError):
+class TooFewSizesError(ValueError):
     """The values are of fewer than four different sizes."""
 
 
@@ -117,12 +117,12 @@
 
 
 def choose(sizes: Sequence[float], values: Sequence[float]) -> Choice:
-    """Fit all forms and choose one; raise ``TooFewSizes`` below four different sizes."""
+    """Fit all forms and choose one; raise ``TooFewSizesError`` below four different sizes."""
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes, but {len(values)} values")
     different = len(set(sizes))
     if different < LEAST_SIZES:
-        raise TooFewSizes(f"sizes that differ: {different}, but a fit needs {LEAST_SIZES}")
+        raise TooFewSizesError(f"sizes that differ: {different}, but a fit needs {LEAST_SIZES}")
     if min(sizes) < 1:
         raise ValueError("a size is at least 1")
     constant = _fit_constant(values)
--- a/merlinbay/capacity/formula.py
+++ b/merlinbay/capacity/formula.py
@@ -17,7 +17,7 @@
 FUNCTIONS: dict[str, Callable[..., float]] = {"max": max, "min": min, "log": math.log, "ceil": math.ceil}
 
 
-class BadFormula(ValueError):
+class FormulaError(ValueError):
     """A formula that is not arithmetic over names, or names a value that there is none of."""
 
 
@@ -37,7 +37,7 @@
     try:
         return ast.parse(text, mode="eval")
     except SyntaxError as error:
-        raise BadFormula(f"{text!r}: {error.msg}") from error
+        raise FormulaError(f"{text!r}: {error.msg}") from error
 
 
 def _value(node: ast.expr, values: Mapping[str, float], text: str) -> float:
@@ -47,10 +47,10 @@
         case ast.Name(id=name) if name in values:
             return values[name]
         case ast.Name(id=name):
-            raise BadFormula(f"{text!r}: there is no value {name!r}")
+            raise FormulaError(f"{text!r}: there is no value {name!r}")
         case ast.BinOp(left=left, op=sign, right=right) if type(sign) in BINARY:
             return BINARY[type(sign)](_value(left, values, text), _value(right, values, text))
         case ast.Call(func=ast.Name(id=function), args=arguments, keywords=[]) if function in FUNCTIONS:
             return float(FUNCTIONS[function](*(_value(argument, values, text) for argument in arguments)))
         case _:
-            raise BadFormula(f"{text!r}: {ast.unparse(node)!r} is not arithmetic")
+            raise FormulaError(f"{text!r}: {ast.unparse(node)!r} is not arithmetic")
--- a/merlinbay/capacity/needs.py
+++ b/merlinbay/capacity/needs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from merlinbay.capacity.fit import Choice, Estimate, TooFewSizes, choose
+from merlinbay.capacity.fit import Choice, Estimate, TooFewSizesError, choose
 from merlinbay.capacity.formula import evaluate, names
 from merlinbay.capacity.plan import Measure, Need, Plan
 from merlinbay.capacity.runs import MEMORY, Metric, RunFile, Series, series
@@ -182,7 +182,7 @@
         return "no run"
     try:
         return choose([point.size for point in found.points], [point.value for point in found.points])
-    except TooFewSizes as error:
+    except TooFewSizesError as error:
         return str(error)
 
 
--- a/merlinbay/capacity/page.py
+++ b/merlinbay/capacity/page.py
@@ -15,7 +15,7 @@
 MISSING_RUN = "no run"
 
 
-class BadPage(ValueError):
+class CapacityPageError(ValueError):
     """A page without the markers of a table."""
 
 
@@ -30,7 +30,7 @@
     begin, end = BEGIN.format(name), END.format(name)
     pattern = re.compile(re.escape(begin) + r".*?" + re.escape(end), re.DOTALL)
     if len(pattern.findall(page)) != 1:
-        raise BadPage(f"the page has no place, or several, for {begin}")
+        raise CapacityPageError(f"the page has no place, or several, for {begin}")
     return pattern.sub(lambda _: f"{begin}\n\n{text}\n\n{end}", page)
 
 
--- a/merlinbay/capacity/plan.py
+++ b/merlinbay/capacity/plan.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from merlinbay.capacity import words
-from merlinbay.capacity.formula import BadFormula, evaluate, names
+from merlinbay.capacity.formula import FormulaError, evaluate, names
 
 INPUTS_FILE, ROLES_FILE, FAILURES_FILE = "inputs.toml", "roles.toml", "failures.toml"
 NO_MODULE = "none"
@@ -17,7 +17,7 @@
 File = TypeVar("File", bound=msgspec.Struct)
 
 
-class BadPlan(ValueError):
+class CapacityPlanError(ValueError):
     """A file of the plan that cannot be used."""
 
 
@@ -170,8 +170,8 @@
     )
     try:
         _check(plan)
-    except BadFormula as error:
-        raise BadPlan(str(error)) from error
+    except FormulaError as error:
+        raise CapacityPlanError(str(error)) from error
     return plan
 
 
@@ -179,7 +179,7 @@
     try:
         return msgspec.toml.decode(path.read_bytes(), type=kind)
     except (OSError, msgspec.DecodeError) as error:
-        raise BadPlan(f"{path}: {error}") from error
+        raise CapacityPlanError(f"{path}: {error}") from error
 
 
 def _check(plan: Plan) -> None:
@@ -197,12 +197,12 @@
         ({one.role for failure in plan.failures for one in failure.consequence}, roles, "role"),
     ):
         if used - known:
-            raise BadPlan(f"there is no {kind} {min(used - known)!r}")
+            raise CapacityPlanError(f"there is no {kind} {min(used - known)!r}")
 
 
 def _known(formula: str, known: set[str]) -> None:
     for name in sorted(names(formula) - known):
-        raise BadPlan(f"{formula!r}: there is no value {name!r}")
+        raise CapacityPlanError(f"{formula!r}: there is no value {name!r}")
 
 
 def _input_formulas(plan: Plan) -> Iterator[str]:
--- a/merlinbay/capacity/runs.py
+++ b/merlinbay/capacity/runs.py
@@ -29,7 +29,7 @@
 TOLERANCE = 0.15  # the most that hollow and real members may differ by and still count as alike
 
 
-class BadRun(ValueError):
+class ScaleRunError(ValueError):
     """A file that is not a scale run, or a metric that there is none of."""
 
 
@@ -82,7 +82,7 @@
             times = row.times.get(kind)
             return None if times is None else float(getattr(times, percentile))
         if self.name not in METRICS:
-            raise BadRun(f"there is no metric {self.name!r}")
+            raise ScaleRunError(f"there is no metric {self.name!r}")
         return float(getattr(row, self.name))
 
 
@@ -124,9 +124,9 @@
     try:
         run = msgspec.json.decode(path.read_bytes(), type=ScaleRun)
     except (OSError, msgspec.DecodeError) as error:
-        raise BadRun(f"{path}: {error}") from error
+        raise ScaleRunError(f"{path}: {error}") from error
     if run.format != FORMAT:
-        raise BadRun(f"{path}: its format is {run.format}, but {FORMAT} is read")
+        raise ScaleRunError(f"{path}: its format is {run.format}, but {FORMAT} is read")
     return RunFile(path.name, run)
 
 
--- a/merlinbay/cli/capacity.py
+++ b/merlinbay/cli/capacity.py
@@ -34,19 +34,19 @@
     files: tuple[Path, ...], role: str, metrics: tuple[str, ...], together: bool, plot: Path | None
 ) -> None:
     """Fit each metric of each role in FILES over the sizes: form, slope with its interval, residuals."""
-    from merlinbay.capacity.fit import TooFewSizes, choose
-    from merlinbay.capacity.runs import BadRun, read_run
+    from merlinbay.capacity.fit import TooFewSizesError, choose
+    from merlinbay.capacity.runs import ScaleRunError, read_run
 
     try:
         runs = [read_run(path) for path in files]
         found = list(_all_series(runs, role, metrics, together))
-    except BadRun as error:
+    except ScaleRunError as error:
         refuse(error)
     fitted = False
     for name, sizes, values in found:
         try:
             choice = choose(sizes, values)
-        except TooFewSizes as error:
+        except TooFewSizesError as error:
             click.echo(f"{name}: refused: {error}")
             continue
         fitted = True
@@ -102,13 +102,13 @@
     """Write the tables of the capacity page from the plan's files and the runs."""
     from merlinbay.capacity import page as tables
     from merlinbay.capacity.needs import Reckoner
-    from merlinbay.capacity.plan import BadPlan, read_plan
-    from merlinbay.capacity.runs import BadRun, read_folder
+    from merlinbay.capacity.plan import CapacityPlanError, read_plan
+    from merlinbay.capacity.runs import ScaleRunError, read_folder
 
     try:
         text = page.read_text()
         written = tables.write(text, Reckoner(read_plan(plan_folder), read_folder(run_folder)))
-    except (OSError, BadPlan, BadRun, tables.BadPage) as error:
+    except (OSError, CapacityPlanError, ScaleRunError, tables.CapacityPageError) as error:
         refuse(error)
     if written == text:
         click.echo(f"{page}: as the runs and the plan give it")
--- a/merlinbay/cli/conformance.py
+++ b/merlinbay/cli/conformance.py
@@ -31,7 +31,7 @@
     """Play every clause against the endpoint of --url; exits with 3 if one is missed."""
     from merlinbay.conformance import report
     from merlinbay.conformance.clauses import CLAUSES
-    from merlinbay.conformance.probe import Miss, Probe
+    from merlinbay.conformance.probe import ClauseNotMetError, Probe
 
     if list_only:
         for found in CLAUSES:
@@ -47,7 +47,7 @@
     try:
         results = report.play(probe, wanted, lambda found: click.echo(report.line(found), err=form != "text"))
         probe.call("DELETE", f"/sessions/{probe.session}")
-    except Miss:
+    except ClauseNotMetError:
         pass  # the session could not be destroyed: clauses have said so
     finally:
         probe.close()
--- a/merlinbay/cli/keys.py
+++ b/merlinbay/cli/keys.py
@@ -11,7 +11,7 @@
 import click
 
 from merlinbay.access.grants import ANY, Scope
-from merlinbay.access.tokens import BadKeys, Ring, issue, load, new_key, rotated, save
+from merlinbay.access.tokens import KeyRingError, Ring, issue, load, new_key, rotated, save
 from merlinbay.cli.caller import table
 
 PATH = click.Path(path_type=Path, dir_okay=False)
@@ -27,7 +27,7 @@
     """Read a ring, or end."""
     try:
         return load(path)
-    except BadKeys as error:
+    except KeyRingError as error:
         stop(error)
 
 
@@ -41,11 +41,11 @@
 def new_ring(file: Path) -> None:
     """Make FILE with one key, readable by you alone."""
     if file.exists():
-        stop(BadKeys(f"{file}: exists; rotate it instead"))
+        stop(KeyRingError(f"{file}: exists; rotate it instead"))
     try:
         save(file, Ring([new_key()]))
     except OSError as error:
-        stop(BadKeys(f"{file}: {error.strerror}"))
+        stop(KeyRingError(f"{file}: {error.strerror}"))
     click.echo(f"{file}: 1 key")
 
 
@@ -118,7 +118,7 @@
     import trustme  # Guards against a slow command line: it brings the cryptography library.
 
     if (folder / "ca.key").exists():
-        stop(BadKeys(f"{folder}: has an authority; rotate its certificate instead"))
+        stop(KeyRingError(f"{folder}: has an authority; rotate its certificate instead"))
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     ca = trustme.CA()
     write(folder / "ca.pem", ca.cert_pem.bytes())
@@ -166,4 +166,4 @@
     try:
         return trustme.CA.from_pem((folder / "ca.pem").read_bytes(), (folder / "ca.key").read_bytes())
     except (OSError, ValueError) as error:
-        stop(BadKeys(f"{folder}: no authority: {error}"))
+        stop(KeyRingError(f"{folder}: no authority: {error}"))
--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -15,13 +15,13 @@
 from merlinbay.clock import Clock
 from merlinbay.config import Config, load
 from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError
 from merlinbay.executor.server import Executor
 from merlinbay.executor.slots import Slots
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.node import log_for, run
-from merlinbay.problems import BadConfig
 
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
@@ -149,7 +149,7 @@
         await play(config, counters, executors, slots, folder, sock)
 
 
-def prompt_stop(limits: Limits) -> Limits:
+def prompt_stop(limits: ResourceLimits) -> ResourceLimits:
     """Return limits for a node that a person ends by Ctrl-C: no front layer still sends clients to it."""
     return replace(limits, stop_serving=0.0, stop_arrivals=0.0, stop_answers_us=50_000, stop_most=1.0)
 
@@ -159,12 +159,12 @@
     try:
         trio.run(prepare, port, executors, slots, log_format, folder, Counters())
     except BaseExceptionGroup as group:
-        bad = group.subgroup(BadConfig)
+        bad = group.subgroup(ConfigurationError)
         if bad is None:
             raise
         print(f"merlinbay: {next(iter(bad.exceptions))}", file=sys.stderr)
         return 2
-    except BadConfig as error:
+    except ConfigurationError as error:
         print(f"merlinbay: {error}", file=sys.stderr)
         return 2
     return 0
--- a/merlinbay/cli/main.py
+++ b/merlinbay/cli/main.py
@@ -69,12 +69,12 @@
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
     """Read an operator's FILE as a node would, and say what is wrong with it in one line."""
+    from merlinbay.errors import ConfigurationError
     from merlinbay.operator_file import read
-    from merlinbay.problems import BadConfig
 
     try:
         operator = read(file)
-    except BadConfig as error:
+    except ConfigurationError as error:
         click.echo(f"merlinbay: {error}", err=True)
         sys.exit(2)
     on = [
--- a/merlinbay/cli/operate.py
+++ b/merlinbay/cli/operate.py
@@ -8,7 +8,7 @@
 import click
 
 from merlinbay.cli.caller import OTHER, UNREACHABLE
-from merlinbay.problems import BadConfig, address
+from merlinbay.errors import ConfigurationError, address
 
 MOST = 4096  # bytes of an answer
 
@@ -26,7 +26,7 @@
             answer = b""
             while b"\n" not in answer and len(answer) < MOST and (more := sock.recv(MOST)):
                 answer += more
-    except (OSError, BadConfig) as error:
+    except (OSError, ConfigurationError) as error:
         click.echo(f"merlinbay: cannot reach the node at {at}: {error}", err=True)
         sys.exit(UNREACHABLE)
     text = answer.decode("utf-8", "replace").strip()
--- a/merlinbay/cli/rehearse.py
+++ b/merlinbay/cli/rehearse.py
@@ -42,7 +42,7 @@
 
     try:
         return spec.load(name)
-    except spec.BadScript as error:
+    except spec.ScenarioError as error:
         bad(error)
 
 
@@ -144,7 +144,7 @@
     try:
         for name in names:
             gate.script(name, nodes, servers, seconds)
-    except spec.BadScript as error:
+    except spec.ScenarioError as error:
         bad(error)
     asked = [(name, policy, seed, nodes, servers, seconds) for name in names for policy in gate.POLICIES]
     with ProcessPoolExecutor(processes or None, mp_context=get_context("spawn")) as pool:
@@ -293,14 +293,14 @@
 @click.option("--workers", default=0, type=click.IntRange(0), help="Processes; all cores by default.")
 def run_grid(file: Path, results: Path | None, workers: int) -> None:
     """Play what FILE asks for; a run that was interrupted goes on where it was."""
-    from merlinbay.emulator.spec import BadScript
+    from merlinbay.emulator.spec import ScenarioError
     from merlinbay.experiment import grid
     from merlinbay.experiment.run import run
     from merlinbay.experiment.store import Store
 
     try:
         asked = grid.read(file)
-    except BadScript as error:
+    except ScenarioError as error:
         bad(error)
     store = Store(results or file.with_suffix(".sqlite"))
     total = sum(1 for _ in grid.cells(asked))
--- a/merlinbay/cli/rig.py
+++ b/merlinbay/cli/rig.py
@@ -63,7 +63,7 @@
 
     try:
         found = script.load(name)
-    except script.BadScript as error:
+    except script.FaultScheduleError as error:
         click.echo(f"merlinbay: {error}", err=True)
         sys.exit(2)
     found = msgspec.structs.replace(
--- a/merlinbay/cli/scale.py
+++ b/merlinbay/cli/scale.py
@@ -51,7 +51,7 @@
 
     try:
         plan = plans.lowered(plans.load(name, NAMES), cores, memory_mib)
-    except plans.BadPlan as error:
+    except plans.ScalePlanError as error:
         click.echo(f"merlinbay: {error}", err=True)
         sys.exit(2)
     wanted = [size for size in plan.sizes if not sizes or size in sizes]
--- a/merlinbay/cli/store.py
+++ b/merlinbay/cli/store.py
@@ -22,8 +22,8 @@
 @contextmanager
 def opened(file: Path) -> Iterator[Engine]:
     """Open a file that is there; end with one line where that fails, or where it is not as written."""
-    from merlinbay.store.engine import Engine, Unstored
-    from merlinbay.store.records import Corrupt
+    from merlinbay.store.engine import Engine, StoreWriteError
+    from merlinbay.store.records import CorruptLogError
 
     if not file.exists():
         click.echo(f"merlinbay: {file}: no such file", err=True)
@@ -34,10 +34,10 @@
             yield engine
         finally:
             engine.close()
-    except Corrupt as error:
+    except CorruptLogError as error:
         click.echo(f"merlinbay: {file}: {error}", err=True)
         sys.exit(JOB_FAILED)
-    except Unstored as error:
+    except StoreWriteError as error:
         click.echo(f"merlinbay: {file}: {error}", err=True)
         sys.exit(OTHER)
 
--- a/merlinbay/config.py
+++ b/merlinbay/config.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from merlinbay.core.ports import NodeFacts
-from merlinbay.decision import api
-from merlinbay.limits import Limits, limits_from
+from merlinbay.core.values import NodeIdentity
+from merlinbay.decision.settings import Settings
+from merlinbay.errors import ConfigurationError, address
+from merlinbay.limits import ResourceLimits, limits_from
 from merlinbay.platform import messages
-from merlinbay.problems import BadConfig, address
 from merlinbay.site_settings import settings_from
 
 if TYPE_CHECKING:
@@ -52,14 +52,14 @@
     discovery: str
     seed: int
     known: messages.Listing
-    settings: api.Settings
-    limits: Limits
+    settings: Settings
+    limits: ResourceLimits
     operator: Operator | None = None  # without one, everything beside the platform's protocol is off
     admin: tuple[str, int] | None = None  # where operators call
 
-    def facts(self) -> NodeFacts:
+    def facts(self) -> NodeIdentity:
         """Return what the parts of an operator's file are told."""
-        return NodeFacts(self.name, self.listen, self.settings, self.limits)
+        return NodeIdentity(self.name, self.listen, self.settings, self.limits)
 
 
 def operator_file(path: str) -> Operator | None:
@@ -74,16 +74,16 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration. Raises ``BadConfig``."""
+    """Read the configuration. Raises ``ConfigurationError``."""
     path = environ.get("LB_CONFIG", "")
     if not path:
-        raise BadConfig("LB_CONFIG is not set")
+        raise ConfigurationError("LB_CONFIG is not set")
     try:
         file = msgspec.json.decode(Path(path).read_bytes(), type=File)
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
     except (msgspec.DecodeError, RecursionError) as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
     try:
         settings = settings_from(file.settings)
         seed = int(file.seed, 16)
@@ -94,10 +94,10 @@
             settings,
             int(extra.get("dialTimeoutUs") or 0),
             int(extra.get("keepaliveUs") or 0),
-            int(extra.get("mostHeld") or Limits.most_held),
+            int(extra.get("mostHeld") or ResourceLimits.most_held),
         )
     except (ValueError, TypeError, OverflowError) as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
     admin_text = environ.get("LB_ADMIN_ADDR") or file.admin_addr
     admin = address(admin_text) if admin_text else None
     limits = replace(limits, accept_fd=accept_fd(environ.get("LB_ACCEPT_FD", "")))
@@ -128,7 +128,7 @@
 
 
 def accept_fd(text: str) -> int:
-    """Read which descriptor listens for clients, -1 for none. Raises ``BadConfig``."""
+    """Read which descriptor listens for clients, -1 for none. Raises ``ConfigurationError``."""
     if not text:
         return -1
     try:
@@ -136,12 +136,14 @@
         if not stat.S_ISSOCK(os.fstat(number).st_mode):
             raise OSError
     except (ValueError, OSError, OverflowError):
-        raise BadConfig(f"LB_ACCEPT_FD: no socket: {text!r}") from None
+        raise ConfigurationError(f"LB_ACCEPT_FD: no socket: {text!r}") from None
     return number
 
 
 def reload(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration again. Raises ``BadConfig``, also where what only a restart can change differs.
+    """Read the configuration again.
+
+    Raises ``ConfigurationError``, also where what only a restart can change differs.
 
     The file's ``discovery`` counts, whatever the environment said at the start.
     """
@@ -152,5 +154,7 @@
         and now is not None
         and ((now.dnssd is None) != (was.dnssd is None) or now.drmaa != was.drmaa)
     ):
-        raise BadConfig("the operator's file: fronts and the kind of discovery change by a restart only")
+        raise ConfigurationError(
+            "the operator's file: fronts and the kind of discovery change by a restart only"
+        )
     return new
--- a/merlinbay/conformance/array_clauses.py
+++ b/merlinbay/conformance/array_clauses.py
@@ -5,7 +5,7 @@
 from datetime import datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import Probe, Skip, expect, output
+from merlinbay.conformance.probe import ClauseSkippedError, Probe, expect, output
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
@@ -35,7 +35,7 @@
 def keeps_max_parallel(p: Probe) -> None:
     """No more members than maxParallel are out at one time."""
     if not p.can("BULK_JOBS_MAXPARALLEL"):
-        raise Skip("BULK_JOBS_MAXPARALLEL is not supported")
+        raise ClauseSkippedError("BULK_JOBS_MAXPARALLEL is not supported")
     array = p.good(
         "POST",
         p.at("/arrays"),
--- a/merlinbay/conformance/job_clauses.py
+++ b/merlinbay/conformance/job_clauses.py
@@ -5,7 +5,7 @@
 import time
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ENDED, Probe, Skip, expect, with_longer_jobs
+from merlinbay.conformance.probe import ENDED, ClauseSkippedError, Probe, expect, with_longer_jobs
 
 STATES = {
     "UNDETERMINED",
@@ -61,7 +61,7 @@
         p.need_running(job)
         status, found = p.call("POST", p.at(f"/jobs/{job}/suspend"))
         if status == 405:
-            raise Skip("it cannot suspend")
+            raise ClauseSkippedError("it cannot suspend")
         if status == 409:
             p.need_running(job)
         expect(status == 200, f"suspend: {status} {found}")
--- a/merlinbay/conformance/monitoring_clauses.py
+++ b/merlinbay/conformance/monitoring_clauses.py
@@ -6,7 +6,7 @@
 from datetime import UTC, datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ENDED, Probe, Skip, expect
+from merlinbay.conformance.probe import ENDED, ClauseSkippedError, Probe, expect
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
@@ -16,7 +16,7 @@
 def tells_events(p: Probe) -> None:
     """Where CALLBACK is supported, each state is told once, in order, and again for the same cursor."""
     if not p.can("CALLBACK"):
-        raise Skip("CALLBACK is not supported")
+        raise ClauseSkippedError("CALLBACK is not supported")
     start = cursor = p.good("GET", p.at("/events?after=now"))["cursor"]
     job = p.run("sleep", "0.2")
     told: list[dict[str, object]] = []
@@ -38,7 +38,7 @@
 def reserves_slots(p: Probe) -> None:
     """Where ADVANCE_RESERVATION is supported, a window is granted as asked for, told of, and given back."""
     if not p.can("ADVANCE_RESERVATION"):
-        raise Skip("ADVANCE_RESERVATION is not supported")
+        raise ClauseSkippedError("ADVANCE_RESERVATION is not supported")
     start = (datetime.now(UTC) + timedelta(hours=1)).replace(microsecond=0)
     wish = {
         "reservationTemplate": {
@@ -76,7 +76,7 @@
     from urllib.parse import quote
 
     if p.call("GET", "/monitor/queues")[0] == 405:
-        raise Skip("it has no monitoring session")
+        raise ClauseSkippedError("it has no monitoring session")
     job, other = p.run("true", submitAsHold=True), p.run("true")
     p.end(other)
     wanted = quote(f'sessionName == "{p.session}" and jobState == "QUEUED_HELD"')
--- a/merlinbay/conformance/probe.py
+++ b/merlinbay/conformance/probe.py
@@ -18,22 +18,22 @@
 JOB_LENGTHS_S = (1.5, 6.0, 24.0)  # of jobs that have to run while they are looked at
 
 
-class Miss(Exception):
+class ClauseNotMetError(Exception):
     """The endpoint does not keep the clause."""
 
 
-class Overtaken(Exception):
+class OvertakenError(Exception):
     """A job ended before the check that needs it running: that says nothing of the endpoint."""
 
 
-class Skip(Exception):
+class ClauseSkippedError(Exception):
     """The clause is about something that the endpoint says it does not have."""
 
 
 def expect(holds: object, text: str) -> None:
-    """Raise ``Miss`` unless it holds."""
+    """Raise ``ClauseNotMetError`` unless it holds."""
     if not holds:
-        raise Miss(text)
+        raise ClauseNotMetError(text)
 
 
 @dataclass
@@ -65,11 +65,11 @@
         try:
             answer = self.http.request(method, f"/drmaa2{path}", content=content)
         except httpx.HTTPError as error:
-            raise Miss(f"{method} {path}: {type(error).__name__} {error}") from None
+            raise ClauseNotMetError(f"{method} {path}: {type(error).__name__} {error}") from None
         try:
             return answer.status_code, answer.json() if answer.content else {}
         except ValueError:
-            raise Miss(f"{method} {path}: the answer is no JSON") from None
+            raise ClauseNotMetError(f"{method} {path}: the answer is no JSON") from None
 
     def at(self, path: str) -> str:
         """Return a path in our session."""
@@ -134,10 +134,10 @@
         return found
 
     def need_running(self, job: str) -> None:
-        """Wait until a job has started. Raises ``Overtaken`` where it has already ended by itself."""
+        """Wait until a job has started. Raises ``OvertakenError`` where it has already ended by itself."""
         state = self.started(job)["jobState"]
         if state == "DONE":
-            raise Overtaken(f"the job {job} has ended")
+            raise OvertakenError(f"the job {job} has ended")
         expect(state == "RUNNING", f"the job is {state}, and not RUNNING")
 
     def can(self, capability: str) -> bool:
@@ -150,10 +150,12 @@
     for seconds in JOB_LENGTHS_S:
         try:
             check(seconds)
-        except Overtaken:
+        except OvertakenError:
             continue
         return
-    raise Miss(f"jobs of up to {JOB_LENGTHS_S[-1]:g} s ended before a call could reach them running")
+    raise ClauseNotMetError(
+        f"jobs of up to {JOB_LENGTHS_S[-1]:g} s ended before a call could reach them running"
+    )
 
 
 def output(info: dict[str, Any]) -> bytes:
--- a/merlinbay/conformance/report.py
+++ b/merlinbay/conformance/report.py
@@ -10,7 +10,7 @@
 from xml.etree import ElementTree
 
 from merlinbay.conformance.clause import Clause
-from merlinbay.conformance.probe import Miss, Probe, Skip
+from merlinbay.conformance.probe import ClauseNotMetError, ClauseSkippedError, Probe
 
 KEPT, MISSED, SKIPPED = "kept", "missed", "skipped"
 
@@ -34,9 +34,9 @@
         began, verdict, why = time.monotonic(), KEPT, ""
         try:
             clause.check(probe)
-        except Miss as error:
+        except ClauseNotMetError as error:
             verdict, why = MISSED, str(error)
-        except Skip as error:
+        except ClauseSkippedError as error:
             verdict, why = SKIPPED, str(error)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             # An answer without what the binding says is in it.
--- a/merlinbay/conformance/template_clauses.py
+++ b/merlinbay/conformance/template_clauses.py
@@ -6,7 +6,7 @@
 from datetime import UTC, datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import Probe, Skip, expect, output
+from merlinbay.conformance.probe import ClauseSkippedError, Probe, expect, output
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
@@ -98,7 +98,7 @@
         {"jobTemplate": p.template("true", noSuchAttribute=1)},
     )
     if not asked:
-        raise Skip("it carries all that is asked about")
+        raise ClauseSkippedError("it carries all that is asked about")
 
 
 @clause("JobTemplate, submitAsHold; Job, release")
@@ -131,7 +131,7 @@
 def ends_by_its_deadline(p: Probe) -> None:
     """A job that runs past its deadlineTime is ended, and is FAILED."""
     if not p.can("JT_DEADLINE"):
-        raise Skip("JT_DEADLINE is not supported")
+        raise ClauseSkippedError("JT_DEADLINE is not supported")
     end = datetime.now(UTC) + timedelta(seconds=1.0)
     info = p.end(p.run("sleep", str(int(p.patience) * 3), deadlineTime=end.isoformat()))
     expect(info["jobState"] == "FAILED", f"it is {info['jobState']}")
--- a/merlinbay/control/consensus/messages.py
+++ b/merlinbay/control/consensus/messages.py
@@ -1,4 +1,4 @@
-"""What voters send each other, as msgpack; what cannot be read raises ``Unreadable`` and nothing else."""
+"""What voters send each other, as msgpack; what cannot be read raises ``UnreadableMessageError`` alone."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
     message: Message
 
 
-class Unreadable(Exception):
+class UnreadableMessageError(Exception):
     """Bytes that are no message of this version."""
 
 
@@ -115,13 +115,13 @@
 
 
 def decode(data: bytes) -> Envelope:
-    """Read a message. Raises ``Unreadable``."""
+    """Read a message. Raises ``UnreadableMessageError``."""
     try:
         envelope = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Unreadable(str(error)) from None
+        raise UnreadableMessageError(str(error)) from None
     if envelope.version != MESSAGE_VERSION:
-        raise Unreadable(f"version {envelope.version}")
+        raise UnreadableMessageError(f"version {envelope.version}")
     message = envelope.message
     if isinstance(message, AppendRequest):
         _check_order(message)
@@ -133,5 +133,7 @@
     index, term = message.previous_index, message.previous_term
     for entry in message.entries:
         if entry.index != index + 1 or not term <= entry.term <= message.term:
-            raise Unreadable(f"entry {entry.index} of term {entry.term} after {index} of term {term}")
+            raise UnreadableMessageError(
+                f"entry {entry.index} of term {entry.term} after {index} of term {term}"
+            )
         index, term = entry.index, entry.term
--- a/merlinbay/control/consensus/records.py
+++ b/merlinbay/control/consensus/records.py
@@ -14,7 +14,7 @@
 RECORD_VERSION = 1
 
 
-class CorruptRecords(Exception):
+class CorruptRecordsError(Exception):
     """The records are not those of this voter. Its disk counts as lost: start anew on an empty one."""
 
 
@@ -109,7 +109,7 @@
         match record:
             case IdentityRecord():
                 if self.identity is not None:
-                    raise CorruptRecords("a second identity")
+                    raise CorruptRecordsError("a second identity")
                 self.identity = record.identity
             case TermRecord():
                 self.term, self.voted_for = record.term, record.voted_for
@@ -133,19 +133,19 @@
 
 
 def load(name: str, records: Iterable[bytes]) -> DurableState:
-    """Return the state of the stored records. Raises ``CorruptRecords``."""
+    """Return the state of the stored records. Raises ``CorruptRecordsError``."""
     state = DurableState()
     try:
         for data in records:
             record = _record_decoder.decode(data)
             if getattr(record, "version", RECORD_VERSION) != RECORD_VERSION:
-                raise CorruptRecords("another version of the format")
+                raise CorruptRecordsError("another version of the format")
             state.take(record)
             if state.identity is None:
-                raise CorruptRecords("no identity at the start")
+                raise CorruptRecordsError("no identity at the start")
     except (msgspec.MsgspecError, ValueError) as error:  # of those: gaps in the log, a snapshot's format
-        raise CorruptRecords(str(error)) from None
+        raise CorruptRecordsError(str(error)) from None
     if state.identity is not None and state.identity.name != name:
-        raise CorruptRecords(f"of {state.identity.name}, not of {name}")
+        raise CorruptRecordsError(f"of {state.identity.name}, not of {name}")
     state.commit_index = min(state.commit_index, state.log.last_index)
     return state
--- a/merlinbay/control/fanout/assembly.py
+++ b/merlinbay/control/fanout/assembly.py
@@ -9,7 +9,7 @@
 Part = DeltaMessage | SnapshotMessage
 
 
-class PartOutOfPlace(Exception):
+class PartOutOfOrderError(Exception):
     """A part does not follow the one before it, or makes the whole too large."""
 
 
@@ -41,10 +41,10 @@
         if self._first is None and part.count == 1 and part.index == 0:
             return WholeMessage(part, part.entries)
         if part.index != self._next or part.index >= part.count or not self._continues(part):
-            raise PartOutOfPlace(f"part {part.index} of {part.count}, wanted {self._next}")
+            raise PartOutOfOrderError(f"part {part.index} of {part.count}, wanted {self._next}")
         self._size += size
         if self._size > self._max_bytes:
-            raise PartOutOfPlace(f"more than {self._max_bytes} bytes")
+            raise PartOutOfOrderError(f"more than {self._max_bytes} bytes")
         self._first = self._first or part
         self._next += 1
         self._entries.extend(part.entries)
--- a/merlinbay/control/fanout/follower.py
+++ b/merlinbay/control/fanout/follower.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from merlinbay.control.entries import KeyValue, StateSnapshot
-from merlinbay.control.fanout.assembly import PartOutOfPlace
+from merlinbay.control.fanout.assembly import PartOutOfOrderError
 from merlinbay.control.fanout.candidates import Candidates
 from merlinbay.control.fanout.counters import FollowerCounters
 from merlinbay.control.fanout.effects import (
@@ -31,7 +31,7 @@
     Goodbye,
     GoodbyeReason,
     KeepAlive,
-    MalformedMessage,
+    MalformedMessageError,
     Progress,
     Role,
     ServerMessage,
@@ -44,7 +44,7 @@
 )
 from merlinbay.control.fanout.replica import Replica
 from merlinbay.control.fanout.settings import FollowerSettings
-from merlinbay.control.fanout.state import InvalidEntries, RevisionGap
+from merlinbay.control.fanout.state import InvalidEntriesError, RevisionGapError
 from merlinbay.control.fanout.topology import Location, Upstream
 
 
@@ -140,10 +140,10 @@
         self.counters.bytes_received += len(frame)
         try:
             self._take(link, decode_from_server(frame), len(frame), now)
-        except (MalformedMessage, InvalidEntries):
+        except (MalformedMessageError, InvalidEntriesError):
             self.counters.malformed += 1
             self._give_up(link, GoodbyeReason.PROTOCOL, now)
-        except (PartOutOfPlace, RevisionGap):
+        except (PartOutOfOrderError, RevisionGapError):
             self.counters.out_of_order += 1
             self._give_up(link, GoodbyeReason.PROTOCOL, now)
 
@@ -281,7 +281,7 @@
         elif isinstance(message, (Busy, Goodbye)):
             self._sent_away(link, message, now)
         elif link is not self._watching:
-            raise MalformedMessage("data before the watch was accepted")
+            raise MalformedMessageError("data before the watch was accepted")
         else:
             link.deadline = now + self.settings.keepalive_timeout
             if isinstance(message, KeepAlive):
--- a/merlinbay/control/fanout/messages.py
+++ b/merlinbay/control/fanout/messages.py
@@ -29,7 +29,7 @@
 Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(Exception):
     """The bytes are no message of this protocol that may come from that side."""
 
 
@@ -197,22 +197,22 @@
 
 
 def decode_from_follower(frame: bytes) -> FollowerMessage:
-    """Read what a downstream sent; raise ``MalformedMessage``."""
+    """Read what a downstream sent; raise ``MalformedMessageError``."""
     return _decode(_from_follower, frame)
 
 
 def decode_from_server(frame: bytes) -> ServerMessage:
-    """Read what an upstream sent; raise ``MalformedMessage``."""
+    """Read what an upstream sent; raise ``MalformedMessageError``."""
     return _decode(_from_server, frame)
 
 
 def _decode(decoder: msgspec.msgpack.Decoder[_Message], frame: bytes) -> _Message:
     if len(frame) > MAX_FRAME_BYTES:
-        raise MalformedMessage(f"frame of {len(frame)} bytes")
+        raise MalformedMessageError(f"frame of {len(frame)} bytes")
     try:
         return decoder.decode(frame)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise MalformedMessage(str(error)) from error
+        raise MalformedMessageError(str(error)) from error
 
 
 def milliseconds(seconds: float) -> int:
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -16,7 +16,7 @@
 from merlinbay.control.fanout.topology import Location, Upstream
 
 
-class InvalidTier(ValueError):
+class InvalidTierError(ValueError):
     """An upstream of a relay is not of a lower tier, so that relays could follow each other in a ring."""
 
 
@@ -195,7 +195,7 @@
         listed = list(upstreams)
         for upstream in listed:
             if upstream.tier >= self.tier:
-                raise InvalidTier(
+                raise InvalidTierError(
                     f"{upstream.name} of tier {upstream.tier} above a relay of tier {self.tier}"
                 )
         return listed
--- a/merlinbay/control/fanout/replica.py
+++ b/merlinbay/control/fanout/replica.py
@@ -14,7 +14,7 @@
     Generation,
     seconds,
 )
-from merlinbay.control.fanout.state import InvalidEntries, ReplicaState
+from merlinbay.control.fanout.state import InvalidEntriesError, ReplicaState
 
 
 class Replica:
@@ -56,7 +56,7 @@
         self, theirs: Generation, message: DeltaMessage, entries: tuple[Entry, ...], now: float
     ) -> StateAdvanced | None:
         if theirs != self.generation:
-            raise InvalidEntries("a delta of another generation")
+            raise InvalidEntriesError("a delta of another generation")
         changed = self.state.apply(message.after_revision, message.revision, entries)
         self.confirm(theirs, message.revision, message.staleness_ms, now)
         return None if changed is None else StateAdvanced(message.revision, tuple(changed))
--- a/merlinbay/control/fanout/source.py
+++ b/merlinbay/control/fanout/source.py
@@ -24,7 +24,7 @@
     GoodbyeReason,
     KeepAlive,
     Laggard,
-    MalformedMessage,
+    MalformedMessageError,
     Progress,
     Role,
     ServerMessage,
@@ -92,7 +92,7 @@
         self.counters.bytes_received += len(frame)
         try:
             message = decode_from_follower(frame)
-        except MalformedMessage:
+        except MalformedMessageError:
             self.counters.malformed += 1
             self._end(downstream, GoodbyeReason.PROTOCOL, now)
             return
--- a/merlinbay/control/fanout/state.py
+++ b/merlinbay/control/fanout/state.py
@@ -8,11 +8,11 @@
 from merlinbay.control.fanout.messages import Entry
 
 
-class RevisionGap(Exception):
+class RevisionGapError(Exception):
     """A delta begins after the revision that is held: something between is missing."""
 
 
-class InvalidEntries(Exception):
+class InvalidEntriesError(Exception):
     """Entries contradict the message that carries them."""
 
 
@@ -40,9 +40,9 @@
         and those with a later revision than the held one are just what changed since.
         """
         if after_revision > self.revision:
-            raise RevisionGap(f"delta after {after_revision}, held {self.revision}")
+            raise RevisionGapError(f"delta after {after_revision}, held {self.revision}")
         if any(not after_revision < entry.revision <= revision for entry in entries):
-            raise InvalidEntries(f"delta {after_revision} to {revision} with a revision outside")
+            raise InvalidEntriesError(f"delta {after_revision} to {revision} with a revision outside")
         if revision <= self.revision:
             return None
         changed = [
@@ -63,7 +63,7 @@
         values = {}
         for entry in entries:
             if entry.value is None or entry.revision > revision:
-                raise InvalidEntries(f"snapshot at {revision} with {entry.key} at {entry.revision}")
+                raise InvalidEntriesError(f"snapshot at {revision} with {entry.key} at {entry.revision}")
             values[entry.key] = KeyValue(entry.key, entry.value, entry.revision)
         self._values = values
         self.revision = revision
--- a/merlinbay/control/simulation/scheduler.py
+++ b/merlinbay/control/simulation/scheduler.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class TooManySteps(Exception):
+class TooManyStepsError(Exception):
     """The calls do not come to an end: as with two voters that answer each other without a pause."""
 
 
@@ -31,11 +31,11 @@
         self.at(self.time + span, call)
 
     def run_until(self, time: float) -> None:
-        """Run all calls up to a moment. Raises ``TooManySteps``."""
+        """Run all calls up to a moment. Raises ``TooManyStepsError``."""
         while self._queue and self._queue[0][0] <= time:
             self.time, _, call = heapq.heappop(self._queue)
             self.steps += 1
             if self.steps > self.most_steps:
-                raise TooManySteps(f"more than {self.most_steps} steps by {self.time:.3f}")
+                raise TooManyStepsError(f"more than {self.most_steps} steps by {self.time:.3f}")
             call()
         self.time = time
--- a/merlinbay/control/simulation/world.py
+++ b/merlinbay/control/simulation/world.py
@@ -22,7 +22,7 @@
 from merlinbay.control.simulation.observer import Observer
 from merlinbay.control.simulation.ports import Core, VoterPort
 from merlinbay.control.simulation.scenario import KEYS, Scenario
-from merlinbay.control.simulation.scheduler import Scheduler, TooManySteps
+from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
 FINAL = "final"  # the client that asks after the faults are over
 FINAL_EVERY = 6.0  # seconds for a change and a read; a spare knows no leader, so some tries go astray
@@ -88,7 +88,7 @@
         """Play the scenario; return its history."""
         try:
             self._run()
-        except TooManySteps as error:
+        except TooManyStepsError as error:
             self.trace(str(error))
             self.history.failures.append(str(error))
         return self.history
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -19,26 +19,26 @@
     SnapshotRequest,
     SnapshotResponse,
     TimeoutNow,
-    Unreadable,
+    UnreadableMessageError,
     VoteRequest,
     VoteResponse,
     decode,
 )
-from merlinbay.control.consensus.records import CorruptRecords
+from merlinbay.control.consensus.records import CorruptRecordsError
 from merlinbay.control.consensus.roles import Role
 from merlinbay.control.consensus.settings import Placement, VoterSettings
 from merlinbay.control.effects import Effect, ProposalDone, ReadDone, RevisionAdvanced
 from merlinbay.control.entries import Change, ChangeRejected, ChangeResult, ChangeUncertain
 from merlinbay.control.keyspace import Keyspace
 
-__all__ = ["CorruptRecords", "Placement", "Role", "Voter", "VoterSettings"]
+__all__ = ["CorruptRecordsError", "Placement", "Role", "Voter", "VoterSettings"]
 
 
 class Voter:
     """One replica. The host calls a method, then carries out ``take_effects()`` in order.
 
     ``random`` has to be seeded differently at each start: a voter that starts without records draws from it
-    the identity of its disk. Raises ``CorruptRecords`` where the records are not this voter's.
+    the identity of its disk. Raises ``CorruptRecordsError`` where the records are not this voter's.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
             return
         try:
             envelope = decode(message)
-        except Unreadable:
+        except UnreadableMessageError:
             self._core.counters.unreadable_messages += 1
             return
         self._dispatch(Member(sender, envelope.incarnation), envelope.message)
--- a/merlinbay/control_service/connection.py
+++ b/merlinbay/control_service/connection.py
@@ -12,7 +12,7 @@
 
 from merlinbay.control_service.sealing import TAG_BYTES, FrameSeal
 from merlinbay.control_service.traffic import Traffic
-from merlinbay.fleet.wire import Refused
+from merlinbay.fleet.wire import MessageRejectedError
 
 LENGTH = struct.Struct("!I")
 RECEIVE_BYTES = 64 * 1024
@@ -44,7 +44,7 @@
     CLOSE = "close"  # for streams that need every message: the peer reconnects and catches up
 
 
-class FrameTooLong(Exception):
+class FrameTooLongError(Exception):
     """The peer announced a frame over the limit."""
 
 
@@ -137,7 +137,7 @@
                     nursery.cancel_scope.cancel()
             except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
                 pass
-            except* (Refused, FrameTooLong):
+            except* (MessageRejectedError, FrameTooLongError):
                 self._traffic.connections_refused += 1
         await trio.aclose_forcefully(self._stream)
 
@@ -196,7 +196,7 @@
 async def receive_frame(stream: trio.SocketStream, buffer: bytearray, most: int) -> bytes | None:
     """Return the next frame's content, None at the end. ``buffer`` keeps what came behind it.
 
-    Raises ``FrameTooLong``.
+    Raises ``FrameTooLongError``.
     """
     while len(buffer) < LENGTH.size:
         part = await stream.receive_some(RECEIVE_BYTES)
@@ -205,7 +205,7 @@
         buffer += part
     (length,) = LENGTH.unpack_from(buffer)
     if length > most:
-        raise FrameTooLong
+        raise FrameTooLongError
     end = LENGTH.size + length
     while len(buffer) < end:
         part = await stream.receive_some(RECEIVE_BYTES)
--- a/merlinbay/control_service/durable_log.py
+++ b/merlinbay/control_service/durable_log.py
@@ -15,11 +15,11 @@
 
 from merlinbay.control.effects import Persist
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine, Unstored
+from merlinbay.store.engine import Engine, StoreWriteError
 from merlinbay.store.health import State
-from merlinbay.store.log import Refused, StoreLog
+from merlinbay.store.log import AppendRefusedError, StoreLog
 from merlinbay.store.records import START as FIRST_CHECKSUM
-from merlinbay.store.records import Corrupt
+from merlinbay.store.records import CorruptLogError
 
 RECOVERY_LOOK_S = 0.05  # between looks whether the store has recovered
 
@@ -35,7 +35,7 @@
 _encode = msgspec.msgpack.encode
 
 
-class NotDurable(Exception):
+class NotDurableError(Exception):
     """Records were not stored: nothing that depends on them may leave the process."""
 
 
@@ -43,11 +43,11 @@
     """The log of one voter. ``run`` has to be running for ``append`` to return."""
 
     def __init__(self, path: Path, log: Log, make_engine: Callable[[Path], Engine] = Engine) -> None:
-        """Open or create the file. Raises ``NotDurable``, ``Corrupt``."""
+        """Open or create the file. Raises ``NotDurableError``, ``CorruptLogError``."""
         try:
             self._store = StoreLog(path, log, make_engine)
-        except Unstored as error:
-            raise NotDurable(str(error)) from None
+        except StoreWriteError as error:
+            raise NotDurableError(str(error)) from None
         self._log = log
 
     @property
@@ -73,12 +73,12 @@
         return [entry.body for entry in _without_replaced(entries)]
 
     async def append(self, records: Sequence[Persist]) -> None:
-        """Store records in their order; returns once they are on the disk. Raises ``NotDurable``."""
+        """Store records in their order; returns once they are on the disk. Raises ``NotDurableError``."""
         entries = [Entry(one.record, one.replaces_all) for one in records]
         try:
             await self._store.append(_encode(entries))
-        except Refused as error:
-            raise NotDurable(str(error)) from None
+        except AppendRefusedError as error:
+            raise NotDurableError(str(error)) from None
         if any(entry.replaces_all for entry in entries):
             await self._compact(_without_replaced(entries))
 
@@ -88,7 +88,7 @@
             with trio.CancelScope(shield=True):
                 await trio.to_thread.run_sync(partial(engine.snapshot, _encode(entries)))
                 await trio.to_thread.run_sync(engine.compact)
-        except Unstored as error:
+        except StoreWriteError as error:
             # The records themselves are stored: compaction is tried again with the next snapshot.
             self._log.event("control_compaction_failed", level="warning", error=str(error))
 
@@ -106,4 +106,4 @@
     return entries[last:]
 
 
-__all__ = ["Corrupt", "DurableLog", "NotDurable"]
+__all__ = ["CorruptLogError", "DurableLog", "NotDurableError"]
--- a/merlinbay/control_service/node_follower.py
+++ b/merlinbay/control_service/node_follower.py
@@ -14,9 +14,9 @@
 from merlinbay.control_service.settings import Section, load_keys
 from merlinbay.control_service.transport import Endpoint
 from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError
 from merlinbay.fleet.wire import Keys
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig
 
 
 class ConfigurationFollower:
@@ -25,7 +25,7 @@
     def __init__(
         self, section: Section, name: str, nursery: trio.Nursery, counters: Counters, log: Log
     ) -> None:
-        """Begin to follow. Raises ``BadConfig``."""
+        """Begin to follow. Raises ``ConfigurationError``."""
         self.section, self.counters, self.log = section, counters, log
         self.endpoint = Endpoint(name, "follower", section.fleet, self._keys(), section.bind)
         self.host = FollowerHost(
@@ -42,11 +42,11 @@
     def _keys(self) -> Keys:
         try:
             return load_keys(self.section.keys)
-        except BadConfig as error:
-            raise BadConfig(f"control.{error}") from None
+        except ConfigurationError as error:
+            raise ConfigurationError(f"control.{error}") from None
 
     def reload(self) -> None:
-        """Read the keys again. Raises ``BadConfig``; what cannot be used changes nothing."""
+        """Read the keys again. Raises ``ConfigurationError``; what cannot be used changes nothing."""
         self.endpoint.keys = self._keys()
 
     def stop(self) -> None:
--- a/merlinbay/control_service/operator_calls.py
+++ b/merlinbay/control_service/operator_calls.py
@@ -23,7 +23,7 @@
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, ChangeResult, KeyValue
 from merlinbay.control.keyspace import Keyspace
 from merlinbay.control_service.machines import Machines
-from merlinbay.control_service.schema import BadValue, decode_value, encode_value
+from merlinbay.control_service.schema import InvalidValueError, decode_value, encode_value
 from merlinbay.control_service.status import ProcessStatus, rounded
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.http.connection import Connection, Request, Response
@@ -90,7 +90,7 @@
     current_revision: int = 0
 
 
-class BadCall(Exception):
+class InvalidCallError(Exception):
     """A call that cannot be understood."""
 
 
@@ -134,7 +134,7 @@
                 prefix = "/".join(parts[1:]) or options.get("prefix", "")
                 return _answer(await self._keys_below(prefix, exact=len(parts) > 1))
             return await self.voters_call(request, parts, options)
-        except (BadValue, BadCall, msgspec.MsgspecError, ValueError) as error:
+        except (InvalidValueError, InvalidCallError, msgspec.MsgspecError, ValueError) as error:
             return _problem(400, str(error), reason="invalid")
 
     async def _keys_below(self, prefix: str, exact: bool) -> Entries:
@@ -201,7 +201,7 @@
 
     async def _change(self, wanted: ChangeRequest, request: Request) -> Response:
         if not 1 <= len(wanted.change_id.encode()) <= CHANGE_ID_BYTES:
-            raise BadCall(f"change_id: 1 to {CHANGE_ID_BYTES} bytes")
+            raise InvalidCallError(f"change_id: 1 to {CHANGE_ID_BYTES} bytes")
         value = None if wanted.value is None else encode_value(wanted.key, wanted.value)
         change = Change(wanted.change_id, wanted.key, value, wanted.expected_revision)
         return self._result(await self.host.propose(change), request)
@@ -217,13 +217,13 @@
     async def _voters(self, wanted: VotersRequest, request: Request) -> Response:
         """Change the voters. A repeat of what was done already, or is under way, does nothing further."""
         if wanted.add is None and wanted.remove is None:
-            raise BadCall("nobody to add or to remove")
+            raise InvalidCallError("nobody to add or to remove")
         confirmed = await self.host.read(f"machines/{wanted.add}")
         if confirmed.failed:
             return self._to_leader(confirmed.leader, request)
         # Only now: another voter than the leader may not have the address yet that was set just before.
         if wanted.add is not None and not self.machines.address_of(wanted.add):
-            raise BadCall(f"no address of {wanted.add} is known: set machines/{wanted.add} first")
+            raise InvalidCallError(f"no address of {wanted.add} is known: set machines/{wanted.add} first")
         voter = self.host.voter
         if wanted.add in voter.joining:
             return _problem(503, f"{wanted.add} is joining", retry=True, reason="joining")
--- a/merlinbay/control_service/process.py
+++ b/merlinbay/control_service/process.py
@@ -18,9 +18,9 @@
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
 from merlinbay.control.fanout.topology import Location
-from merlinbay.control.voter import CorruptRecords
+from merlinbay.control.voter import CorruptRecordsError
 from merlinbay.control_service import status
-from merlinbay.control_service.durable_log import Corrupt, DurableLog, NotDurable
+from merlinbay.control_service.durable_log import CorruptLogError, DurableLog, NotDurableError
 from merlinbay.control_service.follower_host import FollowerHost
 from merlinbay.control_service.machines import Machines
 from merlinbay.control_service.operator_calls import Entries, OperatorCalls, VoterCalls, entry
@@ -29,14 +29,16 @@
 from merlinbay.control_service.transport import Endpoint, listen_at
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig, address
 
 LOG_NAME = "control.db"
-CALL_LIMITS = replace(Limits(), body_bytes=256 * 1024, edge_connections=128)  # a value of 64 KiB, escaped
+CALL_LIMITS = replace(
+    ResourceLimits(), body_bytes=256 * 1024, edge_connections=128
+)  # a value of 64 KiB, escaped
 STOP_S = 1.0  # after SIGTERM, for a new leader to be chosen and followers to move
 
 
@@ -112,16 +114,16 @@
 
 
 async def voter_parts(file: ControlFile, section: VoterSection, endpoint: Endpoint, log: Log) -> Parts:
-    """Wire a voter. Raises ``BadConfig``."""
+    """Wire a voter. Raises ``ConfigurationError``."""
     listening = await _listen(file)
     path = Path(section.data) / LOG_NAME
     try:
         path.parent.mkdir(exist_ok=True)
         durable = DurableLog(path, log)
     except OSError as error:
-        raise BadConfig(f"voter.data: {section.data}: {error.strerror}") from None
-    except (NotDurable, Corrupt) as error:
-        raise BadConfig(f"voter.data: {path}: {error}") from None
+        raise ConfigurationError(f"voter.data: {section.data}: {error.strerror}") from None
+    except (NotDurableError, CorruptLogError) as error:
+        raise ConfigurationError(f"voter.data: {path}: {error}") from None
     machines = Machines(file.machines)
     try:
         host = VoterHost(
@@ -134,8 +136,8 @@
             make_random,
             log,
         )
-    except (CorruptRecords, Corrupt) as error:
-        raise BadConfig(f"voter.data: {path}: {error}") from None
+    except (CorruptRecordsError, CorruptLogError) as error:
+        raise ConfigurationError(f"voter.data: {path}: {error}") from None
     machines.get = lambda key: host.watches.store.current.get(key)
 
     def leave() -> None:
@@ -147,7 +149,7 @@
 
 
 async def relay_parts(file: ControlFile, endpoint: Endpoint, nursery: trio.Nursery) -> Parts:
-    """Wire a relay. Raises ``BadConfig``."""
+    """Wire a relay. Raises ``ConfigurationError``."""
     assert file.relay is not None
     listening = await _listen(file)
     settings = RelaySettings(
@@ -198,11 +200,11 @@
     try:
         return await listen_at(file.listen)
     except OSError as error:
-        raise BadConfig(f"listen: cannot listen at {file.listen}: {error.strerror}") from None
+        raise ConfigurationError(f"listen: cannot listen at {file.listen}: {error.strerror}") from None
 
 
 async def run(file: ControlFile, counters: Counters, log: Log) -> None:
-    """Run one process until SIGTERM or SIGINT. Raises ``BadConfig``."""
+    """Run one process until SIGTERM or SIGINT. Raises ``ConfigurationError``."""
     endpoint = Endpoint(file.name, file.role(), file.fleet, load_keys(file.keys), file.bind_address())
     async with trio.open_nursery() as nursery:
         if file.voter is not None:
@@ -228,7 +230,7 @@
     try:
         sock = await listener.bind(host, port)
     except OSError as error:
-        raise BadConfig(f"operator: cannot listen at {file.operator}: {error.strerror}") from None
+        raise ConfigurationError(f"operator: cannot listen at {file.operator}: {error.strerror}") from None
     await nursery.start(listener.serve, sock)
 
 
@@ -258,7 +260,7 @@
 def _reload_keys(file: ControlFile, endpoint: Endpoint, log: Log) -> None:
     try:
         endpoint.keys = load_keys(file.keys)
-    except BadConfig as error:
+    except ConfigurationError as error:
         log.event("control_keys_failed", level="error", error=str(error))
 
 
@@ -277,14 +279,14 @@
     try:
         file = read(path)
         if role and file.role() != role:
-            raise BadConfig(f"{path}: describes a {file.role()}, not a {role}")
+            raise ConfigurationError(f"{path}: describes a {file.role()}, not a {role}")
         trio.run(run, file, counters, make_log(file))
-    except BadConfig as error:
+    except ConfigurationError as error:
         text = str(error)
         print(f"merlinbay: {text if text.startswith(path) else f'{path}: {text}'}", file=sys.stderr)
         return 2
     except BaseExceptionGroup as group:
-        bad, rest = group.split(BadConfig)
+        bad, rest = group.split(ConfigurationError)
         if bad is None or rest is not None:
             raise
         print(f"merlinbay: {path}: {_first(bad)}", file=sys.stderr)
@@ -292,7 +294,7 @@
     return 0
 
 
-def _first(group: BaseExceptionGroup[BadConfig]) -> BaseException:
+def _first(group: BaseExceptionGroup[ConfigurationError]) -> BaseException:
     found: BaseException = group
     while isinstance(found, BaseExceptionGroup):
         found = found.exceptions[0]
--- a/merlinbay/control_service/schema.py
+++ b/merlinbay/control_service/schema.py
@@ -14,7 +14,7 @@
 Amount = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class BadValue(Exception):
+class InvalidValueError(Exception):
     """A key or value that is not taken; one line with key and cause."""
 
 
@@ -61,26 +61,26 @@
 
 
 def check_key(key: str) -> type[msgspec.Struct]:
-    """Return the type of a key's values. Raises ``BadValue``."""
+    """Return the type of a key's values. Raises ``InvalidValueError``."""
     prefix, *parts = key.split("/")
     if prefix not in SCHEMA:
-        raise BadValue(f"{key}: unknown prefix {prefix!r}; known: {', '.join(sorted(SCHEMA))}")
+        raise InvalidValueError(f"{key}: unknown prefix {prefix!r}; known: {', '.join(sorted(SCHEMA))}")
     if not 1 <= len(parts) <= DEEPEST.get(prefix, 1) or len(key) > KEY_BYTES:
-        raise BadValue(f"{key}: too few or too many parts")
+        raise InvalidValueError(f"{key}: too few or too many parts")
     if not all(KEY_PART.fullmatch(part) for part in parts):
-        raise BadValue(f"{key}: a part is 1 to 64 letters, digits, dots, dashes or underscores")
+        raise InvalidValueError(f"{key}: a part is 1 to 64 letters, digits, dots, dashes or underscores")
     return SCHEMA[prefix]
 
 
 def encode_value(key: str, value: Any) -> bytes:
-    """Return a checked value as the log keeps it: JSON. Raises ``BadValue``."""
+    """Return a checked value as the log keeps it: JSON. Raises ``InvalidValueError``."""
     kind = check_key(key)
     try:
         encoded = msgspec.json.encode(msgspec.convert(value, kind))
     except (msgspec.ValidationError, ValueError) as error:
-        raise BadValue(f"{key}: {error}") from None
+        raise InvalidValueError(f"{key}: {error}") from None
     if len(encoded) > VALUE_BYTES:
-        raise BadValue(f"{key}: {len(encoded)} bytes; {VALUE_BYTES} at most")
+        raise InvalidValueError(f"{key}: {len(encoded)} bytes; {VALUE_BYTES} at most")
     return encoded
 
 
--- a/merlinbay/control_service/sealing.py
+++ b/merlinbay/control_service/sealing.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from merlinbay.fleet import wire
-from merlinbay.fleet.wire import Keys, Refused
+from merlinbay.fleet.wire import Keys, MessageRejectedError
 
 NONCE_BYTES = 16
 TAG_BYTES = 16
@@ -43,19 +43,19 @@
 
 
 def open_greeting(keys: Keys, fleet: str, data: bytes, kind: type[Greeting]) -> tuple[Greeting, bytes]:
-    """Return a handshake message and the key that it was signed with. Raises ``Refused``."""
+    """Return a handshake message and the key that it was signed with. Raises ``MessageRejectedError``."""
     for key in keys.keys:
         try:
             message = wire.open_sealed(Keys((key,)), fleet, data)
-        except Refused as error:
+        except MessageRejectedError as error:
             refused = error
             continue
         try:
             greeting = msgspec.convert(message, kind, builtin_types=(bytes,))
         except msgspec.ValidationError:
-            raise Refused("unexpected handshake message") from None
+            raise MessageRejectedError("unexpected handshake message") from None
         if len(greeting.nonce) != NONCE_BYTES:
-            raise Refused("nonce of a wrong length")
+            raise MessageRejectedError("nonce of a wrong length")
         return greeting, key
     raise refused
 
@@ -77,10 +77,10 @@
         return self._tag(payload) + payload
 
     def open(self, content: bytes) -> bytes:
-        """Return the payload of the next frame. Raises ``Refused``."""
+        """Return the payload of the next frame. Raises ``MessageRejectedError``."""
         payload = content[TAG_BYTES:]
         if not hmac.compare_digest(self._tag(payload), content[:TAG_BYTES]):
-            raise Refused("frame with a wrong tag")
+            raise MessageRejectedError("frame with a wrong tag")
         return payload
 
 
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from merlinbay.control.fanout.topology import Location, Upstream
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.fleet.settings import Name, Seconds
 from merlinbay.fleet.wire import Keys
-from merlinbay.problems import BadConfig, address
 
 Role = Literal["voter", "relay", "follower"]
 
@@ -107,23 +107,23 @@
 
 
 def load_keys(path: str) -> Keys:
-    """Read the keys. Raises ``BadConfig``."""
+    """Read the keys. Raises ``ConfigurationError``."""
     try:
         return Keys.load(path)
     except ValueError as error:
-        raise BadConfig(f"keys: {error}") from None
+        raise ConfigurationError(f"keys: {error}") from None
 
 
 def read(path: str) -> ControlFile:
-    """Read a file. Raises ``BadConfig`` with one line that names file, key and cause."""
+    """Read a file. Raises ``ConfigurationError`` with one line that names file, key and cause."""
     try:
         file = msgspec.convert(tomllib.loads(Path(path).read_text()), ControlFile)
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
     except (ValueError, msgspec.ValidationError) as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
     if problem := _problem(file) or _bad_address(file):
-        raise BadConfig(f"{path}: {problem}")
+        raise ConfigurationError(f"{path}: {problem}")
     return file
 
 
@@ -167,6 +167,6 @@
     try:
         if value:
             address(value)
-    except BadConfig as error:
+    except ConfigurationError as error:
         return f"{key}: {error}"
     return ""
--- a/merlinbay/control_service/transport.py
+++ b/merlinbay/control_service/transport.py
@@ -12,7 +12,7 @@
 from merlinbay.control_service.connection import (
     LENGTH,
     Connection,
-    FrameTooLong,
+    FrameTooLongError,
     Overflow,
     TransportLimits,
     receive_frame,
@@ -26,15 +26,15 @@
     seal_greeting,
 )
 from merlinbay.control_service.traffic import Traffic
-from merlinbay.fleet.wire import Keys, Refused
-from merlinbay.problems import BadConfig, address
+from merlinbay.errors import ConfigurationError, address
+from merlinbay.fleet.wire import Keys, MessageRejectedError
 
 GREETING_BYTES = 1024
 ACCEPT_PAUSE_S = 0.05  # after an accept that failed for want of descriptors
 BACKLOG = 1024  # all followers of a relay may come at once
 
 
-class NotConnected(Exception):
+class NotConnectedError(Exception):
     """No connection came up; the text says why."""
 
 
@@ -57,7 +57,7 @@
 
 
 async def connect(endpoint: Endpoint, target: str, overflow: Overflow) -> Connection:
-    """Connect to ``host:port`` and authenticate. Raises ``NotConnected``."""
+    """Connect to ``host:port`` and authenticate. Raises ``NotConnectedError``."""
     limits = endpoint.limits
     sock = trio.socket.socket()
     try:
@@ -69,13 +69,19 @@
         stream = trio.SocketStream(sock)
         with trio.fail_after(limits.handshake):
             return await _greet(endpoint, stream, overflow)
-    except (OSError, trio.BrokenResourceError, trio.TooSlowError, FrameTooLong, BadConfig) as error:
+    except (
+        OSError,
+        trio.BrokenResourceError,
+        trio.TooSlowError,
+        FrameTooLongError,
+        ConfigurationError,
+    ) as error:
         sock.close()
-        raise NotConnected(str(error) or type(error).__name__) from None
-    except Refused as error:
+        raise NotConnectedError(str(error) or type(error).__name__) from None
+    except MessageRejectedError as error:
         sock.close()
         endpoint.traffic.connections_refused += 1
-        raise NotConnected(f"handshake refused: {error}") from None
+        raise NotConnectedError(f"handshake refused: {error}") from None
     except BaseException:
         sock.close()
         raise
@@ -87,10 +93,10 @@
     buffer = bytearray()
     answer = await receive_frame(stream, buffer, GREETING_BYTES)
     if answer is None:
-        raise Refused("closed by the other side")
+        raise MessageRejectedError("closed by the other side")
     welcome, their_key = open_greeting(endpoint.keys, endpoint.fleet, answer, Welcome)
     if welcome.hello_nonce != hello.nonce:
-        raise Refused("welcome of another connection")
+        raise MessageRejectedError("welcome of another connection")
     outgoing = frame_seal(endpoint.keys.keys[0], b"hello", hello.nonce, welcome.nonce)
     incoming = frame_seal(their_key, b"welcome", hello.nonce, welcome.nonce)
     # The other side trusts the connection from the first good frame on: an empty one proves the key at once.
@@ -108,7 +114,7 @@
     buffer = bytearray()
     first = await receive_frame(stream, buffer, GREETING_BYTES)
     if first is None:
-        raise Refused("closed by the other side")
+        raise MessageRejectedError("closed by the other side")
     hello, their_key = open_greeting(endpoint.keys, endpoint.fleet, first, Hello)
     welcome = Welcome(endpoint.name, secrets.token_bytes(NONCE_BYTES), hello.nonce)
     await _send_greeting(endpoint, stream, welcome)
@@ -116,7 +122,7 @@
     incoming = frame_seal(their_key, b"hello", hello.nonce, welcome.nonce)
     proof = await receive_frame(stream, buffer, GREETING_BYTES)
     if proof is None or incoming.open(proof):
-        raise Refused("no proof of the key")
+        raise MessageRejectedError("no proof of the key")
     endpoint.traffic.connections_opened += 1
     connection = Connection(
         stream,
@@ -138,7 +144,7 @@
 
 
 async def listen_at(target: str) -> trio.socket.SocketType:
-    """Return a listening socket. Raises ``OSError``, ``BadConfig``."""
+    """Return a listening socket. Raises ``OSError``, ``ConfigurationError``."""
     sock = trio.socket.socket()
     try:
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
@@ -194,7 +200,13 @@
             with trio.fail_after(self.endpoint.limits.handshake):
                 stream = trio.SocketStream(sock)
                 return await _accept_greeting(self.endpoint, stream, self.overflow)
-        except (OSError, trio.BrokenResourceError, trio.TooSlowError, Refused, FrameTooLong):
+        except (
+            OSError,
+            trio.BrokenResourceError,
+            trio.TooSlowError,
+            MessageRejectedError,
+            FrameTooLongError,
+        ):
             self.endpoint.traffic.connections_refused += 1
             return None
 
@@ -238,7 +250,7 @@
         while True:
             try:
                 connection = await connect(self.endpoint, self.target(), Overflow.DROP_OLDEST)
-            except NotConnected:
+            except NotConnectedError:
                 await trio.sleep(self._backoff.next())
                 continue
             self.connection, opened = connection, trio.current_time()
--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -20,7 +20,7 @@
 from merlinbay.control.fanout.settings import WatchServerSettings
 from merlinbay.control.voter import Role, Voter
 from merlinbay.control_service.connection import Connection, Overflow
-from merlinbay.control_service.durable_log import DurableLog, NotDurable
+from merlinbay.control_service.durable_log import DurableLog, NotDurableError
 from merlinbay.control_service.peers import Peers
 from merlinbay.control_service.transport import Acceptor, Endpoint
 from merlinbay.control_service.watch_service import WatchService
@@ -131,13 +131,13 @@
         if records:
             try:
                 await self.durable.append(records)
-            except NotDurable as error:
+            except NotDurableError as error:
                 effects = self._drop_unstored(effects, error)
                 nursery.start_soon(self._await_storage)
         for effect in effects:
             self._carry_out_one(effect)
 
-    def _drop_unstored(self, effects: list[Effect], error: NotDurable) -> list[Effect]:
+    def _drop_unstored(self, effects: list[Effect], error: NotDurableError) -> list[Effect]:
         """Tell the core; return what may still be carried out."""
         self.storage_failures += 1
         self.log.event("control_storage_failed", level="error", error=str(error))
--- a/merlinbay/control_service/watch_streams.py
+++ b/merlinbay/control_service/watch_streams.py
@@ -17,7 +17,7 @@
     SendUpstream,
 )
 from merlinbay.control_service.connection import Connection, Overflow
-from merlinbay.control_service.transport import Endpoint, NotConnected, connect
+from merlinbay.control_service.transport import Endpoint, NotConnectedError, connect
 
 
 class UpstreamEvents(Protocol):
@@ -74,7 +74,7 @@
         with scope:
             try:
                 connection = await connect(self._endpoint, effect.upstream.address, Overflow.CLOSE)
-            except NotConnected:
+            except NotConnectedError:
                 self._ended(attempt)
                 return
             connection.on_message = partial(self._events.upstream_received, attempt)
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -5,42 +5,52 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from merlinbay.core import ports
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.interfaces import ServerTransport
+from merlinbay.core.messages import (
+    AttemptControlled,
+    AttemptRecalled,
+    AttemptStatusUnknown,
+    AttemptSuspended,
+    ControlRequested,
+    RecallRequested,
+)
 from merlinbay.core.requests import OpenRequest, RequestTable
-from merlinbay.decision import api
+from merlinbay.decision.events import Event, ExecutionPaused
+from merlinbay.decision.outcomes import Outcome
 
 
 class EndAttempt(Protocol):
     """How the owner ends an attempt."""
 
-    def __call__(self, attempt: ports.ServerAttempt, outcome: api.Outcome) -> None:
+    def __call__(self, attempt: ServerAttempt, outcome: Outcome) -> None:
         """End it, once."""
 
 
-class Controls:
+class RequestControls:
     """Handlers of these messages, by type. Called by the owner's task alone; nothing here waits."""
 
     def __init__(
         self,
         requests: RequestTable,
-        servers: ports.ServerSide,
+        servers: ServerTransport,
         end_attempt: EndAttempt,
-        tell_module: Callable[[api.Event], None],
+        tell_module: Callable[[Event], None],
     ) -> None:
         self.requests, self.servers = requests, servers
         self.end_attempt, self.tell_module = end_attempt, tell_module
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ports.RequestRecalled: self._recall,
-            ports.RequestControlled: self._control,
-            ports.AttemptRecalled: self._on_recalled,
-            ports.AttemptControlled: self._on_controlled,
-            ports.AttemptSuspended: self._on_suspended,
-            ports.AttemptUnseen: self._on_unseen,
+            RecallRequested: self._recall,
+            ControlRequested: self._control,
+            AttemptRecalled: self._on_recalled,
+            AttemptControlled: self._on_controlled,
+            AttemptSuspended: self._on_suspended,
+            AttemptStatusUnknown: self._on_unseen,
         }
 
     def _open(
-        self, message: ports.AttemptRecalled | ports.AttemptControlled | ports.AttemptUnseen
-    ) -> tuple[OpenRequest, ports.ServerAttempt] | None:
+        self, message: AttemptRecalled | AttemptControlled | AttemptStatusUnknown
+    ) -> tuple[OpenRequest, ServerAttempt] | None:
         """Return the open attempt that a message is about, and its request, unless that is answered."""
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:
@@ -48,17 +58,17 @@
         request = self.requests.request_of(attempt)
         return None if request.done else (request, attempt)
 
-    def _recall(self, message: ports.RequestRecalled) -> None:
+    def _recall(self, message: RecallRequested) -> None:
         # A request that is done has been answered: that, and nothing here, tells what became of it.
-        request = self.requests.waiting(message.name, message.edge)
+        request = self.requests.waiting(message.name, message.responder)
         if request is None or request.recalling:
             return
         request.recalling = True
         for attempt in request.open.values():
             self.servers.recall(attempt)
 
-    def _control(self, message: ports.RequestControlled) -> None:
-        request = self.requests.waiting(message.name, message.edge)
+    def _control(self, message: ControlRequested) -> None:
+        request = self.requests.waiting(message.name, message.responder)
         if request is None:
             return
         if len(request.open) == 1:
@@ -66,52 +76,52 @@
             return
         # Guards against a copy that runs on while the other is suspended.
         count = len(request.open)
-        request.edge.controlled(message.action, "TryLaterException", f"{count} servers have the job")
+        request.responder.controlled(message.action, "TryLaterException", f"{count} servers have the job")
 
-    def _on_recalled(self, message: ports.AttemptRecalled) -> None:
+    def _on_recalled(self, message: AttemptRecalled) -> None:
         """Take a server's word on an attempt that is to come back unstarted."""
         if (found := self._open(message)) is None:
             return
         request, attempt = found
         if request.recalling and (not message.done or attempt.started):
             request.recalling = False
-            request.edge.recalled(False)
+            request.responder.recalled(False)
         if not message.done:
             return
         # Guards against a server that looks full for having given back what was asked for: that is CANCELLED.
         if not request.recalling:
-            self.end_attempt(attempt, api.Outcome.FULL)
+            self.end_attempt(attempt, Outcome.FULL)
         elif len(request.open) > 1:  # the others are asked too: the last one's word counts
-            self.end_attempt(attempt, api.Outcome.CANCELLED)
+            self.end_attempt(attempt, Outcome.CANCELLED)
         else:
             request.done = True  # Guards against a next attempt: the module hears that nothing is owed.
-            request.edge.recalled(True)
-            self.end_attempt(attempt, api.Outcome.CANCELLED)
+            request.responder.recalled(True)
+            self.end_attempt(attempt, Outcome.CANCELLED)
 
-    def _on_controlled(self, message: ports.AttemptControlled) -> None:
+    def _on_controlled(self, message: AttemptControlled) -> None:
         if (found := self._open(message)) is None:
             return
         request, attempt = found
         if not message.error:
             attempt.paused = message.action == "suspend"
-            self.tell_module(api.JobPaused(attempt.request_number, attempt.number, attempt.paused))
-        request.edge.controlled(message.action, message.error, message.message)
+            self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, attempt.paused))
+        request.responder.controlled(message.action, message.error, message.message)
 
-    def _on_suspended(self, message: ports.AttemptSuspended) -> None:
+    def _on_suspended(self, message: AttemptSuspended) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None or attempt.paused:
             return
         attempt.started = attempt.paused = True
-        self.tell_module(api.JobPaused(attempt.request_number, attempt.number, True))
+        self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, True))
         request = self.requests.request_of(attempt)
         if not request.done:
-            request.edge.suspended()
+            request.responder.suspended()
 
-    def _on_unseen(self, message: ports.AttemptUnseen) -> None:
+    def _on_unseen(self, message: AttemptStatusUnknown) -> None:
         if (found := self._open(message)) is None:
             return
         request, _ = found
         if message.found:
-            request.edge.found_queued()
+            request.responder.found_queued()
         else:
-            request.edge.lost_sight()
+            request.responder.lost_sight()
--- a/merlinbay/core/owner.py
+++ b/merlinbay/core/dispatcher.py
@@ -13,82 +13,114 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
-from merlinbay.core.controls import Controls
-from merlinbay.core.fleet_messages import FleetMessages, report_row
-from merlinbay.core.ports import Answer, Verdict
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.controls import RequestControls
+from merlinbay.core.endpoint_messages import EndpointMessages, report_row
+from merlinbay.core.interfaces import EndpointDiscovery, EndpointObserver, PeerProcess, ServerTransport
+from merlinbay.core.messages import (
+    AttemptFinished,
+    AttemptProgress,
+    AttemptStarted,
+    Callback,
+    CallbackRelayed,
+    Message,
+    RequestArrived,
+    RequestWithdrawn,
+    ShutdownRequested,
+)
 from merlinbay.core.requests import OpenRequest, RequestTable, Timed, Timers
+from merlinbay.core.values import Answer, AnswerStatus
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
-from merlinbay.limits import Limits
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import (
+    Cancel,
+    CheckHealth,
+    Dispatch,
+    Fail,
+    LogNotice,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Event,
+    ExecutionPaused,
+    ExecutionProgressed,
+    ExecutionStarted,
+    RequestReceived,
+    TimerFired,
+)
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome, never_ran
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 
-class Owner:
+class Dispatcher:
     """Owns requests, attempts, timers and the module. Only its own task calls it."""
 
     def __init__(
         self,
         balancer: Balancer,
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
-        servers: ports.ServerSide,
-        directory: ports.Directory,
+        servers: ServerTransport,
+        directory: EndpointDiscovery,
     ) -> None:
         self.balancer, self.clock, self.limits = balancer, clock, limits
         self.counters, self.log = counters, log
         self.servers, self.directory = servers, directory
         self.fields = balancer.settings.report_fields
         self.classes = {spec.name for spec in balancer.settings.classes}
-        self.other: ports.OtherProcess | None = None  # the one that this replaces, or that replaces this
+        self.other: PeerProcess | None = None  # the one that this replaces, or that replaces this
         self.requests = RequestTable(limits.names_remembered)
         self.timers = Timers()
         self.request_count = 0
         self.stopping = False
         self.now = 0
-        self.events: list[api.Event] = []  # for the module's next call
-        self.fleet = FleetMessages(balancer, servers, counters, self._tell_module, lambda: self.now)
-        controls = Controls(self.requests, servers, self._end_attempt, self._tell_module)
+        self.events: list[Event] = []  # for the module's next call
+        self.fleet = EndpointMessages(balancer, servers, counters, self._tell_module, lambda: self.now)
+        controls = RequestControls(self.requests, servers, self._end_attempt, self._tell_module)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ports.RequestArrived: self._on_request_arrived,
-            ports.RequestWithdrawn: self._on_request_withdrawn,
-            ports.AttemptStarted: self._on_attempt_started,
-            ports.AttemptProgress: self._on_attempt_progress,
-            ports.AttemptFinished: self._on_attempt_finished,
-            ports.Relayed: self._on_relayed,
-            ports.Stopping: self._on_stopping,
+            RequestArrived: self._on_request_arrived,
+            RequestWithdrawn: self._on_request_withdrawn,
+            AttemptStarted: self._on_attempt_started,
+            AttemptProgress: self._on_attempt_progress,
+            AttemptFinished: self._on_attempt_finished,
+            CallbackRelayed: self._on_relayed,
+            ShutdownRequested: self._on_stopping,
             **controls.handlers,
             **self.fleet.handlers,
         }
         self.actions: dict[type, Callable[[Any], None]] = {
-            api.Place: self._place,
-            api.Cancel: self._cancel,
-            api.Refuse: self._refuse,
-            api.Fail: self._fail,
-            api.SetTimer: self._set_timer,
-            api.Subscribe: self._subscribe,
-            api.Probe: self._probe,
-            api.Note: self._note,
-            api.Tell: self._drop_tell,
+            Dispatch: self._place,
+            Cancel: self._cancel,
+            Reject: self._refuse,
+            Fail: self._fail,
+            SetTimer: self._set_timer,
+            WatchEndpoints: self._subscribe,
+            CheckHealth: self._probe,
+            LogNotice: self._note,
         }
 
-    def watch_entries(self, watcher: ports.EntriesWatcher) -> None:
+    def watch_entries(self, watcher: EndpointObserver) -> None:
         """Have somebody beside the real servers hear of them."""
         self.fleet.watchers.append(watcher)
 
-    def know_other_process(self, other: ports.OtherProcess | None) -> None:
+    def know_other_process(self, other: PeerProcess | None) -> None:
         """Work beside the process that this one replaces, or that replaces it."""
         self.other = self.fleet.other = other
 
-    async def run(self, inbox: trio.MemoryReceiveChannel[ports.Message]) -> None:
+    async def run(self, inbox: trio.MemoryReceiveChannel[Message]) -> None:
         """Work until stopped, and for a moment after the last request is answered."""
         end = float("inf")
         while trio.current_time() < end:
             if self.stopping and end == float("inf") and self.requests.all_answered():
                 end = trio.current_time() + self.limits.stop_tail
-            messages: list[ports.Message] = []
+            messages: list[Message] = []
             due = self.timers.next_us()
             wake = min(end, float("inf") if due is None else self.clock.to_trio(due))
             with trio.move_on_at(wake):
@@ -100,7 +132,7 @@
                 pass
             self.turn(messages)
 
-    def turn(self, messages: list[ports.Message]) -> None:
+    def turn(self, messages: list[Message]) -> None:
         """Take what has come and what is due, in one call of the module and those that follow from it."""
         self.now, self.events = self.clock.now_us(), []
         for message in messages:
@@ -128,31 +160,33 @@
 
     # Messages.
 
-    def _handle(self, message: ports.Message) -> None:
+    def _handle(self, message: Message) -> None:
         self.handlers[type(message)](message)
 
-    def _tell_module(self, event: api.Event) -> None:
+    def _tell_module(self, event: Event) -> None:
         self.events.append(event)
 
-    def _on_request_arrived(self, message: ports.RequestArrived) -> None:
+    def _on_request_arrived(self, message: RequestArrived) -> None:
         spec = message.spec
         self.counters.add("requests_taken")
         # Guards against a name that comes again: real servers would take its attempts for repeats.
         if spec.job_class not in self.classes or self.requests.has_used(spec.name):
             self.counters.add("answers_failed")
-            message.edge.answer(Answer(Verdict.FAILED))
+            message.responder.answer(Answer(AnswerStatus.FAILED))
             return
         if self.stopping or len(self.requests) >= self.limits.most_held:
             self.counters.add("answers_refused")
-            message.edge.answer(Answer(Verdict.REFUSED, retry_after_us=self.limits.retry_when_stopping_us))
+            message.responder.answer(
+                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+            )
             return
         self.request_count += 1
         deadline = spec.arrived_us + max(spec.budget_us - self.limits.answer_margin_us, 1000)
-        request = OpenRequest(spec, self.request_count, message.edge, deadline)
+        request = OpenRequest(spec, self.request_count, message.responder, deadline)
         self.requests.add(request)
         self.timers.add(deadline, request)
         self._tell_module(
-            api.JobArrived(
+            RequestReceived(
                 request.number,
                 spec.job_class,
                 max(deadline - self.now, 0),
@@ -169,36 +203,36 @@
             )
         )
 
-    def _on_request_withdrawn(self, message: ports.RequestWithdrawn) -> None:
-        request = self.requests.waiting(message.name, message.edge)
+    def _on_request_withdrawn(self, message: RequestWithdrawn) -> None:
+        request = self.requests.waiting(message.name, message.responder)
         if request is not None:
             self._withdraw(request)
 
-    def _on_attempt_started(self, message: ports.AttemptStarted) -> None:
+    def _on_attempt_started(self, message: AttemptStarted) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:
             self._pass_on(message)
             return
         attempt.started = True
         self._tell_module(
-            api.JobPaused(attempt.request_number, attempt.number, False)
+            ExecutionPaused(attempt.request_number, attempt.number, False)
             if attempt.paused
-            else api.JobStarted(attempt.request_number, attempt.number)
+            else ExecutionStarted(attempt.request_number, attempt.number)
         )
         attempt.paused = False
         request = self.requests.request_of(attempt)
         if not request.done:
-            request.edge.started(attempt.server)
+            request.responder.started(attempt.server)
 
-    def _on_attempt_progress(self, message: ports.AttemptProgress) -> None:
+    def _on_attempt_progress(self, message: AttemptProgress) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:
             self._pass_on(message)
             return
         attempt.started = True  # the report of the start may come later, or never
-        self._tell_module(api.JobProgress(attempt.request_number, attempt.number, message.share))
+        self._tell_module(ExecutionProgressed(attempt.request_number, attempt.number, message.share))
 
-    def _on_attempt_finished(self, message: ports.AttemptFinished) -> None:
+    def _on_attempt_finished(self, message: AttemptFinished) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:  # Guards against call-backs that repeat, or cross a cancel.
             self._pass_on(message)
@@ -208,16 +242,16 @@
             self.requests.request_of(attempt).ending = message.ending
             self._end_attempt(attempt, message.outcome, message.result, message.report)
 
-    def _on_relayed(self, message: ports.Relayed) -> None:
+    def _on_relayed(self, message: CallbackRelayed) -> None:
         if (message.message.name, message.message.server) in self.requests.attempts:
             self._handle(message.message)
 
-    def _pass_on(self, message: ports.CallBack) -> None:
+    def _pass_on(self, message: Callback) -> None:
         """Pass a call-back that nothing here waits for to the node's other process, if there is one."""
         if self.other is None or not self.other.unclaimed(message):
             self.counters.add("attempts_stale")
 
-    def _on_stopping(self, message: ports.Stopping) -> None:
+    def _on_stopping(self, message: ShutdownRequested) -> None:
         self.stopping = True
         # Guards against requests that outlast the process: what it has taken is answered before.
         last = self.now + self.limits.stop_answers_us
@@ -230,25 +264,25 @@
 
     def _end_attempt(
         self,
-        attempt: ports.ServerAttempt,
-        outcome: api.Outcome,
+        attempt: ServerAttempt,
+        outcome: Outcome,
         result: bytes = b"",
         report: dict[str, float] | None = None,
     ) -> None:
         """End an attempt, once; the first success answers its request."""
-        if outcome in api.NEVER_RAN and not api.never_ran(outcome, attempt.started):
-            outcome = api.Outcome.RESET
+        if outcome in NEVER_RAN and not never_ran(outcome, attempt.started):
+            outcome = Outcome.RESET
         request = self.requests.close_attempt(attempt)
-        request.may_have_run = request.may_have_run or outcome not in api.NEVER_RAN
+        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
         attempt.ended = True
         self.servers.forget(attempt)
         self.counters.add(f"attempts_{outcome.name.lower()}")
-        if outcome is api.Outcome.OK and not request.done:
-            self._answer(request, Answer(Verdict.SERVED, result, ending=request.ending))
+        if outcome is Outcome.OK and not request.done:
+            self._answer(request, Answer(AnswerStatus.SERVED, result, ending=request.ending))
         elif attempt.started and not request.done and not any(a.started for a in request.open.values()):
-            request.edge.unplaced()
+            request.responder.unplaced()
         self._tell_module(
-            api.AttemptEnded(
+            AttemptEnded(
                 attempt.request_number,
                 attempt.number,
                 outcome,
@@ -260,38 +294,38 @@
         )
         self.requests.forget_if_over(request)
 
-    def _fail_unfit(self, attempt: ports.ServerAttempt, message: ports.AttemptFinished) -> None:
+    def _fail_unfit(self, attempt: ServerAttempt, message: AttemptFinished) -> None:
         """Fail a request whose job a real server cannot use."""
         # Guards against one bad job that goes from server to server and has each left out as failing: it
         # is tried no more, and its attempt ends as one that was called off, which tells nothing of health.
         request = self.requests.request_of(attempt)
         self.counters.add("requests_unfit")
         if not request.done:
-            self._answer(request, Answer(Verdict.FAILED, ending=message.ending))
-        self._end_attempt(attempt, api.Outcome.CANCELLED, report=message.report)
+            self._answer(request, Answer(AnswerStatus.FAILED, ending=message.ending))
+        self._end_attempt(attempt, Outcome.CANCELLED, report=message.report)
 
     def _withdraw(self, request: OpenRequest) -> None:
         """Take it that a request's client has left: nothing is owed any more."""
         self.counters.add("requests_withdrawn")
         request.done = True
-        self._tell_module(api.JobWithdrawn(request.number))
+        self._tell_module(ClientDisconnected(request.number))
         self.requests.forget_if_over(request)
 
     def _answer(self, request: OpenRequest, answer: Answer) -> None:
         """Give a request its one final answer."""
         request.done = True
         self.counters.add(f"answers_{answer.verdict.value}")
-        request.edge.answer(answer)
+        request.responder.answer(answer)
 
     # Time.
 
     def _expire(self, what: Timed) -> None:
         if isinstance(what, str):
-            self._tell_module(api.TimerFired(what))
-        elif isinstance(what, ports.ServerAttempt):
+            self._tell_module(TimerFired(what))
+        elif isinstance(what, ServerAttempt):
             if self.requests.attempts.get((what.spec.name, what.server)) is what:
                 self.servers.give_up(what)
-                self._end_attempt(what, api.Outcome.TIMEOUT)
+                self._end_attempt(what, Outcome.TIMEOUT)
         elif not what.done and what.deadline_us <= self.now:
             self._end_at_deadline(what)
 
@@ -300,18 +334,18 @@
         attempts = list(request.open.values())
         for attempt in attempts:
             self.servers.give_up(attempt)
-            self._end_attempt(attempt, api.Outcome.TIMEOUT)
+            self._end_attempt(attempt, Outcome.TIMEOUT)
         if attempts:
             self.timers.add(self.now + self.limits.recheck_us, request)
             return
         # Guards against a request that the module holds, or has failed on, past its time.
-        self._answer(request, Answer(Verdict.FAILED))
-        self._tell_module(api.JobWithdrawn(request.number))
+        self._answer(request, Answer(AnswerStatus.FAILED))
+        self._tell_module(ClientDisconnected(request.number))
         self.requests.forget_if_over(request)
 
     # Actions.
 
-    def _place(self, action: api.Place) -> None:
+    def _place(self, action: Dispatch) -> None:
         request = self.requests.by_number.get(action.id)
         if request is None:
             return
@@ -319,26 +353,26 @@
         until = request.deadline_us
         if action.timeout_us:
             until = min(until, self.now + action.timeout_us)
-        if not request.done and request.edge.left():
+        if not request.done and request.responder.left():
             # Guards against an attempt for a client that has left, while the word of it is still on its way.
             self._withdraw(request)
-        sent_there = (request.spec.name, action.worker) in self.requests.attempts
+        sent_there = (request.spec.name, action.endpoint) in self.requests.attempts
         if request.done or self.now >= request.deadline_us or sent_there:
             self.counters.add("attempts_moot")
-            moot = api.Outcome.MOOT
+            moot = Outcome.MOOT
             self._tell_module(
-                api.AttemptEnded(request.number, number, moot, 0, request.done, None, action.worker)
+                AttemptEnded(request.number, number, moot, 0, request.done, None, action.endpoint)
             )
             return
         self.counters.add("attempts_sent")
-        attempt = ports.ServerAttempt(
+        attempt = ServerAttempt(
             request.spec,
             request.number,
             number,
-            action.worker,
+            action.endpoint,
             self.now,
             until,
-            edge=request.edge,
+            responder=request.responder,
             allowed=self._may_begin,
         )
         self.requests.open_attempt(request, attempt)
@@ -347,35 +381,35 @@
         self.servers.start(attempt)
         if request.recalling:  # Guards against a copy that starts while the first attempt is called back.
             self.servers.recall(attempt)
-        request.edge.sent(attempt.server)
+        request.responder.sent(attempt.server)
 
-    def _may_begin(self, attempt: ports.ServerAttempt) -> bool:
+    def _may_begin(self, attempt: ServerAttempt) -> bool:
         """Tell whether an attempt still keeps the rules: its dial may have lasted longer than they allow."""
         now = self.clock.now_us()
         return now < attempt.deadline_us and self.balancer.may_begin(
             attempt.request_number, attempt.number, now
         )
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: Cancel) -> None:
         request = self.requests.by_number.get(action.id)
         attempt = request.open.get(action.attempt) if request is not None else None
         if attempt is not None:
             self.servers.give_up(attempt)
-            self._end_attempt(attempt, api.Outcome.CANCELLED)
+            self._end_attempt(attempt, Outcome.CANCELLED)
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: Reject) -> None:
         request = self.requests.by_number.get(action.id)
         if request is not None:
             wait, may_have_run = action.retry_after_us, request.may_have_run
             self.counters.add(f"refused_{action.reason}")
             self._answer_open(
-                action.id, Answer(Verdict.REFUSED, retry_after_us=wait, may_have_run=may_have_run)
+                action.id, Answer(AnswerStatus.REFUSED, retry_after_us=wait, may_have_run=may_have_run)
             )
 
-    def _fail(self, action: api.Fail) -> None:
+    def _fail(self, action: Fail) -> None:
         request = self.requests.by_number.get(action.id)
         if request is not None:
-            self._answer_open(action.id, Answer(Verdict.FAILED, ending=request.ending))
+            self._answer_open(action.id, Answer(AnswerStatus.FAILED, ending=request.ending))
 
     def _answer_open(self, number: int, answer: Answer) -> None:
         request = self.requests.by_number.get(number)
@@ -383,18 +417,15 @@
             self._answer(request, answer)
             self.requests.forget_if_over(request)
 
-    def _set_timer(self, action: api.SetTimer) -> None:
+    def _set_timer(self, action: SetTimer) -> None:
         self.timers.add(self.now + action.in_us, action.token)
 
-    def _subscribe(self, action: api.Subscribe) -> None:
+    def _subscribe(self, action: WatchEndpoints) -> None:
         self.directory.subscribe(action.patience_us)
 
-    def _probe(self, action: api.Probe) -> None:
+    def _probe(self, action: CheckHealth) -> None:
         self.counters.add("probes_sent")
-        self.servers.probe(action.worker)
+        self.servers.probe(action.endpoint)
 
-    def _note(self, action: api.Note) -> None:
+    def _note(self, action: LogNotice) -> None:
         self.log.event("module_note", text=action.text)
-
-    def _drop_tell(self, action: api.Tell) -> None:
-        self.counters.add("tells_dropped")  # no settings of ours let balancers speak to each other
--- a/merlinbay/core/requests.py
+++ b/merlinbay/core/requests.py
@@ -6,23 +6,24 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from merlinbay.core import ports
+from merlinbay.core.attempts import Responder, ServerAttempt
+from merlinbay.core.values import ExitDetails, RequestSpec
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
     """A client's request, from its arrival until it is answered and its last attempt has ended."""
 
-    spec: ports.JobSpec
+    spec: RequestSpec
     number: int  # its id in the module
-    edge: ports.Edge
+    responder: Responder
     deadline_us: int
     done: bool = False  # answered or withdrawn
     sent: int = 0
     may_have_run: bool = False  # an attempt of it has ended in a way that does not exclude it
     recalling: bool = False  # the client's side wants it back, if it has not started
-    ending: ports.Ending | None = None
-    open: dict[int, ports.ServerAttempt] = field(default_factory=dict)
+    ending: ExitDetails | None = None
+    open: dict[int, ServerAttempt] = field(default_factory=dict)
 
 
 class RequestTable:
@@ -32,7 +33,7 @@
         self.remembered = remembered
         self.by_number: dict[int, OpenRequest] = {}
         self.by_name: dict[str, OpenRequest] = {}
-        self.attempts: dict[tuple[str, str], ports.ServerAttempt] = {}
+        self.attempts: dict[tuple[str, str], ServerAttempt] = {}
         self.sent_lately: dict[str, None] = {}  # names of requests that are over, oldest first
 
     def __len__(self) -> int:
@@ -49,10 +50,10 @@
         """Tell whether a request of that name is open, or had attempts lately."""
         return name in self.by_name or name in self.sent_lately
 
-    def waiting(self, name: str, edge: ports.Edge) -> OpenRequest | None:
+    def waiting(self, name: str, responder: Responder) -> OpenRequest | None:
         """Return the request of that name and client that still waits for its answer."""
         request = self.by_name.get(name)
-        if request is None or request.edge is not edge or request.done:
+        if request is None or request.responder is not responder or request.done:
             return None
         return request
 
@@ -69,18 +70,18 @@
         if len(self.sent_lately) > self.remembered:
             del self.sent_lately[next(iter(self.sent_lately))]
 
-    def open_attempt(self, request: OpenRequest, attempt: ports.ServerAttempt) -> None:
+    def open_attempt(self, request: OpenRequest, attempt: ServerAttempt) -> None:
         """Keep an attempt of a request."""
         request.open[attempt.number] = self.attempts[request.spec.name, attempt.server] = attempt
 
-    def close_attempt(self, attempt: ports.ServerAttempt) -> OpenRequest:
+    def close_attempt(self, attempt: ServerAttempt) -> OpenRequest:
         """Drop an attempt that has ended; return its request."""
         del self.attempts[attempt.spec.name, attempt.server]
         request = self.by_number[attempt.request_number]
         del request.open[attempt.number]
         return request
 
-    def request_of(self, attempt: ports.ServerAttempt) -> OpenRequest:
+    def request_of(self, attempt: ServerAttempt) -> OpenRequest:
         """Return the request of an open attempt."""
         return self.by_number[attempt.request_number]
 
@@ -89,7 +90,7 @@
         return all(request.done for request in self)
 
 
-Timed = str | OpenRequest | ports.ServerAttempt  # a timer of the module by its token, or what has a deadline
+Timed = str | OpenRequest | ServerAttempt  # a timer of the module by its token, or what has a deadline
 
 
 class Timers:
--- a/merlinbay/decision/calls.py
+++ b/merlinbay/decision/calls.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from merlinbay.decision import api
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision.actions import Action, SetTimer, WatchEndpoints
+from merlinbay.decision.events import CallFailure
 from merlinbay.decision.list_lease import ListLease
 
 GOLDEN = (math.sqrt(5) - 1) / 2  # its multiples, less the whole, part any run of numbers evenly
@@ -61,14 +61,12 @@
         """Return what one call of each scheduler takes discovery, one after the other."""
         return self.fleet * self.cost_us
 
-    def start(self, now: int) -> list[api.Action]:
+    def start(self, now: int) -> list[Action]:
         """Plan the first call. This and all plans return what is to be done now."""
         self.lease.begin(self.asked_at)
         return self._plan(now, (self.fleet - 1) * self.cost_us)
 
-    def broken(
-        self, now: int, heard_at: int = -1, failure: CallFailure = CallFailure.BROKEN
-    ) -> list[api.Action]:
+    def broken(self, now: int, heard_at: int = -1, failure: CallFailure = CallFailure.BROKEN) -> list[Action]:
         """Plan the next call after one that failed, or after a watch that ended or fell silent.
 
         Guards against a whole new time after each of them: it began with the last answer. A call that was not
@@ -93,7 +91,7 @@
             width = min(width, max(self.lease.usable_until() - now - waited, 0.0))
         return self._plan(now, width)
 
-    def reloaded(self, now: int, told_us: int, moved: bool) -> list[api.Action]:
+    def reloaded(self, now: int, told_us: int, moved: bool) -> list[Action]:
         """Take a new configuration; plan the call to the other discovery that it names, if it does."""
         self.lease.reload(now, told_us)
         return self._plan(now, self.work_us) if moved else []
@@ -113,12 +111,12 @@
             self.cost_us = max(float(now - self.asked_at), LEAST_US)
         self.out = self.out and self.due_at < 0
 
-    def due(self, now: int) -> list[api.Action]:
+    def due(self, now: int) -> list[Action]:
         """Make the planned call, if it is time."""
         if not 0 <= self.due_at <= now:
             return []
         self.due_at, self.asked_at, self.out = -1, now, True
-        return [api.Subscribe(self._patience(now))]
+        return [WatchEndpoints(self._patience(now))]
 
     def answered(self, now: int) -> float:
         """Learn from the answer to our call what one takes discovery, those before it in turn included.
@@ -165,7 +163,7 @@
             return False
         return True
 
-    def _plan(self, now: int, width: float) -> list[api.Action]:
+    def _plan(self, now: int, width: float) -> list[Action]:
         # Guards against a herd: discovery works through what has timed out too, and tells nobody anything.
         # Turns by number, jittered within one, leave no clumps as draws would; they change from plan to plan,
         # or those with an early one would call a failing discovery again and again.
@@ -187,4 +185,4 @@
             return []
         wait = int(turn * most)
         self.due_at = now + wait
-        return [api.SetTimer(wait, "subscribe")] if wait else self.due(now)
+        return [SetTimer(wait, "subscribe")] if wait else self.due(now)
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -1,7 +1,8 @@
-"""Which workers may take a job now: the rules of its class and the workers' condition, and no choice.
+"""Which endpoints may take a job now: the rules of its class and the endpoints' condition, and no choice.
 
 Every send goes through ``eligible``: the first attempt, probe replies, second copies, retries, reserved and
-bound jobs, swaps. A path that looks at workers of its own, without asking here, is a fault. None begins by a
+bound jobs, swaps. A path that looks at endpoints of its own, without asking here, is a fault. None begins by
+a
 list that is overdue. ``may_begin`` asks again right before the first byte, since a dial lies between, and
 ``may_refuse`` before a refusal, after which the client sends the job again.
 """
@@ -11,9 +12,9 @@
 from collections.abc import Iterable
 
 from merlinbay.decision.beliefs import Beliefs
-from merlinbay.decision.records import Attempt, Job, Worker
+from merlinbay.decision.records import Attempt, Endpoint, Job
 
-SILENT_US = 1_500_000  # a worker not heard for so long after a send is taken to hang
+SILENT_US = 1_500_000  # an endpoint not heard for so long after a send is taken to hang
 MEMORY_RUNS = 1.0  # mean run times for which a reported free memory counts: by then other jobs hold it
 
 
@@ -22,7 +23,8 @@
 
     def may_send(self, job: Job) -> bool:
         """Tell whether a further attempt of the job keeps the rules of its class now, wherever it goes."""
-        # Guards against a send to a worker that drains, of which the node counts as notified: by an overdue
+        # Guards against a send to an endpoint that drains, of which the node counts as notified: by an
+        # overdue
         # list any of them may. Planning calls by the deadline does not make them arrive.
         if not self.list_lease.usable(self.now):
             return False
@@ -58,21 +60,21 @@
             return False
         return self.now + wait_us < unresolved.at + job.cls.spec.window_us
 
-    def eligible(self, job: Job, workers: Iterable[Worker]) -> list[Worker]:
-        """Return those of the workers, in their order, that may be sent the job now."""
+    def eligible(self, job: Job, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Return those of the endpoints, in their order, that may be sent the job now."""
         if not self.may_send(job):
             return []
         unresolved = job.unresolved if job.effect == "by_key" else None
         return [
-            worker
-            for worker in workers
-            if self._ready(worker, job)
-            and self._suits(worker, job)
-            and (unresolved is None or self._same_group(job, unresolved, worker.zone, worker.cell))
+            endpoint
+            for endpoint in endpoints
+            if self._ready(endpoint, job)
+            and self._suits(endpoint, job)
+            and (unresolved is None or self._same_group(job, unresolved, endpoint.zone, endpoint.cell))
         ]
 
-    def repeat_group(self, job: Job) -> list[Worker] | None:
-        """Return the usable workers that drop a repeat of the job, or None where any worker may take it."""
+    def repeat_group(self, job: Job) -> list[Endpoint] | None:
+        """Return the usable endpoints that drop a repeat of the job, or None where any may take it."""
         spec, unresolved = job.cls.spec, job.unresolved
         if unresolved is None or job.effect != "by_key" or spec.group == "all":
             return None
@@ -87,33 +89,35 @@
             return True
         return job.effect == "by_key" and now < unresolved.at + job.cls.spec.window_us
 
-    def _ready(self, worker: Worker, job: Job) -> bool:
-        """Tell whether the worker's condition lets it be sent the job now."""
-        if worker.state != "up" or worker.bench_until > self.now:
+    def _ready(self, endpoint: Endpoint, job: Job) -> bool:
+        """Tell whether the endpoint's condition lets it be sent the job now."""
+        if endpoint.state != "up" or endpoint.bench_until > self.now:
             return False
-        if self.hangs(worker, SILENT_US):
-            return False  # Guards against a hung worker, which takes jobs and answers none.
-        return not self.cold(worker) or self.cold_turn(worker, job.run * job.slots)
+        if self.hangs(endpoint, SILENT_US):
+            return False  # Guards against a hung endpoint, which takes jobs and answers none.
+        return not self.cold(endpoint) or self.cold_turn(endpoint, job.run * job.slots)
 
-    def _suits(self, worker: Worker, job: Job) -> bool:
-        """Tell whether the worker is one of those that can run the job, and has not been sent it before."""
-        if job.only and worker.name not in job.only:
+    def _suits(self, endpoint: Endpoint, job: Job) -> bool:
+        """Tell whether the endpoint is one of those that can run the job, and has not been sent it before."""
+        if job.only and endpoint.name not in job.only:
             return False
         kind = job.cls.spec.kind
-        if kind >= 0 and self.kinds[self.settings.kinds[kind]] is not worker.kind:
+        if kind >= 0 and self.kinds[self.settings.kinds[kind]] is not endpoint.kind:
             return False
-        # Guards against a worker that was forgotten and listed anew: the names match, the records do not.
-        if any(attempt.worker.name == worker.name for attempt in job.attempts):
+        # Guards against an endpoint that was forgotten and listed anew: the names match, the records do not.
+        if any(attempt.endpoint.name == endpoint.name for attempt in job.attempts):
             return False
-        return not self._lacks_memory(worker, job)
+        return not self._lacks_memory(endpoint, job)
 
-    def _lacks_memory(self, worker: Worker, job: Job) -> bool:
-        """Tell whether the worker reported lately to have less free memory than the job needs."""
-        # Guards against a worker shut out for good: it gets no job, so no report says that memory is free.
-        return worker.free_memory < job.memory and self.now < worker.memory_at + MEMORY_RUNS * self.mean_run
+    def _lacks_memory(self, endpoint: Endpoint, job: Job) -> bool:
+        """Tell whether the endpoint reported lately to have less free memory than the job needs."""
+        # Guards against an endpoint shut out for good: it gets no job, so no report says that memory is free.
+        return (
+            endpoint.free_memory < job.memory and self.now < endpoint.memory_at + MEMORY_RUNS * self.mean_run
+        )
 
     def _same_group(self, job: Job, unresolved: Attempt, zone: str, cell: int) -> bool:
-        """Tell whether workers of a zone and cell drop a repeat of an attempt that may have run."""
+        """Tell whether endpoints of a zone and cell drop a repeat of an attempt that may have run."""
         group = job.cls.spec.group
         if group == "zone":
             return unresolved.zone == zone
--- a/merlinbay/decision/learned.py
+++ b/merlinbay/decision/learned.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class LearnedWorker:
-    """Of one worker."""
+    """Of one endpoint."""
 
     name: str
     ready_at: int
@@ -89,8 +89,8 @@
         {name: LearnedClass(cls.run, cls.seen) for name, cls in classes.items()},
         dict(memory.banned),
         [
-            LearnedWorker(*(getattr(worker, at) for at in LearnedWorker.__slots__))
-            for worker in memory.workers.values()
+            LearnedWorker(*(getattr(endpoint, at) for at in LearnedWorker.__slots__))
+            for endpoint in memory.endpoints.values()
         ],
     )
 
@@ -108,12 +108,12 @@
         if name in classes:
             classes[name].run, classes[name].seen = seen.run, seen.seen
     memory.banned.update(told.banned)
-    for worker in told.workers:
-        mine = memory.workers.get(worker.name)
+    for endpoint in told.workers:
+        mine = memory.endpoints.get(endpoint.name)
         # Guards against the past of a process that is no more: it has started anew since.
-        if mine is not None and mine.ready_at <= worker.ready_at:
+        if mine is not None and mine.ready_at <= endpoint.ready_at:
             for at in LearnedWorker.__slots__:
-                setattr(mine, at, getattr(worker, at))
-    for mine in memory.workers.values():
+                setattr(mine, at, getattr(endpoint, at))
+    for mine in memory.endpoints.values():
         mine.state = memory.standing(mine)
     memory.reindex()
--- a/merlinbay/decision/list_lease.py
+++ b/merlinbay/decision/list_lease.py
@@ -1,8 +1,8 @@
-"""Until when the list of workers may be used: a lease, which only discovery's answers renew.
+"""Until when the list of endpoints may be used: a lease, which only discovery's answers renew.
 
 No I/O, no clock: times are microseconds and come from the caller. News count as notified a fixed time after
 discovery has them and can be reached, whether or not they arrived. A list that has not been confirmed by then
-may name workers that drain, so no attempt begins by it once the grace of the rules is nearly over.
+may name endpoints that drain, so no attempt begins by it once the grace of the rules is nearly over.
 
 ==============================  ===============================================================
 the start, with a known list    the lease runs out so long after it
@@ -22,7 +22,7 @@
 import math
 from dataclasses import dataclass, field
 
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision.events import CallFailure
 
 NOTIFIED_US = 6_000_000  # so long after discovery has it and can be reached, news count as notified
 HELD_UP_US = 150_000  # a node may be held up for so long between a look at its clock and a send
@@ -34,7 +34,7 @@
     """The lease of one scheduler on its list."""
 
     ask_us: int  # the rules' time to ask; 0: none is stated
-    grace_us: int  # after being notified, sends to a draining worker are allowed for so long
+    grace_us: int  # after being notified, sends to a draining endpoint are allowed for so long
     runs_out_at: float = math.inf  # when what discovery had last counts as notified
     reloads_due: list[int] = field(default_factory=list)  # when all that discovery has counts as notified
 
--- a/merlinbay/decision/records.py
+++ b/merlinbay/decision/records.py
@@ -1,4 +1,4 @@
-"""What ``rules.py`` remembers of workers, classes and jobs: plain records, no decisions.
+"""What ``rules.py`` remembers of endpoints, classes and jobs: plain records, no decisions.
 
 Times are microseconds, counts are slots.
 """
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from merlinbay.decision.api import JobClass
+from merlinbay.decision.settings import RequestClass
 
 NEVER = -(10**12)  # a time long ago
 HISTORY_US = 1_000_000  # for so long our outstanding slots are remembered
@@ -17,20 +17,20 @@
 
 @dataclass(slots=True, eq=False)
 class Kind:
-    """What is learned of a kind of machine, pooled since one scheduler sees little of each worker."""
+    """What is learned of a kind of machine, pooled since one scheduler sees little of each endpoint."""
 
     slots: float = 1.0
     pace: float = 1.0  # its run times over the fleet's
     told: bool = False  # the slots come from reports
-    counts: int = 0  # of these, the ones of a half-empty worker
+    counts: int = 0  # of these, the ones of a half-empty endpoint
     queued: float = 0.5  # share of the count at a 'full' that is queue; a half until learned from run times
-    most: float = 0.0  # our slots seen running at once on one worker
+    most: float = 0.0  # our slots seen running at once on one endpoint
     part: float = 1.0  # its slots over the fleet's, where no report tells them
 
 
 @dataclass(slots=True, eq=False)
-class Worker:
-    """One worker as this scheduler sees it."""
+class Endpoint:
+    """One endpoint as this scheduler sees it."""
 
     name: str
     kind: Kind
@@ -95,7 +95,7 @@
 class Class:
     """A class's settings and its smoothed run time."""
 
-    spec: JobClass
+    spec: RequestClass
     run: float
     seen: int = 0
     over_hint: float = 1.0  # its run times over the hints of them
@@ -105,9 +105,9 @@
 class Attempt:
     """One send of a request."""
 
-    worker: Worker
+    endpoint: Endpoint
     at: int
-    zone: str = field(init=False)  # of its worker as it was sent: a later list may say another one,
+    zone: str = field(init=False)  # of its endpoint as it was sent: a later list may say another one,
     cell: int = field(init=False)  # and so may it here
     room: bool = False  # there seemed to be room
     started: int = 0
@@ -117,7 +117,7 @@
     ran: bool = False  # it has ended, and may have run
 
     def __post_init__(self) -> None:
-        self.zone, self.cell = self.worker.zone, self.worker.cell
+        self.zone, self.cell = self.endpoint.zone, self.endpoint.cell
 
     @property
     def may_have_run(self) -> bool:
@@ -138,22 +138,24 @@
     worth: float
     deadline: int
     patience: float = 0.0  # how long an attempt waits unstarted before another goes out
-    only: tuple[str, ...] = ()  # the workers that may run it; empty: any
+    only: tuple[str, ...] = ()  # the endpoints that may run it; empty: any
     room_only: bool = False  # it takes free slots, and no place behind others
     reserved: bool = False  # the slots that are kept are for it
     arrived: int = 0
     hint: float = 0.0  # the run time that its request told; 0: none
-    keyless: bool = False  # it carries no key by which workers could know a repeat
+    keyless: bool = False  # it carries no key by which endpoints could know a repeat
     attempts: list[Attempt] = field(default_factory=list)
     pending: int = 0
     done: bool = False
 
-    probe_replies: list[Worker] = field(default_factory=list)  # workers that answered probes of this attempt,
+    probe_replies: list[Endpoint] = field(
+        default_factory=list
+    )  # endpoints that answered probes of this attempt,
     probes_pending: int = 0  # how many have not yet
 
     @property
     def effect(self) -> str:
-        """What a repeat does, by the class; one that no worker can tell from a new job must not be sent."""
+        """What a repeat does, by the class; one that no endpoint can tell from a new job must not be sent."""
         spec = self.cls.spec
         return "once" if spec.effect == "by_key" and self.keyless else spec.effect
 
--- a/merlinbay/decision/threshold.py
+++ b/merlinbay/decision/threshold.py
@@ -1,4 +1,4 @@
-"""The admission threshold of O2A: how many jobs may wait at one worker."""
+"""The admission threshold of O2A: how many jobs may wait at one endpoint."""
 
 from __future__ import annotations
 
--- a/merlinbay/decision/worth.py
+++ b/merlinbay/decision/worth.py
@@ -9,13 +9,13 @@
 import math
 
 from merlinbay.decision.eligibility import Eligibility
-from merlinbay.decision.records import Attempt, Job, Kind, Worker
+from merlinbay.decision.records import Attempt, Endpoint, Job, Kind
 
 CANCELLED_WORK = 0.5  # share of its work that a cancelled waiting attempt is taken to cost
 LEAST_US = 1000.0  # no slack, wait or run time counts as less
 LEAST_SPARE = 0.01  # the least share of the slots that counts as spare
 UNSEEN_RUN = 0.5  # the most of its aim that a class of which no run was seen is taken to run
-PROBE_MOST_OFTEN = 0.25  # mean run times between two probes of a worker, at the least
+PROBE_MOST_OFTEN = 0.25  # mean run times between two probes of an endpoint, at the least
 
 
 def share_started(wait_us: float, within_us: float) -> float:
@@ -42,12 +42,12 @@
         return load * kind.pace / self.slots_total
 
     def turn(self, kind: Kind) -> float:
-        """Return the mean time between two ends of jobs at a worker that is full."""
+        """Return the mean time between two ends of jobs at an endpoint that is full."""
         return self.mean_run * kind.pace / kind.slots
 
-    def wait_behind(self, worker: Worker, free: float, slots: float) -> float:
-        """Return how long a job waits at a worker with so many slots free; below 0, so many wait."""
-        return max(0.0, slots - free) * self.turn(worker.kind)
+    def wait_behind(self, endpoint: Endpoint, free: float, slots: float) -> float:
+        """Return how long a job waits at an endpoint with so many slots free; below 0, so many wait."""
+        return max(0.0, slots - free) * self.turn(endpoint.kind)
 
     def displaced(self, kind: Kind) -> float:
         """Return how much other work is kept waiting by each unit of work that is added; at most 1.
@@ -76,15 +76,17 @@
     def _share_running(self, job: Job, attempt: Attempt, run_us: float) -> float:
         """Return the share of its worth that an attempt which runs can be expected to earn."""
         spec, elapsed = job.cls.spec, self.now - attempt.started
-        # What it has run beyond the mean it may run on; its worker's pace may tell that it is more.
-        mean = job.cls.run * attempt.worker.kind.pace
-        left = max(self._pace(attempt.worker) * run_us - elapsed, elapsed - mean)
+        # What it has run beyond the mean it may run on; its endpoint's pace may tell that it is more.
+        mean = job.cls.run * attempt.endpoint.kind.pace
+        left = max(self._pace(attempt.endpoint) * run_us - elapsed, elapsed - mean)
         in_time = job.arrived + spec.aim_us + spec.stretch * run_us - self.now
         early = share_started(left, in_time)
         return early + spec.late_worth * (max(share_started(left, job.deadline - self.now), early) - early)
 
-    def crossing_pays(self, job: Job, far: tuple[Worker, float], near: tuple[Worker, float] | None) -> bool:
-        """Tell whether a worker beyond the zone border is worth its price over the best one on this side.
+    def crossing_pays(
+        self, job: Job, far: tuple[Endpoint, float], near: tuple[Endpoint, float] | None
+    ) -> bool:
+        """Tell whether an endpoint beyond the zone border is worth its price over the best one on this side.
 
         Each comes with its free slots; ``near`` is None where every gate on this side is shut.
         """
@@ -93,18 +95,18 @@
             gain -= self.served_share(job, self.wait_behind(*near, job.slots))
         return gain * job.worth > self.settings.cross_zone_price * self.mean_worth
 
-    def copy_pays(self, job: Job, attempt: Attempt, target: Worker) -> bool:
+    def copy_pays(self, job: Job, attempt: Attempt, target: Endpoint) -> bool:
         """Tell whether a second copy is worth the work that it adds."""
         if not self.settings.asks_first:
             # Guards against fleets whose nodes hear little of each other, where weighed copies lost more than
-            # copies cost: each answer reports what its worker holds, work that no cancel dropped included.
+            # copies cost: each answer reports what its endpoint holds, work that no cancel dropped included.
             return True
         run = job.run
-        if attempt.started:  # it runs at a slow worker, and would start over elsewhere
-            run = max(run, (self.now - attempt.started) / self._pace(attempt.worker))
+        if attempt.started:  # it runs at a slow endpoint, and would start over elsewhere
+            run = max(run, (self.now - attempt.started) / self._pace(attempt.endpoint))
             waiting = self._share_running(job, attempt, run)
         else:  # the longer it has waited, the longer it will
-            waiting = self.served_share(job, self.now - attempt.at + self.turn(attempt.worker.kind))
+            waiting = self.served_share(job, self.now - attempt.at + self.turn(attempt.endpoint.kind))
         wait = self.wait_behind(target, self._free(target, 0.0), job.slots)
         gain = (1 - waiting) * self.trust * self.served_share(job, wait, run)
         gain *= job.worth / max(self.mean_worth, 1e-9)
@@ -117,7 +119,7 @@
         return gain > price
 
     def probe_price(self, kind: Kind) -> float:
-        """Return what one probe costs: its price, and the worker's time as far as others want it."""
+        """Return what one probe costs: its price, and the endpoint's time as far as others want it."""
         return self.settings.probe_price + self.probe_us / self.mean_run * self.displaced(kind)
 
     def blind_loss(self, kind: Kind) -> float:
@@ -125,7 +127,7 @@
         return self.misjudged * (1 - share_started(self.turn(kind), self.mean_run))
 
     def probe_every(self, kind: Kind, sends: float) -> float:
-        """Return how often to probe a worker that gets so many of our jobs a microsecond; infinity: never.
+        """Return how often to probe an endpoint that gets so many of our jobs a microsecond; infinity: never.
 
         What a report tells is forgotten within a mean run time.
         """
@@ -134,12 +136,12 @@
             return math.inf
         return max(math.sqrt(2 * self.mean_run * price / loss), PROBE_MOST_OFTEN * self.mean_run)
 
-    def probing_first_pays(self, kind: Kind, probes: int, workers: int) -> bool:
+    def probing_first_pays(self, kind: Kind, probes: int, endpoints: int) -> bool:
         """Tell whether a job should wait for so many probes, rather than go by earlier ones."""
         price, loss = self.probe_price(kind), self.blind_loss(kind)
         first = probes * price + share_started(self.mean_run, self.probe_us)
-        every = self.probe_every(kind, self.rate.value / max(workers, 1))
+        every = self.probe_every(kind, self.rate.value / max(endpoints, 1))
         # Earlier probes go out when a job comes, so their news is at least as old as the job before.
         age = max(every, 1 / self.rate.value) / (2 * self.mean_run)
-        ahead = workers * price / (every * self.rate.value) + loss * min(age, 1.0)
+        ahead = endpoints * price / (every * self.rate.value) + loss * min(age, 1.0)
         return first < min(ahead, loss)
--- a/merlinbay/dnssd/directory.py
+++ b/merlinbay/dnssd/directory.py
@@ -12,16 +12,16 @@
 import dns.rdatatype
 import trio
 
-from merlinbay.core import ports
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.messages import EndpointListReceived, Message
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision.events import CallFailure
 from merlinbay.dnssd import records
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 
-class Failed(Exception):
+class DnsQueryError(Exception):
     """The name server gave no usable answer."""
 
 
@@ -32,8 +32,8 @@
         self,
         server: tuple[str, int],
         service: str,
-        inbox: trio.MemorySendChannel[ports.Message],
-        limits: Limits,
+        inbox: trio.MemorySendChannel[Message],
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
@@ -76,18 +76,18 @@
                         if listed != self.last or self.failed or due:
                             self.last, self.failed = listed, False
                             self.confirm_at = math.inf if due else self.confirm_at
-                            await self.inbox.send(ports.EntriesChanged("all", list(listed.values())))
+                            await self.inbox.send(EndpointListReceived("all", list(listed.values())))
                         self.counters.add("dns_listings")
                         wait = min(max(ttl, self.limits.dns_least), self.limits.dns_most)
                         until = min(trio.current_time() + wait, self.confirm_at)
                         await trio.sleep_until(until)
-                except (Failed, OSError, dns.exception.DNSException, trio.TooSlowError) as error:
+                except (DnsQueryError, OSError, dns.exception.DNSException, trio.TooSlowError) as error:
                     # Guards against an outage that empties the list: what was heard last still stands.
                     self.counters.add("dns_failed")
                     self.log.event("dnssd_failed", level="warning", error=repr(error))
                     await trio.sleep(self.limits.dns_backoff)
                     self.failed = True
-                    await self.inbox.send(ports.EntriesChanged("refused", failure=CallFailure.UNREACHABLE))
+                    await self.inbox.send(EndpointListReceived("refused", failure=CallFailure.UNREACHABLE))
 
     async def look(self) -> tuple[dict[str, ServiceEntry], float]:
         """Return the entries by name, and the least TTL of all that they rest on."""
@@ -100,7 +100,7 @@
                 texts, txt_ttl = await self._query(instance, dns.rdatatype.TXT)
                 hosts, host_ttl = await self._query(target.target, dns.rdatatype.A)
                 entry = records.entry(instance, target, records.address(hosts), records.attributes(texts))
-            except records.NoEntry as error:  # one bad instance hides no other
+            except records.InvalidRecordError as error:  # one bad instance hides no other
                 self.counters.add("dns_bad_instances")
                 self.log.event(
                     "dnssd_instance_failed", level="warning", instance=str(instance), error=repr(error)
@@ -117,5 +117,5 @@
             query, host, timeout=self.limits.dns_query, port=port
         )
         if answer.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-            raise Failed(f"{name}: {dns.rcode.to_text(answer.rcode())}")
+            raise DnsQueryError(f"{name}: {dns.rcode.to_text(answer.rcode())}")
         return records.records(answer, name, kind)
--- a/merlinbay/dnssd/records.py
+++ b/merlinbay/dnssd/records.py
@@ -12,12 +12,12 @@
 from dns.rdtypes.IN.A import A
 from dns.rdtypes.IN.SRV import SRV
 
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 
 STATES = ("up", "draining")
 
 
-class NoEntry(Exception):
+class InvalidRecordError(Exception):
     """An instance whose records do not make an entry."""
 
 
@@ -49,7 +49,7 @@
     """Return the SRV record of the lowest priority and the highest weight (RFC 2782)."""
     services = [record for record in rdata if isinstance(record, SRV)]
     if not services or services[0].target == dns.name.root:
-        raise NoEntry("no SRV")
+        raise InvalidRecordError("no SRV")
     return min(services, key=lambda record: (record.priority, -record.weight, record.target, record.port))
 
 
@@ -57,7 +57,7 @@
     """Return the first address."""
     found = sorted(str(record.address) for record in rdata if isinstance(record, A))
     if not found:
-        raise NoEntry("no address")
+        raise InvalidRecordError("no address")
     return found[0]
 
 
@@ -76,4 +76,4 @@
             started_us=int(txt.get("started_ms") or 0) * 1000,
         )
     except ValueError as error:
-        raise NoEntry(str(error)) from None
+        raise InvalidRecordError(str(error)) from None
--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -19,9 +19,15 @@
 from merlinbay.batch.states import State
 from merlinbay.batch.timers import NEVER
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import (
+    ControlRequested,
+    Message,
+    RecallRequested,
+    RequestArrived,
+    RequestWithdrawn,
+)
 from merlinbay.counters import Counters
-from merlinbay.decision import api
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import listening, templates
 from merlinbay.drmaa.answers import Call, failure
 from merlinbay.drmaa.calls import DEFAULT, Calls
@@ -30,7 +36,7 @@
 from merlinbay.drmaa.reserving import Reserving
 from merlinbay.drmaa.settings import Drmaa
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify.hub import Answer, Hub
 from merlinbay.notify.journal import Journal, News
@@ -46,12 +52,12 @@
 
     def __init__(
         self,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
-        classes: list[api.JobClass],
+        classes: list[RequestClass],
         settings: Drmaa,
         machine: str,
         gate: Gate | None = None,
@@ -62,7 +68,7 @@
         self.rules = templates.Rules({spec.name: spec for spec in classes}, settings.memory_unit_kib)
         self.engine = Engine(settings.bounds(limits), lambda: secrets.token_hex(8))
         self.edges: dict[Job, JobClient] = {}  # of the jobs that are with the core
-        self.outbox: deque[ports.Message] = deque()  # what the owner's inbox had no room for, in order
+        self.outbox: deque[Message] = deque()  # what the owner's inbox had no room for, in order
         self.ready = trio.Event()  # there is something in it
         self.nap, self.due_us = trio.CancelScope(), NEVER  # when the engine is looked at next; maybe too soon
         self.ends = 0  # jobs that had ended when they were counted last
@@ -196,15 +202,15 @@
                         assert isinstance(effect.call, Call)
                         effect.call.take(effect)
                     case Withdraw():
-                        if (edge := self.edges.pop(effect.job, None)) is not None:
+                        if (responder := self.edges.pop(effect.job, None)) is not None:
                             self.counters.add("drmaa_jobs_withdrawn")
-                            self.post(ports.RequestWithdrawn(edge.name, edge))
+                            self.post(RequestWithdrawn(responder.name, responder))
                     case Recall():
-                        if (edge := self.edges.get(effect.job)) is not None:
-                            self.post(ports.RequestRecalled(edge.name, edge))
+                        if (responder := self.edges.get(effect.job)) is not None:
+                            self.post(RecallRequested(responder.name, responder))
                     case Control():
-                        if (edge := self.edges.get(effect.job)) is not None:
-                            self.post(ports.RequestControlled(edge.name, edge, effect.action))
+                        if (responder := self.edges.get(effect.job)) is not None:
+                            self.post(ControlRequested(responder.name, responder, effect.action))
         if self.hub is not None:
             for found in self.hub.take(now_us):
                 if isinstance(found, Answer):
@@ -235,11 +241,11 @@
                 self.engine.refused(job, RESERVED_AGAIN_US, now_us)
                 return
             spec = msgspec.structs.replace(spec, only=only, reserved=True)
-        edge = self.edges[job] = JobClient(self, job, spec)
+        responder = self.edges[job] = JobClient(self, job, spec)
         self.counters.add("drmaa_offers")
-        self.post(ports.RequestArrived(spec, edge))
+        self.post(RequestArrived(spec, responder))
 
-    def post(self, message: ports.Message) -> None:
+    def post(self, message: Message) -> None:
         """Send the owner a message, after those that wait already."""
         if not self.outbox:
             try:
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -6,17 +6,17 @@
 
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.batch.jobs import Job
-from merlinbay.core import ports
-from merlinbay.core.ports import Answer, Ending, Verdict
+from merlinbay.core.attempts import Responder
+from merlinbay.core.values import Answer, AnswerStatus, ExitDetails, RequestSpec
 from merlinbay.drmaa.shared_state import SharedState
 
-NOTHING = Ending()
+NOTHING = ExitDetails()
 
 
-class JobClient(ports.Edge):
+class JobClient(Responder):
     """The client's side of one request: one offer of a job."""
 
-    def __init__(self, front: SharedState, job: Job, spec: ports.JobSpec) -> None:
+    def __init__(self, front: SharedState, job: Job, spec: RequestSpec) -> None:
         self.front, self.job, self.name = front, job, spec.name
         self.deadline_us = spec.arrived_us + spec.budget_us
 
@@ -84,9 +84,9 @@
             return
         front, job, ending = self.front, self.job, answer.ending or NOTHING
         now = front.clock.now_us()
-        if answer.verdict is Verdict.SERVED:
+        if answer.verdict is AnswerStatus.SERVED:
             front.engine.finished(job, answer.result, now, ending.exit_status or 0, ending.cpu_us)
-        elif answer.verdict is Verdict.REFUSED and not self._repeats_late(answer):
+        elif answer.verdict is AnswerStatus.REFUSED and not self._repeats_late(answer):
             front.engine.refused(job, answer.retry_after_us, now)
             front.back(job)
         else:
@@ -104,7 +104,7 @@
             )
         front.flush(now)
 
-    def _why_failed(self, ending: Ending, now_us: int) -> tuple[str, str]:
+    def _why_failed(self, ending: ExitDetails, now_us: int) -> tuple[str, str]:
         """Return the exception and the annotation of a job that has failed."""
         if ending.signal:
             return "InternalException", ending.note or f"ended by {ending.signal}; it may have run"
--- a/merlinbay/drmaa/monitoring.py
+++ b/merlinbay/drmaa/monitoring.py
@@ -4,7 +4,8 @@
 
 from merlinbay.batch.errors import invalid_argument, unsupported
 from merlinbay.batch.jobs import Job
-from merlinbay.core import ports
+from merlinbay.core.messages import EndpointViewsRequested
+from merlinbay.core.values import EndpointView
 from merlinbay.drmaa import info
 from merlinbay.drmaa.answers import Call, ok
 from merlinbay.drmaa.incoming_call import IncomingCall
@@ -39,7 +40,7 @@
         grant, text = incoming.grant, incoming.query.get("filter", [""])[0]
         try:
             test = filters.compiled(text, view.KINDS) if text else None
-        except filters.BadFilter as error:
+        except filters.FilterError as error:
             raise invalid_argument(f"filter: {error}") from None
         after, limit = incoming.page()
 
@@ -94,7 +95,7 @@
         after, limit = incoming.query.get("after", [""])[0], incoming.page_limit()
         call = incoming.later(self.front.clock)
 
-        def told(machines: list[ports.MachineView]) -> None:
+        def told(machines: list[EndpointView]) -> None:
             found = sorted(
                 (row for row in machines if row.name > after and (not names or row.name in names)),
                 key=lambda row: row.name,
@@ -102,11 +103,11 @@
             more = {"next": found[limit - 1].name} if len(found) > limit else {}
             call.done(ok({"machines": [machine_info(row, incoming.now) for row in found[:limit]], **more}))
 
-        self.front.post(ports.FleetAsked(told))
+        self.front.post(EndpointViewsRequested(told))
         return call
 
 
-def machine_info(row: ports.MachineView, now_us: int) -> dict[str, object]:
+def machine_info(row: EndpointView, now_us: int) -> dict[str, object]:
     """Return MachineInfo (GFD.194, 5.7), as far as it is known, and what the node believes."""
     found: dict[str, object] = {
         "name": row.name,
--- a/merlinbay/drmaa/reserving.py
+++ b/merlinbay/drmaa/reserving.py
@@ -13,7 +13,8 @@
 from merlinbay.batch.errors import DrmaaError, invalid_argument, unsupported
 from merlinbay.batch.jobs import Job, Stage
 from merlinbay.batch.timers import Timers
-from merlinbay.core import ports
+from merlinbay.core.messages import Message, ReservedSlotsChanged
+from merlinbay.core.values import ServiceEntry
 from merlinbay.drmaa.answers import ok
 from merlinbay.drmaa.incoming_call import IncomingCall
 from merlinbay.drmaa.schema import when
@@ -74,7 +75,7 @@
         self,
         settings: Reservations,
         timers: Timers,
-        post: Callable[[ports.Message], None],
+        post: Callable[[Message], None],
         told: Callable[[Reservation, str], None],
         now_us: Callable[[], int],
     ) -> None:
@@ -87,7 +88,7 @@
 
     # What it is told.
 
-    def entries_changed(self, scope: str, entries: list[ports.ServiceEntry]) -> None:
+    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn of real servers. What is reserved at one that drains or goes is moved, or said to be lost."""
         now = self.now_us()
         if scope in ("all", "remembered"):
@@ -141,7 +142,7 @@
         for server in self.kept.keys() | kept.keys():
             if kept.get(server, 0) != self.kept.get(server, 0):
                 self.post(
-                    ports.SlotsKept(server, float(kept.get(server, 0)), float(self.sizes.get(server, 0)))
+                    ReservedSlotsChanged(server, float(kept.get(server, 0)), float(self.sizes.get(server, 0)))
                 )
         self.kept = kept
 
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -8,17 +8,27 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
-from merlinbay.core.ports import Ending, ServerAttempt, ServiceEntry
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.messages import (
+    AttemptControlled,
+    AttemptFinished,
+    AttemptRecalled,
+    AttemptStarted,
+    AttemptStatusUnknown,
+    AttemptSuspended,
+    Message,
+    ServerChecked,
+)
+from merlinbay.core.values import ExitDetails, ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.drmaa import schema, templates
 from merlinbay.drmaa.status_polling import PollingLimits, StatusPolling
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.servers import PooledServers, check_may_begin
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 UNSTARTED = {"TryLaterException", "OutOfResourceException"}
@@ -32,9 +42,9 @@
         self,
         nursery: trio.Nursery,
         pool: ConnectionPool,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
         notify: str,
@@ -87,7 +97,7 @@
 
     def probe(self, server: str) -> None:
         """Tell at once that the probe failed: schedulers of this binding have none."""
-        self.nursery.start_soon(self.post, ports.ServerProbed(server, Outcome.ERROR, 0))
+        self.nursery.start_soon(self.post, ServerChecked(server, Outcome.ERROR, 0))
 
     def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn addresses, and ask schedulers that have restarted or gone for the jobs they had."""
@@ -180,7 +190,7 @@
             reply = await self.exchange(attempt.server, "POST", f"{JOBS}/{job_id}/recall", [])
             done = isinstance(reply, Reply) and reply.status == 200
         self.counters.add("drmaa_recalls" if done else "drmaa_recalls_failed")
-        await self.post(ports.AttemptRecalled(attempt.spec.name, attempt.server, done))
+        await self.post(AttemptRecalled(attempt.spec.name, attempt.server, done))
 
     async def _control(self, attempt: ServerAttempt, job_id: str, action: str) -> None:
         error, message = "DrmCommunicationException", "its scheduler did not answer"
@@ -189,7 +199,7 @@
             if isinstance(reply, Reply):
                 error, message = error_of(reply)
         self.counters.add("drmaa_controls_failed" if error else "drmaa_controls")
-        await self.post(ports.AttemptControlled(attempt.spec.name, attempt.server, action, error, message))
+        await self.post(AttemptControlled(attempt.spec.name, attempt.server, action, error, message))
 
     async def _ask(self, attempt: ServerAttempt, job_id: str) -> None:
         """IncomingCall for one job's state, and tell what differs from what is known."""
@@ -207,12 +217,12 @@
         if info is not None:
             was_unseen = self.polling.answered(attempt, now)
             message = message_of(schema.Notification("NEW_STATE", server, name, info.jobState, job_id, info))
-            if message is not None and not isinstance(message, ports.AttemptUnseen):
-                if isinstance(message, ports.AttemptFinished):
+            if message is not None and not isinstance(message, AttemptStatusUnknown):
+                if isinstance(message, AttemptFinished):
                     self.counters.add("drmaa_found_ended")
                 await self.post(message)
             elif was_unseen:
-                await self.post(ports.AttemptUnseen(name, server, True))
+                await self.post(AttemptStatusUnknown(name, server, True))
         elif isinstance(reply, Reply) and reply.status == 404:
             # A scheduler that has restarted and knows no job: nobody can tell whether it had run.
             self.counters.add("drmaa_found_lost")
@@ -220,7 +230,7 @@
         else:
             sight = self.polling.missed(attempt, now)
             if sight == "unseen":
-                await self.post(ports.AttemptUnseen(name, server, False))
+                await self.post(AttemptStatusUnknown(name, server, False))
             elif sight == "gone":
                 await self.ended(attempt, Outcome.RESET)
         self._rouse()
@@ -254,7 +264,7 @@
 class NotificationHandler:
     """Takes the schedulers' notifications at ``/drmaa2/notifications``."""
 
-    def __init__(self, inbox: trio.MemorySendChannel[ports.Message], counters: Counters) -> None:
+    def __init__(self, inbox: trio.MemorySendChannel[Message], counters: Counters) -> None:
         self.inbox, self.counters = inbox, counters
         self.servers: DrmaaServers | None = None
 
@@ -279,16 +289,16 @@
         """Nothing is owed to a scheduler that hangs up."""
 
 
-def message_of(note: schema.Notification) -> ports.Message | None:
+def message_of(note: schema.Notification) -> Message | None:
     """Translate a notification; states that change nothing for the core give None."""
     if note.event != "NEW_STATE":
         return None
     if note.jobState == schema.RUNNING:
-        return ports.AttemptStarted(note.jobName, note.sessionName)
+        return AttemptStarted(note.jobName, note.sessionName)
     if note.jobState == schema.SUSPENDED:
-        return ports.AttemptSuspended(note.jobName, note.sessionName)
+        return AttemptSuspended(note.jobName, note.sessionName)
     info = note.jobInfo or schema.JobInfo(note.jobId, note.jobState)
-    ending = Ending(
+    ending = ExitDetails(
         info.exitStatus,
         info.terminatingSignal,
         int((info.cpuTime or 0) * 1e6),
@@ -296,7 +306,7 @@
         info.output if note.jobState == schema.FAILED else b"",
     )
     if note.jobState == schema.DONE:
-        return ports.AttemptFinished(note.jobName, note.sessionName, Outcome.OK, info.output, ending=ending)
+        return AttemptFinished(note.jobName, note.sessionName, Outcome.OK, info.output, ending=ending)
     if note.jobState == schema.FAILED:
         outcome = (
             Outcome.FULL
@@ -307,5 +317,5 @@
         )
         # Guards against a job that fails by itself and is run again and again: it has told its exit status.
         ran = outcome is Outcome.ERROR and info.exitStatus is not None and not info.exception
-        return ports.AttemptFinished(note.jobName, note.sessionName, outcome, unfit=ran, ending=ending)
+        return AttemptFinished(note.jobName, note.sessionName, outcome, unfit=ran, ending=ending)
     return None
--- a/merlinbay/drmaa/settings.py
+++ b/merlinbay/drmaa/settings.py
@@ -13,7 +13,7 @@
 from merlinbay.batch.registry import Bounds
 from merlinbay.drmaa.schema import SessionSettings
 from merlinbay.drmaa.status_polling import PollingLimits
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.notify.settings import Events
 from merlinbay.reserve.settings import Reservations
 
@@ -107,7 +107,7 @@
     events: Events = msgspec.field(default_factory=Events)
     reservations: Reservations = msgspec.field(default_factory=Reservations)
 
-    def bounds(self, limits: Limits) -> Bounds:
+    def bounds(self, limits: ResourceLimits) -> Bounds:
         """Return what the front keeps at the most."""
         return Bounds(
             sessions=self.sessions.most + len(self.session) + 1,
--- a/merlinbay/drmaa/shared_state.py
+++ b/merlinbay/drmaa/shared_state.py
@@ -7,12 +7,12 @@
 from merlinbay.batch.engine import Engine
 from merlinbay.batch.jobs import Job
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import Message
 from merlinbay.counters import Counters
 from merlinbay.drmaa.reserving import Reserving
 from merlinbay.drmaa.settings import Drmaa
 from merlinbay.drmaa.templates import Rules
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify.hub import Hub
 
@@ -21,7 +21,7 @@
     """The front, to its parts."""
 
     clock: Clock
-    limits: Limits
+    limits: ResourceLimits
     counters: Counters
     log: Log
     settings: Drmaa
@@ -31,7 +31,7 @@
     hub: Hub | None
     reserving: Reserving | None
 
-    def post(self, message: ports.Message) -> None:
+    def post(self, message: Message) -> None:
         """Send the owner a message, after those that wait already."""
 
     def flush(self, now_us: int) -> None:
--- a/merlinbay/drmaa/templates.py
+++ b/merlinbay/drmaa/templates.py
@@ -10,8 +10,8 @@
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument
 from merlinbay.batch.jobs import Job, Submission
-from merlinbay.core.ports import JobSpec
-from merlinbay.decision import api
+from merlinbay.core.values import RequestSpec
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa.schema import JobTemplate, when, write
 
 _template = msgspec.json.Decoder(JobTemplate).decode
@@ -46,7 +46,7 @@
 class Rules:
     """What templates are read by."""
 
-    classes: Mapping[str, api.JobClass]  # the first is the default
+    classes: Mapping[str, RequestClass]  # the first is the default
     memory_unit_kib: int = 0  # of the decision module's unit of memory; 0: the operator has not said
 
 
@@ -99,7 +99,7 @@
     )
 
 
-def _class_of(template: JobTemplate, rules: Rules) -> api.JobClass:
+def _class_of(template: JobTemplate, rules: Rules) -> RequestClass:
     """Return the class that a template asks for: a class is a job category, and a queue of that name."""
     wanted = template.jobCategory or template.queueName or next(iter(rules.classes))
     if template.queueName and template.queueName != wanted:
@@ -122,7 +122,7 @@
     return moment
 
 
-def job_spec(job: Job, rules: Rules, now_us: int) -> JobSpec:
+def job_spec(job: Job, rules: Rules, now_us: int) -> RequestSpec:
     """Translate a job that is offered now into what the core takes.
 
     Its class's deadline counts from now: what it has waited in the backlog is not taken off. Its own
@@ -136,7 +136,7 @@
     memory = 0.0 if memory_kib is None else memory_kib / rules.memory_unit_kib
     # Guards against what a scheduler tells late of an earlier offer: each has a name of its own. The key by
     # which it knows a repeat stays the job's.
-    return JobSpec(
+    return RequestSpec(
         name=job.id if job.offer == 1 else f"{job.id}~{job.offer}",
         job_class=what.job_class,
         arrived_us=now_us,
@@ -164,7 +164,7 @@
     )
 
 
-def template_for(spec: JobSpec, deadline_us: int) -> JobTemplate:
+def template_for(spec: RequestSpec, deadline_us: int) -> JobTemplate:
     """Translate a request into the template that a scheduler gets; its ``jobName`` is the request's name.
 
     What the front has seen to (waiting, turns, the choice of machines) is not said again.
--- a/merlinbay/drmaa/wiring.py
+++ b/merlinbay/drmaa/wiring.py
@@ -8,18 +8,19 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import Message
+from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.servers import DrmaaServers, NotificationHandler
 from merlinbay.drmaa.settings import Drmaa
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig, address
 
 if TYPE_CHECKING:
     from merlinbay.access.tls import Handshakes
@@ -34,8 +35,8 @@
     def __init__(
         self,
         settings: Drmaa,
-        facts: ports.NodeFacts,
-        inbox: trio.MemorySendChannel[ports.Message],
+        facts: NodeIdentity,
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
         counters: Counters,
         log: Log,
@@ -84,15 +85,15 @@
         return Routes([*handlers, ("/", platform)]) if handlers else platform
 
     def _keys(self) -> Ring:
-        from merlinbay.access.tokens import BadKeys, load
+        from merlinbay.access.tokens import KeyRingError, load
 
         try:
             return load(Path(self.settings.access.keys))
-        except BadKeys as error:
-            raise BadConfig(f"drmaa.access.keys: {error}") from None
+        except KeyRingError as error:
+            raise ConfigurationError(f"drmaa.access.keys: {error}") from None
 
     def _certificates(self) -> Handshakes:
-        from merlinbay.access.tls import BadCertificate, Files, Handshakes
+        from merlinbay.access.tls import CertificateError, Files, Handshakes
 
         access = self.settings.access
         try:
@@ -102,19 +103,22 @@
                 access.handshake,
                 self.counters,
             )
-        except BadCertificate as error:
-            raise BadConfig(f"drmaa.access.certificate: {error}") from None
+        except CertificateError as error:
+            raise ConfigurationError(f"drmaa.access.certificate: {error}") from None
 
     def reload(self) -> None:
-        """Read keys and certificates again. Raises ``BadConfig``; what cannot be used changes nothing."""
+        """Read keys and certificates again.
+
+        Raises ``ConfigurationError``; what cannot be used changes nothing.
+        """
         keys = self._keys() if self.tokens is not None else None
         if self.handshakes is not None:
             self.handshakes.context = self._certificates().context
         if self.tokens is not None and keys is not None:
             self.tokens.use(keys)
 
-    async def listen(self, nursery: trio.Nursery, limits: Limits) -> None:
-        """Serve the front over TLS as well. Raises ``BadConfig``."""
+    async def listen(self, nursery: trio.Nursery, limits: ResourceLimits) -> None:
+        """Serve the front over TLS as well. Raises ``ConfigurationError``."""
         if self.handshakes is None or self.front is None:
             return
         listener = Listener(Routes([("/drmaa2", self.front)]), limits, self.counters, self.log)
@@ -123,7 +127,7 @@
         try:
             sock = await listener.bind(host, port)
         except OSError as error:
-            raise BadConfig(f"cannot listen at {host}:{port}: {error.strerror}") from None
+            raise ConfigurationError(f"cannot listen at {host}:{port}: {error.strerror}") from None
         nursery.start_soon(listener.serve, sock)
         self.listeners.append(listener)
 
@@ -160,11 +164,11 @@
 
 def wire(
     settings: Drmaa,
-    facts: ports.NodeFacts,
-    inbox: trio.MemorySendChannel[ports.Message],
+    facts: NodeIdentity,
+    inbox: trio.MemorySendChannel[Message],
     clock: Clock,
     counters: Counters,
     log: Log,
 ) -> DrmaaParts:
-    """Make the parts that the section turns on. Raises ``BadConfig``."""
+    """Make the parts that the section turns on. Raises ``ConfigurationError``."""
     return DrmaaParts(settings, facts, inbox, clock, counters, log)
--- a/merlinbay/emulator/call_backs.py
+++ b/merlinbay/emulator/call_backs.py
@@ -5,7 +5,7 @@
 import trio
 
 from merlinbay.emulator.node_process import LIMITS
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 
 MAX_TRIES = 10  # as the platform's protocol has it
 RETRY_AFTER_S = 0.05
@@ -30,7 +30,7 @@
         try:
             connection = await self._connection(addr)
             reply = await connection.exchange("POST", "/v1/job-events", [], body)
-        except (NotSent, ConnectionBroken):
+        except (RequestNotSentError, ConnectionBrokenError):
             if connection is not None:
                 connection.close()
             return False
@@ -42,7 +42,7 @@
         return reply.status in (200, 204)
 
     async def _connection(self, addr: str) -> ClientConnection:
-        """Return an idle connection that is still good, or a new one. Raises ``NotSent``."""
+        """Return an idle connection that is still good, or a new one. Raises ``RequestNotSentError``."""
         idle = self.idle.setdefault(addr, [])
         while idle:
             kept = idle.pop()
--- a/merlinbay/emulator/callers.py
+++ b/merlinbay/emulator/callers.py
@@ -13,7 +13,7 @@
 
 from merlinbay.emulator.host import Node, Request
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.spec import BadScript, Script, drawn
+from merlinbay.emulator.spec import ScenarioError, Script, drawn
 
 BATCH = 2048
 
@@ -77,7 +77,7 @@
 
 
 def trace_of(path: Path) -> list[tuple[float, float]]:
-    """Read a recorded trace: seconds, and the work in ms (0: drawn). Raises ``BadScript``."""
+    """Read a recorded trace: seconds, and the work in ms (0: drawn). Raises ``ScenarioError``."""
     found = []
     try:
         for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -89,10 +89,10 @@
             except ValueError:
                 at = -1.0
             if not 0 <= at < 1e6 or not 0 <= work < 1e9:
-                raise BadScript(f"{path}: line {number}: a second, and the ms of work")
+                raise ScenarioError(f"{path}: line {number}: a second, and the ms of work")
             found.append((at, work))
     except OSError as error:
-        raise BadScript(f"{path}: {error.strerror}") from None
+        raise ScenarioError(f"{path}: {error.strerror}") from None
     return found
 
 
--- a/merlinbay/emulator/checker.py
+++ b/merlinbay/emulator/checker.py
@@ -9,7 +9,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from merlinbay.decision.api import NEVER_RAN, Outcome
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.emulator.directory import TOLD_US
 from merlinbay.emulator.loop import Loop
 from merlinbay.emulator.servers import Server, Work
@@ -18,7 +18,7 @@
 PUSH_US = 100_000
 
 
-class RuleViolation(Exception):
+class RuleViolationError(Exception):
     """A rule is broken; the text says which, when and by what."""
 
 
@@ -53,7 +53,7 @@
 
 
 class Checker:
-    """Sees everything, and raises ``RuleViolation``."""
+    """Sees everything, and raises ``RuleViolationError``."""
 
     def __init__(self, script: Script, loop: Loop) -> None:
         self.script, self.loop = script, loop
@@ -73,7 +73,7 @@
         self.push_counts: Counter[int] = Counter()
 
     def _fail(self, rule: int, text: str) -> None:
-        raise RuleViolation(f"rule {rule} at {self.loop.now / 1e6:.6f} s, event {self.events}: {text}")
+        raise RuleViolationError(f"rule {rule} at {self.loop.now / 1e6:.6f} s, event {self.events}: {text}")
 
     # What nodes are told and do.
 
--- a/merlinbay/emulator/directory.py
+++ b/merlinbay/emulator/directory.py
@@ -7,12 +7,12 @@
 from random import Random
 from typing import Protocol
 
-from merlinbay.decision import api
+from merlinbay.decision.events import CallFailure, EndpointEntry, EndpointsChanged
 from merlinbay.emulator.loop import Loop, Order
 from merlinbay.emulator.servers import Server
 from merlinbay.emulator.spec import Discovery, drawn
 
-Told = Callable[[api.ListChanged], None]
+Told = Callable[[EndpointsChanged], None]
 
 
 MOVED_US, CLOSES_US = 4_000_000, 1_500_000  # told after a move; the old one closes
@@ -47,7 +47,7 @@
 
     def __init__(self, spec: Discovery, loop: Loop, rng: Random) -> None:
         self.spec, self.loop, self.rng = spec, loop, rng
-        self.rows: dict[str, api.WorkerEntry] = {}
+        self.rows: dict[str, EndpointEntry] = {}
         self.watchers: dict[int, Told] = {}
         self.out = 0  # troubles that have it down
         self.free_us = 0  # when it has worked on all calls so far
@@ -60,7 +60,7 @@
 
     def publish(self, server: Server, state: str, late: bool = True) -> None:
         """Publish a server's state after a while."""
-        entry = api.WorkerEntry(
+        entry = EndpointEntry(
             server.name, server.zone, server.kind.name, server.cell, state, 1.0, server.ready_us
         )
         if not late:
@@ -69,13 +69,13 @@
         wait = drawn(self.rng, self.spec.add if state == "up" else self.spec.notice)
         self.loop.at(self.loop.now + int(wait * 1e6), Order.DISCOVERY, self._list, entry)
 
-    def _list(self, entry: api.WorkerEntry) -> None:
-        known = self.rows.get(entry.worker)
+    def _list(self, entry: EndpointEntry) -> None:
+        known = self.rows.get(entry.endpoint)
         if known is not None and entry.ready_at_us < known.ready_at_us:
             return  # Guards against news that overtake each other: those of an earlier start count no more.
-        self.rows[entry.worker] = entry
+        self.rows[entry.endpoint] = entry
         if self.watcher is not None:
-            self.watcher.list_published(entry.worker, entry.state)
+            self.watcher.list_published(entry.endpoint, entry.state)
         for node, told in list(self.watchers.items()):
             self.loop.at(
                 self.loop.now + 1000,
@@ -83,16 +83,16 @@
                 self._tell,
                 node,
                 told,
-                api.ListChanged("changes", [entry]),
+                EndpointsChanged("changes", [entry]),
             )
 
-    def _tell(self, node: int, told: Told, news: api.ListChanged) -> None:
+    def _tell(self, node: int, told: Told, news: EndpointsChanged) -> None:
         if self.watchers.get(node) is told:
             told(replace(news, former=self.watching_since.get(node, self.moves) != self.moves))
 
-    def remembered(self) -> api.ListChanged:
+    def remembered(self) -> EndpointsChanged:
         """Return the list as a node that starts has it."""
-        return api.ListChanged("remembered", [row for row in self.rows.values() if row.state != "removed"])
+        return EndpointsChanged("remembered", [row for row in self.rows.values() if row.state != "removed"])
 
     def subscribe(self, node: int, told: Told) -> None:
         """Take a node's call: it is answered after a while, or fails."""
@@ -111,11 +111,11 @@
             self.watcher.list_answered(node, bool(self.out or late))
         if self.out or late:
             self.failed += 1
-            told(api.ListChanged("refused", [], failure=api.CallFailure.UNAVAILABLE, former=former))
+            told(EndpointsChanged("refused", [], failure=CallFailure.UNAVAILABLE, former=former))
             return
         self.watchers[node], self.watching_since[node] = told, moves
         listed = [row for row in self.rows.values() if row.state != "removed"]
-        told(api.ListChanged("all", listed, former=former))
+        told(EndpointsChanged("all", listed, former=former))
 
     def forget(self, node: int) -> None:
         """Take it that a node has died."""
@@ -134,14 +134,14 @@
     def _confirm(self, node: int) -> None:
         """Answer the call of a watch that ends right after all counts as told."""
         if node in self.watchers:
-            self._tell(node, self.watchers[node], api.ListChanged("changes", []))
+            self._tell(node, self.watchers[node], EndpointsChanged("changes", []))
 
     def _close(self, node: int, watch: Told) -> None:
         if self.watchers.get(node) is watch:
             del self.watchers[node]
             if self.watcher is not None:
                 self.watcher.list_closed(node)
-            watch(api.ListChanged("refused", [], former=True))
+            watch(EndpointsChanged("refused", [], former=True))
 
     def silence(self, nodes: list[int]) -> None:
         """Have these nodes' watches fall silent: each is noticed when the call under way is overdue."""
@@ -156,7 +156,7 @@
                 heard_us + int(self.spec.notice_silent * 1e6),
                 Order.DISCOVERY,
                 told,
-                api.ListChanged("refused", [], heard_us, api.CallFailure.SILENT),
+                EndpointsChanged("refused", [], heard_us, CallFailure.SILENT),
             )
 
     def fail(self) -> None:
@@ -168,7 +168,7 @@
         for node, told in ended.items():
             if self.watcher is not None:
                 self.watcher.list_closed(node)
-            told(api.ListChanged("refused", [], failure=api.CallFailure.UNAVAILABLE))
+            told(EndpointsChanged("refused", [], failure=CallFailure.UNAVAILABLE))
 
     def recover(self) -> None:
         """Come back."""
