--- a/merlinbay/emulator/host.py
+++ b/merlinbay/emulator/host.py
@@ -6,8 +6,20 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.api import Outcome
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Cancel, Dispatch, Fail, Reject, SetTimer, WatchEndpoints
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    DiscoveryChanged,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionStarted,
+    RequestReceived,
+    TimerFired,
+)
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.emulator.checker import Checker
 from merlinbay.emulator.directory import Directory
 from merlinbay.emulator.loop import Loop, Order
@@ -22,7 +34,7 @@
 class Policy(Protocol):
     """What decides: the module, or something to compare it with."""
 
-    def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Take events of one instant; return what to do."""
 
 
@@ -79,7 +91,7 @@
         self.dials = self.sends = 0
         self.shift_us = 0  # its clock is off by so much
         self.handshake_us = 0.0
-        self.known: dict[str, api.WorkerEntry] = {}  # the list as it had it last
+        self.known: dict[str, EndpointEntry] = {}  # the list as it had it last
 
     @property
     def alive(self) -> bool:
@@ -95,7 +107,9 @@
         if isinstance(policy, Balancer):
             self.checker.node_started(self.number, bool(stale))
         self._listed(
-            api.ListChanged("remembered", list(self.known.values())) if stale else self.directory.remembered()
+            EndpointsChanged("remembered", list(self.known.values()))
+            if stale
+            else self.directory.remembered()
         )
         if not isinstance(policy, Balancer):  # the module says itself when to ask
             self._subscribe(self.life)
@@ -115,7 +129,7 @@
 
     # Events.
 
-    def _handle(self, events: list[api.Event]) -> None:
+    def _handle(self, events: list[Event]) -> None:
         """Have the module decide, and carry that out; what follows at once is decided at once."""
         assert self.policy is not None
         while events:
@@ -124,24 +138,24 @@
             for action in actions:
                 self._do(action, events)
 
-    def _listed(self, news: api.ListChanged) -> None:
+    def _listed(self, news: EndpointsChanged) -> None:
         if not self.alive:
             return
         if news.scope in ("all", "remembered"):
-            named = {row.worker for row in news.entries}
+            named = {row.endpoint for row in news.entries}
             for name in self.servers:
                 if name not in named:
                     self.checker.listed(self.number, name, "removed", 0)
             self.known = {}
         for row in news.entries:
-            self.checker.listed(self.number, row.worker, row.state, row.ready_at_us)
-            self.known[row.worker] = row
+            self.checker.listed(self.number, row.endpoint, row.state, row.ready_at_us)
+            self.known[row.endpoint] = row
         self._handle([news])
 
     def _subscribe(self, life: int) -> None:
         if life == self.life:
 
-            def told(news: api.ListChanged) -> None:
+            def told(news: EndpointsChanged) -> None:
                 if life == self.life:
                     self._listed(news)
                     if news.scope == "refused" and not isinstance(self.policy, Balancer):
@@ -151,12 +165,12 @@
 
     def _fire(self, life: int, token: str) -> None:
         if life == self.life:
-            self._handle([api.TimerFired(token)])
+            self._handle([TimerFired(token)])
 
     def moved(self, told_us: int) -> None:
         """Take it that discovery is somewhere else."""
         if self.alive:
-            self._handle([api.ListMoved(told_us)])
+            self._handle([DiscoveryChanged(told_us)])
 
     def take(self, request: Request) -> None:
         """Take a request."""
@@ -168,7 +182,7 @@
         budget = max(request.deadline_us - margin - self.loop.now, 1000)
         # The key by which racks know a repeat is not the one by which the module keeps requests together.
         name, slots = self.script.job.name, float(request.slots)
-        arrived = api.JobArrived(flight.job, name, budget, slots, request.memory)
+        arrived = RequestReceived(flight.job, name, budget, slots, request.memory)
         arrived.returned = request.tries > 0
         self._handle([arrived])
 
@@ -176,7 +190,7 @@
         """Give a request up: its attempts end as timed out, and the module answers."""
         if life != self.life or flight.done:
             return
-        events: list[api.Event] = []
+        events: list[Event] = []
         for number in sorted(flight.open):
             self._give_up(flight, number)
             events.append(self._over(flight, number, Outcome.TIMEOUT))
@@ -184,36 +198,36 @@
             self._handle(events)
         if not flight.done:
             self._answer(flight, "failed", 0)
-            self._handle([api.JobWithdrawn(flight.job)])
+            self._handle([ClientDisconnected(flight.job)])
 
     # Actions.
 
-    def _do(self, action: api.Action, events: list[api.Event]) -> None:
+    def _do(self, action: Action, events: list[Event]) -> None:
         match action:
-            case api.Place():
+            case Dispatch():
                 self._place(action, events)
-            case api.Cancel():
+            case Cancel():
                 flight = self.flights.get(action.id)
                 if flight is not None and action.attempt in flight.open:
                     self._give_up(flight, action.attempt)
                     events.append(self._over(flight, action.attempt, Outcome.CANCELLED))
-            case api.Refuse():
+            case Reject():
                 flight = self.flights.get(action.id)
                 if flight is not None and not flight.done:
                     self._answer(flight, "refused", action.retry_after_us)
-            case api.Fail():
+            case Fail():
                 flight = self.flights.get(action.id)
                 if flight is not None and not flight.done:
                     self._answer(flight, "failed", 0)
-            case api.SetTimer():
+            case SetTimer():
                 self.loop.at(self.loop.now + action.in_us, Order.TIMER, self._fire, self.life, action.token)
-            case api.Subscribe():
+            case WatchEndpoints():
                 self._subscribe(self.life)
             case _:
                 pass  # probes, notes and messages to peers: none here
 
-    def _place(self, action: api.Place, events: list[api.Event]) -> None:
-        flight, server = self.flights.get(action.id), self.servers[action.worker]
+    def _place(self, action: Dispatch, events: list[Event]) -> None:
+        flight, server = self.flights.get(action.id), self.servers[action.endpoint]
         if flight is None:
             return
         number, request = len(flight.works), flight.request
@@ -231,7 +245,7 @@
         flight.servers.append(server)
         flight.sent_us.append(self.loop.now)
         if flight.done:
-            events.append(api.AttemptEnded(flight.job, number, Outcome.MOOT, 0, True, None, server.name))
+            events.append(AttemptEnded(flight.job, number, Outcome.MOOT, 0, True, None, server.name))
             return
         self.checker.sent(self.number, flight.job, server)
         self.sends += 1
@@ -291,7 +305,7 @@
     def _started(self, life: int, flight: Flight, number: int) -> None:
         if life == self.life and number in flight.open:
             flight.started.add(number)
-            self._handle([api.JobStarted(flight.job, number)])
+            self._handle([ExecutionStarted(flight.job, number)])
 
     def _back(
         self, life: int, flight: Flight, number: int, outcome: Outcome, report: list[object] | None
@@ -299,7 +313,7 @@
         """Take how an attempt ended; the first success answers."""
         if life != self.life or number not in flight.open:
             return
-        if number in flight.started and outcome in api.NEVER_RAN:
+        if number in flight.started and outcome in NEVER_RAN:
             outcome = Outcome.RESET
         if outcome is Outcome.OK and not flight.done:
             self._answer(flight, "served", 0)
@@ -307,12 +321,12 @@
 
     def _over(
         self, flight: Flight, number: int, outcome: Outcome, report: list[object] | None = None
-    ) -> api.AttemptEnded:
+    ) -> AttemptEnded:
         flight.open.discard(number)
         self.checker.ended(self.number, flight.job, number, outcome)
         if flight.done and not flight.open:
             self.flights.pop(flight.job, None)
-        return api.AttemptEnded(
+        return AttemptEnded(
             flight.job,
             number,
             outcome,
--- a/merlinbay/emulator/live.py
+++ b/merlinbay/emulator/live.py
@@ -19,10 +19,10 @@
 import trio
 
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.emulator.bad_clients import BAD_REQUESTS, bad_client
 from merlinbay.emulator.call_backs import CallBackSender
-from merlinbay.emulator.checker import RuleViolation
+from merlinbay.emulator.checker import RuleViolationError
 from merlinbay.emulator.host import Request as Asked
 from merlinbay.emulator.live_loop import LiveLoop
 from merlinbay.emulator.loop import Loop
@@ -30,7 +30,7 @@
 from merlinbay.emulator.play import Day, Result
 from merlinbay.emulator.servers import Server, Work
 from merlinbay.emulator.spec import Script
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
@@ -160,11 +160,11 @@
         for row in news.entries:
             self.version += 1
             started = int((self.live.unix + row.ready_at_us / 1e6) * 1000) if row.ready_at_us else 0
-            self.rows[row.worker] = (
+            self.rows[row.endpoint] = (
                 self.version,
                 {
-                    "id": row.worker,
-                    "addr": self.live.servers_live[row.worker].addr,
+                    "id": row.endpoint,
+                    "addr": self.live.servers_live[row.endpoint].addr,
                     "zone": row.zone,
                     "kind": row.kind,
                     "cell": row.cell,
@@ -251,7 +251,7 @@
                 reply = await connection.exchange("POST", f"/{live.script.job.name}", heads, b"seat")
                 verdict = {200: "served", 429: "refused", 503: "refused"}.get(reply.status, "failed")
                 retry_us = int(float(reply.headers.get("retry-after", "0")) * 1e6)
-            except (NotSent, ConnectionBroken):
+            except (RequestNotSentError, ConnectionBrokenError):
                 verdict = "lost"
         live.catch_up()
         if connection is not None:
@@ -378,7 +378,7 @@
                 nursery.cancel_scope.cancel()
             for node, job in list(self.checker.asked):
                 self.checker.overdue(node, job)
-        except* RuleViolation as group:
+        except* RuleViolationError as group:
             broken = str(group.exceptions[0])
         return broken
 
--- a/merlinbay/emulator/node_process.py
+++ b/merlinbay/emulator/node_process.py
@@ -12,11 +12,11 @@
 import trio
 
 from merlinbay.emulator.spec import Script
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
-from merlinbay.limits import Limits
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
+from merlinbay.limits import ResourceLimits
 
 HOST = "127.0.0.2"
-LIMITS = replace(Limits(), edge_connections=4000, dial=0.5, edge_idle=60.0, read_request=60.0)
+LIMITS = replace(ResourceLimits(), edge_connections=4000, dial=0.5, edge_idle=60.0, read_request=60.0)
 START_TIMEOUT_S = 20.0
 READY_POLL_S = 0.05
 
@@ -100,11 +100,11 @@
 async def _is_ready(addr: str) -> bool:
     try:
         connection = await ClientConnection.dial(addr, LIMITS)
-    except NotSent:
+    except RequestNotSentError:
         return False
     try:
         return (await connection.exchange("GET", "/-/ready", [])).status == 200
-    except (NotSent, ConnectionBroken):
+    except (RequestNotSentError, ConnectionBrokenError):
         return False
     finally:
         connection.close()
--- a/merlinbay/emulator/play.py
+++ b/merlinbay/emulator/play.py
@@ -8,7 +8,7 @@
 
 from merlinbay.emulator import policies, troubles
 from merlinbay.emulator.callers import Callers
-from merlinbay.emulator.checker import Checker, RuleViolation
+from merlinbay.emulator.checker import Checker, RuleViolationError
 from merlinbay.emulator.directory import Directory
 from merlinbay.emulator.host import Node, Policy
 from merlinbay.emulator.loop import Loop, Order
@@ -199,7 +199,7 @@
             self.loop.run(end + int(2.5 * self.script.job.deadline * 1e6))
             for node, job in list(self.checker.asked):
                 self.checker.overdue(node, job)
-        except RuleViolation as error:
+        except RuleViolationError as error:
             broken = str(error)
         return self._result(broken)
 
--- a/merlinbay/emulator/policies.py
+++ b/merlinbay/emulator/policies.py
@@ -5,19 +5,23 @@
 from collections.abc import Callable
 from random import Random
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Dispatch, Fail, Reject
+from merlinbay.decision.events import AttemptEnded, EndpointsChanged, Event, RequestReceived
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome
+from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings
 from merlinbay.emulator.host import Policy
 from merlinbay.emulator.servers import Server
 from merlinbay.emulator.spec import Script
 
 
-def settings_of(script: Script, me: int = 0) -> api.Settings:
+def settings_of(script: Script, me: int = 0) -> Settings:
     """Return what a node is told at its start."""
     job, hall, limits = script.job, script.hall, script.limits
     fields = ["err_rps", "active", "x0", "x1"] if script.reports.on else []
-    return api.Settings(
+    return Settings(
         [
-            api.JobClass(
+            RequestClass(
                 job.name,
                 int(job.aim * 1e6),
                 int(job.deadline * 1e6),
@@ -39,14 +43,14 @@
         tells_start=True,
         must_subscribe=True,
         queue_order=hall.order,
-        limits=api.Limits(
+        limits=DispatchLimits(
             cancelling=limits.cancelling,
             second_copies=limits.second_copies,
             send_cap=limits.send_cap,
             retry_after=limits.max_retry_after > 0,
             max_retry_after_us=int(limits.max_retry_after * 1e6),
         ),
-        safety=api.Safety(
+        safety=SafetyMargins(
             drain_grace_us=int(limits.drain_grace * 1e6),
             cold_from=max(hall.cold_from, 0.01),
             cold_us=int(hall.cold * 1e6),
@@ -72,43 +76,43 @@
         """Return a server, or None: refuse."""
         raise NotImplementedError
 
-    def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Take events of one instant; return what to do."""
-        out: list[api.Action] = []
+        out: list[Action] = []
         for event in events:
-            if isinstance(event, api.JobArrived):
+            if isinstance(event, RequestReceived):
                 self.tries[event.id] = 0
                 self._send(event.id, out)
-            elif isinstance(event, api.AttemptEnded):
-                self.held[event.worker] = self.held.get(event.worker, 0) - 1
+            elif isinstance(event, AttemptEnded):
+                self.held[event.endpoint] = self.held.get(event.endpoint, 0) - 1
                 if event.report is not None and isinstance(event.report[2], float) and event.report[2] >= 1:
-                    self.idle[event.worker] = None
-                if event.final or event.outcome == api.Outcome.OK:
+                    self.idle[event.endpoint] = None
+                if event.final or event.outcome == Outcome.OK:
                     self.tries.pop(event.id, None)
-                elif event.outcome in api.NEVER_RAN and self.tries[event.id] < self.script.limits.send_cap:
+                elif event.outcome in NEVER_RAN and self.tries[event.id] < self.script.limits.send_cap:
                     self._send(event.id, out)
                 else:
                     self.tries.pop(event.id, None)
-                    out.append(api.Fail(event.id))
-            elif isinstance(event, api.ListChanged):
+                    out.append(Fail(event.id))
+            elif isinstance(event, EndpointsChanged):
                 self._list(event)
         return out
 
-    def _send(self, job: int, out: list[api.Action]) -> None:
+    def _send(self, job: int, out: list[Action]) -> None:
         name = self.choose() if self.up else None
         if name is None:
             self.tries.pop(job, None)
-            out.append(api.Refuse(job))
+            out.append(Reject(job))
             return
         self.tries[job] += 1
         self.held[name] = self.held.get(name, 0) + 1
-        out.append(api.Place(job, name))
+        out.append(Dispatch(job, name))
 
-    def _list(self, event: api.ListChanged) -> None:
+    def _list(self, event: EndpointsChanged) -> None:
         states = {} if event.scope in ("all", "remembered") else dict.fromkeys(self.up, "up")
         if event.scope != "refused":
             for row in event.entries:
-                states[row.worker] = row.state
+                states[row.endpoint] = row.state
             self.up = [name for name, state in states.items() if state == "up"]
 
 
--- a/merlinbay/emulator/servers.py
+++ b/merlinbay/emulator/servers.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Protocol
 
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.emulator.loop import Loop, Order
 from merlinbay.emulator.spec import Hall, Kind, Reports, drawn
 
--- a/merlinbay/emulator/spec.py
+++ b/merlinbay/emulator/spec.py
@@ -38,7 +38,7 @@
 ]
 
 
-class BadScript(Exception):
+class ScenarioError(Exception):
     """A script that cannot be played; the text names file, key and cause in one line."""
 
 
@@ -202,7 +202,7 @@
 
 
 def _draws(at: str, part: Strict) -> None:
-    """Check every value of a part that may be drawn. Raises ``BadScript``."""
+    """Check every value of a part that may be drawn. Raises ``ScenarioError``."""
     for field in msgspec.structs.fields(part):
         value = getattr(part, field.name)
         where = f"{at}.{field.name}" if at else field.name
@@ -213,48 +213,48 @@
                 if isinstance(item, Strict):
                     _draws(f"{where}[{number}]", item)
         if isinstance(value, tuple) and value[0] > value[1]:
-            raise BadScript(f"{where}: a range is two numbers, the smaller first")
+            raise ScenarioError(f"{where}: a range is two numbers, the smaller first")
         if isinstance(value, tuple | int | float) and (value[0] if isinstance(value, tuple) else value) < 0:
-            raise BadScript(f"{where}: below 0")
+            raise ScenarioError(f"{where}: below 0")
 
 
 def check(script: Script) -> None:
-    """Check what the types do not say. Raises ``BadScript``."""
+    """Check what the types do not say. Raises ``ScenarioError``."""
     _draws("", script)
     names = {f"s{number}" for number in range(script.hall.servers)}
     for number, trouble in enumerate(script.trouble):
         at = f"trouble[{number}]"
         for name in trouble.servers:
             if name not in names:
-                raise BadScript(f"{at}.servers: no server {name!r}")
+                raise ScenarioError(f"{at}.servers: no server {name!r}")
         for node in trouble.nodes:
             if not 0 <= node < script.hall.nodes:
-                raise BadScript(f"{at}.nodes: no node {node}")
+                raise ScenarioError(f"{at}.nodes: no node {node}")
         start = trouble.at[0] if isinstance(trouble.at, tuple) else trouble.at
         if start >= script.seconds:
-            raise BadScript(f"{at}.at: the script ends after {script.seconds:g} s")
+            raise ScenarioError(f"{at}.at: the script ends after {script.seconds:g} s")
     if not script.hall.zones or not script.hall.kinds:
-        raise BadScript("hall: zones and kinds are needed")
+        raise ScenarioError("hall: zones and kinds are needed")
     if script.hall.queue < 0:
-        raise BadScript("hall.queue: below 0")
+        raise ScenarioError("hall.queue: below 0")
 
 
 def read_value(value: object, name: str) -> Script:
-    """Read a script from plain values. Raises ``BadScript``."""
+    """Read a script from plain values. Raises ``ScenarioError``."""
     try:
         script = msgspec.convert(value, Script)
         check(script)
-    except (msgspec.ValidationError, BadScript) as error:
-        raise BadScript(f"{name}: {error}") from None
+    except (msgspec.ValidationError, ScenarioError) as error:
+        raise ScenarioError(f"{name}: {error}") from None
     return script
 
 
 def read(text: str, name: str) -> Script:
-    """Read a script. Raises ``BadScript``."""
+    """Read a script. Raises ``ScenarioError``."""
     try:
         return read_value(tomllib.loads(text), name)
     except tomllib.TOMLDecodeError as error:
-        raise BadScript(f"{name}: {error}") from None
+        raise ScenarioError(f"{name}: {error}") from None
 
 
 def library() -> dict[str, str]:
@@ -268,11 +268,11 @@
 
 
 def load(name: str) -> Script:
-    """Read a script of the library by its name, or one from a file. Raises ``BadScript``."""
+    """Read a script of the library by its name, or one from a file. Raises ``ScenarioError``."""
     known = library()
     if name in known:
         return read(known[name], name)
     try:
         return read(Path(name).read_text(), name)
     except OSError as error:
-        raise BadScript(f"{name}: {error.strerror}; in the library: {', '.join(known)}") from None
+        raise ScenarioError(f"{name}: {error.strerror}; in the library: {', '.join(known)}") from None
--- a/merlinbay/executor/child.py
+++ b/merlinbay/executor/child.py
@@ -37,7 +37,7 @@
         resource.setrlimit(kind, (value * unit, value * unit))
 
 
-class NotStarted(Exception):
+class ProcessStartError(Exception):
     """The command could not be started; the text says why."""
 
 
@@ -59,7 +59,7 @@
         return self.folder / text
 
     async def run(self) -> int:
-        """Run to the end; return the status as ``subprocess`` has it. Raises ``NotStarted``."""
+        """Run to the end; return the status as ``subprocess`` has it. Raises ``ProcessStartError``."""
         template = self.template
         if template.workingDirectory:
             self.folder = self._path(template.workingDirectory)
@@ -87,7 +87,7 @@
                     preexec_fn=(lambda: set_limits(limits)) if limits else None,
                 )
             except (OSError, ValueError, subprocess.SubprocessError) as error:
-                raise NotStarted(str(error)) from None
+                raise ProcessStartError(str(error)) from None
             finally:
                 self.process_made.set()
         for number in self.early_signals:
--- a/merlinbay/executor/server.py
+++ b/merlinbay/executor/server.py
@@ -10,16 +10,16 @@
 from merlinbay.batch.errors import DrmaaError, invalid_state, unsupported
 from merlinbay.batch.states import ENDED, Event, State
 from merlinbay.clock import Clock
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.drmaa import schema
 from merlinbay.drmaa.answers import JSON, failure, ok
-from merlinbay.executor.child import Child, NotStarted
+from merlinbay.executor.child import Child, ProcessStartError
 from merlinbay.executor.slots import Job, Slots
-from merlinbay.http.client import ConnectionBroken, NotSent
+from merlinbay.http.client import ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 NOTIFY_TRIES, NOTIFY_WAIT = 10, 0.05  # after the first failed try; doubles
@@ -33,7 +33,7 @@
         name: str,
         slots: Slots,
         folder: Path,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
         clock: Clock,
@@ -127,7 +127,7 @@
         self.counters.add("executor_started")
         try:
             status = await child.run()
-        except NotStarted as error:
+        except ProcessStartError as error:
             info.annotation, info.exitStatus = f"not started: {error}", 127
             status = 127
         else:
@@ -183,7 +183,7 @@
                     addr, "POST", f"/{path}", [("content-type", "application/json")], waiting[0]
                 )
                 done = reply.status < 300 or reply.status == 400
-            except (NotSent, ConnectionBroken):
+            except (RequestNotSentError, ConnectionBrokenError):
                 done = False
             if not done and (tries := tries + 1) < NOTIFY_TRIES:
                 await trio.sleep(min(NOTIFY_WAIT * 2**tries, 2.0))
--- a/merlinbay/executor/slots.py
+++ b/merlinbay/executor/slots.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, invalid_state, try_later
-from merlinbay.batch.states import Event, InvalidState, State, after
+from merlinbay.batch.states import Event, InvalidStateError, State, after
 from merlinbay.drmaa.schema import JobInfo, JobTemplate
 
 RETRY_US = 200_000
@@ -90,7 +90,7 @@
         """Suspend or resume. Raises ``DrmaaError``."""
         try:
             job.state = after(job.state, event)
-        except InvalidState as error:
+        except InvalidStateError as error:
             raise invalid_state(str(error)) from None
 
     def end(self, job: Job, event: Event) -> None:
--- a/merlinbay/experiment/grid.py
+++ b/merlinbay/experiment/grid.py
@@ -14,7 +14,7 @@
 
 from merlinbay import __version__
 from merlinbay.emulator import policies, spec
-from merlinbay.emulator.spec import BadScript, Script
+from merlinbay.emulator.spec import ScenarioError, Script
 
 
 class Grid(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -45,16 +45,18 @@
 
 
 def read(path: Path) -> Grid:
-    """Read an experiment. Raises ``BadScript`` with one line."""
+    """Read an experiment. Raises ``ScenarioError`` with one line."""
     try:
         grid = msgspec.convert(tomllib.loads(path.read_text()), Grid)
     except OSError as error:
-        raise BadScript(f"{path}: {error.strerror}") from None
+        raise ScenarioError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise BadScript(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     for name in grid.policies:
         if name not in policies.NAMES:
-            raise BadScript(f"{path}: policies: no policy {name!r}; there are {', '.join(policies.NAMES)}")
+            raise ScenarioError(
+                f"{path}: policies: no policy {name!r}; there are {', '.join(policies.NAMES)}"
+            )
     for cell in itertools.islice(cells(grid), 1):
         script_of(cell.script, cell.settings)
     for script in grid.scripts:
@@ -73,7 +75,7 @@
 
 
 def script_of(name: str, changed: str) -> Script:
-    """Return a script with settings changed. Raises ``BadScript``."""
+    """Return a script with settings changed. Raises ``ScenarioError``."""
     value = msgspec.to_builtins(spec.load(name))
     for key, new in msgspec.json.decode(changed).items():
         at: Any = value
@@ -81,7 +83,7 @@
         for part in rest[:-1]:
             at = at.get(part) if isinstance(at, dict) else None
         if not isinstance(at, dict):
-            raise BadScript(f"{name}: settings: no key {key!r}")
+            raise ScenarioError(f"{name}: settings: no key {key!r}")
         at[rest[-1]] = new
     return spec.read_value(value, f"{name}: settings {changed}")
 
--- a/merlinbay/fleet/agreeing.py
+++ b/merlinbay/fleet/agreeing.py
@@ -15,7 +15,7 @@
 TURN_S = 0.5  # between two looks at who is there
 
 
-class UnstoredVote(Exception):
+class VoteNotStoredError(Exception):
     """A vote could not be stored, so it was not given."""
 
 
@@ -74,7 +74,7 @@
             self._event("epoch_clash", self.me.name, f"{clash.number} is also {', '.join(clash.members)}")
 
     def frame(self, now: float, source: str, data: bytes) -> bytes:
-        """Take a frame; return the answer. Raises ``Refused``, and ``UnstoredVote``."""
+        """Take a frame; return the answer. Raises ``Refused``, and ``VoteNotStoredError``."""
         message = wire.open_sealed(self.keys, self.section.name, data)
         if message["k"] != "epoch":
             answer = super().frame(now, source, data)
@@ -84,7 +84,7 @@
         try:
             vote = self.epochs.request(message)
         except OSError as error:
-            raise UnstoredVote(error.strerror) from None
+            raise VoteNotStoredError(error.strerror) from None
         answer = wire.seal(self.keys, self.section.name, vote)
         self._carry()
         return answer
@@ -95,7 +95,7 @@
         if data is not None:
             try:
                 message = wire.open_sealed(self.keys, self.section.name, data)
-            except wire.Refused:
+            except wire.MessageRejectedError:
                 message = None
         name = self.asked.pop(token, None)
         if name is not None:
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -8,12 +8,12 @@
 import trio
 
 from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.fleet import wire
-from merlinbay.fleet.agreeing import UnstoredVote
+from merlinbay.fleet.agreeing import VoteNotStoredError
 from merlinbay.fleet.effects import Event, Exchange
 from merlinbay.fleet.view import View
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig, address
 
 LENGTH = struct.Struct("!I")
 STREAM_S = 3.0  # for one frame and its answer
@@ -39,14 +39,14 @@
         self.nursery: trio.Nursery | None = None
 
     async def bind(self) -> None:
-        """Take the address. Raises ``BadConfig``."""
+        """Take the address. Raises ``ConfigurationError``."""
         try:
             self.tcp.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
             await self.udp.bind(self.listen)
             await self.tcp.bind(self.listen)
             self.tcp.listen(64)
         except OSError as error:
-            raise BadConfig(
+            raise ConfigurationError(
                 f"fleet.listen: cannot listen at {self.listen[0]}:{self.listen[1]}: {error.strerror}"
             ) from None
 
@@ -87,7 +87,7 @@
     async def _send(self, addr: str, data: bytes) -> None:
         try:
             await self.udp.sendto(data, address(addr))
-        except (OSError, BadConfig):  # a member with an odd address, or a network that is not there
+        except (OSError, ConfigurationError):  # a member with an odd address, or a network that is not there
             self.counters.add("fleet_sends_failed")
 
     async def _datagrams(self) -> None:
@@ -115,7 +115,7 @@
                         stream = trio.SocketStream(sock)
                         await stream.send_all(LENGTH.pack(len(effect.data)) + effect.data)
                         answer = await self._read(stream)
-                except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, BadConfig):
+                except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, ConfigurationError):
                     answer = None
         self.view.exchanged(trio.current_time(), effect.token, answer)
         self.after()
@@ -142,9 +142,9 @@
                     await stream.send_all(LENGTH.pack(len(answer)) + answer)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             self.counters.add("fleet_streams_broken")
-        except wire.Refused:
+        except wire.MessageRejectedError:
             self.after()
-        except UnstoredVote:
+        except VoteNotStoredError:
             self.log.event("fleet_vote_not_stored", level="warning")
         finally:
             limit.release()
--- a/merlinbay/fleet/simulate.py
+++ b/merlinbay/fleet/simulate.py
@@ -23,7 +23,7 @@
 KEYS = wire.Keys((b"k" * 32,))
 
 
-class InvariantViolation(Exception):
+class InvariantViolationError(Exception):
     """Something does not hold that must; the text says what, when and at which node."""
 
 
@@ -171,10 +171,13 @@
         self.now = until
 
     def agreed(self, node: str, epoch: Epoch) -> None:
-        """Note an epoch that a node has as chosen. Raises ``InvariantViolation`` where another differs."""
+        """Note an epoch that a node has as chosen.
+
+        Raises ``InvariantViolationError`` where another differs.
+        """
         known = self.epochs.setdefault(epoch.number, epoch)
         if known != epoch:
-            raise InvariantViolation(
+            raise InvariantViolationError(
                 f"{self.now:.3f}: {node} has epoch {epoch.number} as {epoch.members}, not {known.members}"
             )
 
@@ -186,7 +189,7 @@
         wait = net.delay * self.rng.uniform(0.5, 1.5)
         if isinstance(effect, Send):
             if len(effect.data) > wire.DATAGRAM:
-                raise InvariantViolation(
+                raise InvariantViolationError(
                     f"{self.now:.3f}: {node.name} sends a datagram of {len(effect.data)} bytes"
                 )
             self.packets, self.bytes = self.packets + 1, self.bytes + len(effect.data)
@@ -219,7 +222,7 @@
         if node.view is not None and not node.stopped:
             try:
                 answer = node.view.frame(self.now, back.addr, effect.data)
-            except wire.Refused:
+            except wire.MessageRejectedError:
                 answer = None
             node.after()
             self.bytes += len(answer or b"")
@@ -241,18 +244,18 @@
         return [node for node in self.nodes.values() if node.view is not None and not node.stopped]
 
     def check(self) -> None:
-        """Check what holds at any time. Raises ``InvariantViolation``."""
+        """Check what holds at any time. Raises ``InvariantViolationError``."""
         most = 64 + 3 * len(self.nodes) + 8
         for node in self.live():
             assert node.view is not None
             if len(node.view.members) > most or len(node.view.timers) > 60 + 40 * len(node.view.members):
-                raise InvariantViolation(
+                raise InvariantViolationError(
                     f"{self.now:.3f}: {node.name} keeps {len(node.view.members)} members and "
                     f"{len(node.view.timers)} timers"
                 )
             for member in node.view.members.values():
                 if member.claim.incarnation < node.seen.get(member.name, 0):
-                    raise InvariantViolation(f"{self.now:.3f}: {member.name} went back at {node.name}")
+                    raise InvariantViolationError(f"{self.now:.3f}: {member.name} went back at {node.name}")
                 node.seen[member.name] = member.claim.incarnation
 
     def settled(self) -> str:
--- a/merlinbay/fleet/stories.py
+++ b/merlinbay/fleet/stories.py
@@ -12,7 +12,7 @@
 
 from merlinbay.fleet.effects import Event
 from merlinbay.fleet.settings import Fleet
-from merlinbay.fleet.simulate import InvariantViolation, Node, Simulation
+from merlinbay.fleet.simulate import InvariantViolationError, Node, Simulation
 
 TROUBLE = 72.0  # seconds that troubles last at the most
 QUIET = 75.0  # seconds after the last trouble by which all views of up to nine nodes are the same
@@ -57,7 +57,7 @@
         )
 
     def __call__(self, node: Node, event: Event) -> None:
-        """Look at one event. Raises ``InvariantViolation``."""
+        """Look at one event. Raises ``InvariantViolationError``."""
         if event.what == "died":
             self.deaths.setdefault(event.name, []).append(self.sim.now)
         if event.what != "died" and not (event.what == "suspected" and self.clean):
@@ -67,16 +67,18 @@
             return
         accuser = node.view.members[event.name].claim.by or node.name
         if not self.excused(accuser, event.name, self.sim.now):
-            raise InvariantViolation(
+            raise InvariantViolationError(
                 f"{self.sim.now:.3f}: {node.name} was told that {event.name} {event.what}, by "
                 f"{accuser}; nothing was done to either"
             )
 
     def came_round(self) -> None:
-        """Check how soon deaths came round. Raises ``InvariantViolation``."""
+        """Check how soon deaths came round. Raises ``InvariantViolationError``."""
         for name, times in self.deaths.items():
             if max(times) - min(times) > ROUND:
-                raise InvariantViolation(f"the death of {name} came round in {max(times) - min(times):.1f} s")
+                raise InvariantViolationError(
+                    f"the death of {name} came round in {max(times) - min(times):.1f} s"
+                )
 
 
 WHAT = ["kill", "away", "restart", "leave", "part", "one way", "pair", "stop", "loop", "disk"]
@@ -144,7 +146,7 @@
 
 
 def story(seed: int, check: bool = True) -> Simulation:
-    """Play one seed: troubles for a minute, then quiet. Raises ``InvariantViolation``."""
+    """Play one seed: troubles for a minute, then quiet. Raises ``InvariantViolationError``."""
     rng = Random(f"{seed}/story")
     count = rng.randint(3, 9)
     expect = rng.choice([0, count])
@@ -170,7 +172,7 @@
     if check and gentle and watch.clean:
         watch.came_round()
     if check and (wrong := sim.settled() or sim.agrees()):
-        raise InvariantViolation(f"seed {seed}: {QUIET:g} s after the last trouble {wrong}")
+        raise InvariantViolationError(f"seed {seed}: {QUIET:g} s after the last trouble {wrong}")
     return sim
 
 
--- a/merlinbay/fleet/view.py
+++ b/merlinbay/fleet/view.py
@@ -278,7 +278,7 @@
         self.now = max(self.now, now)
         try:
             message = self._open(source, data)
-        except wire.Refused:
+        except wire.MessageRejectedError:
             return
         self._claims(message)
         kind, seq = message["k"], message.get("q")
@@ -305,7 +305,7 @@
         self.now = max(self.now, now)
         message = self._open(source, data)
         if message["k"] != "state":
-            raise wire.Refused("no state")
+            raise wire.MessageRejectedError("no state")
         if why := self._unwelcome(message):
             self._event("refused", str(message.get("f"))[:64], why)
             return wire.seal(self.keys, self.section.name, {"k": "no", "why": why})
@@ -343,7 +343,7 @@
             return
         try:
             message = self._open(addr, data)
-        except wire.Refused:
+        except wire.MessageRejectedError:
             return
         if message["k"] == "no":
             self._event("refused", self.me.name, f"by {addr}: {str(message.get('why'))[:200]}")
@@ -354,7 +354,7 @@
     def _open(self, source: str, data: bytes) -> dict[str, Any]:
         try:
             return wire.open_sealed(self.keys, self.section.name, data)
-        except wire.Refused as error:
+        except wire.MessageRejectedError as error:
             if self.counts.get("packets_refused", 0) < 1 or str(error) != "garbage":
                 self._event("packets_refused", source, str(error))
             else:
--- a/merlinbay/fleet/walk.py
+++ b/merlinbay/fleet/walk.py
@@ -11,7 +11,7 @@
 from merlinbay.fleet.epochs import Epoch, Epochs, Kept, identity, name_of
 
 
-class EpochConflict(Exception):
+class EpochConflictError(Exception):
     """Two nodes hold one epoch to be two things."""
 
 
@@ -37,7 +37,7 @@
         def store(kept: Kept) -> None:
             if kept.epoch.number and self.epochs.setdefault(kept.epoch.number, kept.epoch) != kept.epoch:
                 known = self.epochs[kept.epoch.number].members
-                raise EpochConflict(
+                raise EpochConflictError(
                     f"{name} has epoch {kept.epoch.number} as {kept.epoch.members}, not {known}"
                 )
             self.disks[name] = kept
@@ -92,7 +92,7 @@
 
 
 def walk(seed: int, steps: int = 600) -> Walk:
-    """Walk. Raises ``EpochConflict``."""
+    """Walk. Raises ``EpochConflictError``."""
     found = Walk(seed)
     for _ in range(steps):
         found.step()
--- a/merlinbay/fleet/wire.py
+++ b/merlinbay/fleet/wire.py
@@ -24,7 +24,7 @@
 _unpack = msgspec.msgpack.Decoder().decode
 
 
-class Refused(Exception):
+class MessageRejectedError(Exception):
     """What came is not for us; the text says why in a few words."""
 
 
@@ -61,21 +61,21 @@
 
 
 def open_sealed(keys: Keys, fleet: str, data: bytes) -> dict[str, Any]:
-    """Read a message. Raises ``Refused``."""
+    """Read a message. Raises ``MessageRejectedError``."""
     if len(data) < 4 + TAG or data[:2] != MAGIC:
-        raise Refused("garbage")
+        raise MessageRejectedError("garbage")
     if data[2] < OLDEST:
-        raise Refused(f"version {data[2]}, {OLDEST} is the oldest that is understood")
+        raise MessageRejectedError(f"version {data[2]}, {OLDEST} is the oldest that is understood")
     end = 4 + data[3]
     head, tag, body = data[:end], data[end : end + TAG], data[end + TAG :]
     if head[4:] != fleet.encode():
-        raise Refused(f"of fleet {head[4:].decode(errors='replace')!r}")
+        raise MessageRejectedError(f"of fleet {head[4:].decode(errors='replace')!r}")
     if not any(hmac.compare_digest(tag, _sign(key, head, body)) for key in keys.keys):
-        raise Refused("key")
+        raise MessageRejectedError("key")
     try:
         message = _unpack(body)
     except (msgspec.DecodeError, RecursionError):
-        raise Refused("garbage under a good key") from None
+        raise MessageRejectedError("garbage under a good key") from None
     if not isinstance(message, dict) or not isinstance(message.get("k"), str):
-        raise Refused("no message")
+        raise MessageRejectedError("no message")
     return message
--- a/merlinbay/fleet/wiring.py
+++ b/merlinbay/fleet/wiring.py
@@ -12,8 +12,10 @@
 
 import trio
 
-from merlinbay.core import ports
+from merlinbay.core.messages import BalancersChanged, Message
+from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.fleet.agreeing import AgreeingView
 from merlinbay.fleet.boots import disk_of, load_kept, next_boot, store_kept
 from merlinbay.fleet.control import FleetControl
@@ -25,7 +27,6 @@
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig, address
 
 CLOCK = "MERLINBAY_CLOCK_OFFSET"  # seconds that the rig sets this process's wall clock off by
 
@@ -36,8 +37,8 @@
     def __init__(
         self,
         section: Fleet,
-        facts: ports.NodeFacts,
-        inbox: trio.MemorySendChannel[ports.Message],
+        facts: NodeIdentity,
+        inbox: trio.MemorySendChannel[Message],
         counters: Counters,
         log: Log,
     ) -> None:
@@ -46,13 +47,13 @@
         try:
             self.keys = Keys.load(section.keys)
         except ValueError as error:
-            raise BadConfig(f"fleet.keys: {error}") from None
+            raise ConfigurationError(f"fleet.keys: {error}") from None
         unix = time.time() + float(os.environ.get(CLOCK, "0"))
         try:
             incarnation = next_boot(section.data, unix)
             disk = disk_of(section.data) if section.data else ""
         except OSError as error:
-            raise BadConfig(f"fleet.data: {section.data}: {error.strerror}") from None
+            raise ConfigurationError(f"fleet.data: {section.data}: {error.strerror}") from None
         me = fresh(
             facts.name,
             section.advertise or section.listen,
@@ -68,7 +69,7 @@
             try:
                 kept = load_kept(path)
             except (OSError, ValueError) as error:
-                raise BadConfig(f"fleet.data: {path}: {error}") from None
+                raise ConfigurationError(f"fleet.data: {path}: {error}") from None
             self.view: View = AgreeingView(
                 section,
                 self.keys,
@@ -98,11 +99,11 @@
         return found
 
     def reload(self) -> None:
-        """Read the keys again. Raises ``BadConfig``; what cannot be used changes nothing."""
+        """Read the keys again. Raises ``ConfigurationError``; what cannot be used changes nothing."""
         try:
             self.keys = Keys.load(self.section.keys)
         except ValueError as error:
-            raise BadConfig(f"fleet.keys: {error}") from None
+            raise ConfigurationError(f"fleet.keys: {error}") from None
         self.view.keys = self.keys
 
     def _count(self) -> None:
@@ -112,13 +113,13 @@
         counted = max(len(names), 1), names.index(self.view.me.name) if self.view.me.name in names else 0
         if counted != self.counted and not self.view.yielded:
             try:
-                self.inbox.send_nowait(ports.BalancersCounted(*counted))
+                self.inbox.send_nowait(BalancersChanged(*counted))
                 self.counted = counted
             except (trio.WouldBlock, trio.BrokenResourceError):
                 pass  # told with the next change, or never: the owner has ended
 
     async def listen(self, nursery: trio.Nursery) -> None:
-        """Take the addresses and begin. Raises ``BadConfig``."""
+        """Take the addresses and begin. Raises ``ConfigurationError``."""
         await self.net.bind()
         if self.section.control:
             listener = Listener(
@@ -128,7 +129,9 @@
             try:
                 sock = await listener.bind(host, port)
             except OSError as error:
-                raise BadConfig(f"fleet.control: cannot listen at {host}:{port}: {error.strerror}") from None
+                raise ConfigurationError(
+                    f"fleet.control: cannot listen at {host}:{port}: {error.strerror}"
+                ) from None
             nursery.start_soon(listener.serve, sock)
         nursery.start_soon(self.net.run)
         nursery.start_soon(self._gauge)
@@ -162,10 +165,10 @@
 
 def wire(
     section: Fleet,
-    facts: ports.NodeFacts,
-    inbox: trio.MemorySendChannel[ports.Message],
+    facts: NodeIdentity,
+    inbox: trio.MemorySendChannel[Message],
     counters: Counters,
     log: Log,
 ) -> FleetParts | None:
-    """Make the parts; None: the section is off. Raises ``BadConfig``."""
+    """Make the parts; None: the section is off. Raises ``ConfigurationError``."""
     return FleetParts(section, facts, inbox, counters, log) if section.listen else None
--- a/merlinbay/handover/control_socket.py
+++ b/merlinbay/handover/control_socket.py
@@ -15,7 +15,7 @@
 import trio
 
 from merlinbay.handover import messages
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
 PEER = struct.Struct("3i")  # struct ucred: process, user, group (unix(7))
 
@@ -23,7 +23,7 @@
 class ControlSocket:
     """One connection between them."""
 
-    def __init__(self, sock: trio.socket.SocketType, limits: Limits) -> None:
+    def __init__(self, sock: trio.socket.SocketType, limits: ResourceLimits) -> None:
         self.sock, self.limits = sock, limits
         self.out, self.waiting = trio.open_memory_channel[tuple[messages.Word, int]](limits.inbox)
 
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from merlinbay.core.ports import AttemptFinished, AttemptProgress, AttemptStarted, ServiceEntry
+from merlinbay.core.messages import AttemptFinished, AttemptProgress, AttemptStarted
+from merlinbay.core.values import ServiceEntry
 from merlinbay.decision.learned import Learned, LearnedWorker
 
 SPEAKS = 1  # raised when words change their meaning; another number's process is not replaced but stopped
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -15,18 +15,25 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import (
+    Callback,
+    CallbackRelayed,
+    MaintenanceRequested,
+    Message,
+    SnapshotRequested,
+)
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.decision.learned import Learned
 from merlinbay.handover import control_socket, messages
 from merlinbay.handover.control_socket import ControlSocket
-from merlinbay.http.attendance import Attendance
+from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Connection
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-Listing = Callable[[], tuple[int | None, list[ports.ServiceEntry]]]
+Listing = Callable[[], tuple[int | None, list[ServiceEntry]]]
 
 
 @dataclass
@@ -37,7 +44,7 @@
     away: bool
     learned: Learned
     clock_us: int  # the predecessor's clock as it told; 0: it has not told
-    entries: list[ports.ServiceEntry] = field(default_factory=list)
+    entries: list[ServiceEntry] = field(default_factory=list)
 
 
 class Takeover:
@@ -46,10 +53,10 @@
     def __init__(
         self,
         path: Path,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         listener: Listener,
-        attendance: Attendance,
-        limits: Limits,
+        attendance: ClientSteering,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
         clock: Clock,
@@ -64,7 +71,7 @@
 
     # Core's port.
 
-    def unclaimed(self, message: ports.CallBack) -> bool:
+    def unclaimed(self, message: Callback) -> bool:
         """Pass a call-back on that is for no request here; tell whether there is anybody to pass it to."""
         return self._post(messages.Unclaimed(message))
 
@@ -170,7 +177,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(end.write)
-            await self.inbox.send(ports.LearnedAsked(told))
+            await self.inbox.send(SnapshotRequested(told))
             await self._hear(end)
             self.successor, self.succeeded = None, False
             nursery.cancel_scope.cancel()
@@ -215,9 +222,9 @@
             if descriptor >= 0:
                 os.close(descriptor)
             if isinstance(word, messages.Unclaimed):
-                await self.inbox.send(ports.Relayed(word.message))
+                await self.inbox.send(CallbackRelayed(word.message))
             elif isinstance(word, messages.Banned):
-                await self.inbox.send(ports.MaintenanceAsked(word.server, word.on, None))
+                await self.inbox.send(MaintenanceRequested(word.server, word.on, None))
             elif isinstance(word, messages.Away):
                 self.attendance.turn(word.away, relayed=True)
             elif isinstance(word, messages.Serves):
--- a/merlinbay/handover/wiring.py
+++ b/merlinbay/handover/wiring.py
@@ -9,22 +9,22 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import Message
 from merlinbay.counters import Counters
 from merlinbay.handover.takeover import Takeover
-from merlinbay.http.attendance import Attendance
+from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 
 def wire(
     name: str,
     listen: tuple[str, int],
-    inbox: trio.MemorySendChannel[ports.Message],
+    inbox: trio.MemorySendChannel[Message],
     listener: Listener,
-    attendance: Attendance,
-    limits: Limits,
+    attendance: ClientSteering,
+    limits: ResourceLimits,
     counters: Counters,
     log: Log,
     clock: Clock,
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -9,7 +9,7 @@
 import trio
 
 from merlinbay.http.sockets import readable, send_all
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
 # What the other side, or the way to it, is the cause of,
 REFUSALS = (
@@ -32,40 +32,40 @@
 )
 
 
-class NotSent(Exception):
+class RequestNotSentError(Exception):
     """The connection never came up, or broke before the request's last byte was written."""
 
 
-class DialTimedOut(NotSent):
+class ConnectTimeoutError(RequestNotSentError):
     """No connection in time: the server is gone silently, or holds as many as it accepts."""
 
 
-class ConnectionRefused(NotSent):
+class ConnectRefusedError(RequestNotSentError):
     """Nothing listens there, or there is no way to it."""
 
 
-class LocalShortage(NotSent):
+class LocalResourceError(RequestNotSentError):
     """A descriptor, a port or memory is missing on this machine: that says nothing of the server."""
 
 
-class Withheld(NotSent):
+class AttemptWithheldError(RequestNotSentError):
     """The last look before the first byte found that the request is not to be sent any more."""
 
 
-class ConnectionBroken(Exception):
+class ConnectionBrokenError(Exception):
     """The connection broke, or spoke no HTTP, after the request's last byte was written."""
 
 
-class UnreadableAnswer(ConnectionBroken):
+class UnreadableResponseError(ConnectionBrokenError):
     """The answer is no HTTP, or larger than is taken: the other side has not broken the connection."""
 
 
-def dial_error(error: OSError | ValueError) -> type[NotSent]:
+def dial_error(error: OSError | ValueError) -> type[RequestNotSentError]:
     """Return what a connection that failed to come up stands for."""
     number = error.errno if isinstance(error, OSError) else None
     if number in SHORTAGES:
-        return LocalShortage
-    return ConnectionRefused if number in REFUSALS else NotSent
+        return LocalResourceError
+    return ConnectRefusedError if number in REFUSALS else RequestNotSentError
 
 
 Headers = list[tuple[str, str]]
@@ -83,7 +83,9 @@
 class ClientConnection:
     """One connection to a server."""
 
-    def __init__(self, sock: trio.socket.SocketType, host: str, limits: Limits, body_bytes: int) -> None:
+    def __init__(
+        self, sock: trio.socket.SocketType, host: str, limits: ResourceLimits, body_bytes: int
+    ) -> None:
         self.sock, self.host, self.limits, self.body_bytes = sock, host, limits, body_bytes
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.head_bytes)
         self.idle_since = 0.0
@@ -91,22 +93,25 @@
 
     @classmethod
     async def dial(
-        cls, addr: str, limits: Limits, body_bytes: int = 0, timeout: float = 0.0
+        cls, addr: str, limits: ResourceLimits, body_bytes: int = 0, timeout: float = 0.0
     ) -> ClientConnection:
-        """Open a connection, or raise ``NotSent``. The usual time-out is that for real servers."""
+        """Open a connection, or raise ``RequestNotSentError``.
+
+        The usual time-out is that for real servers.
+        """
         timeout = timeout or limits.dial
         host, _, port = addr.rpartition(":")
         try:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
         except OSError as error:  # Guards against running out of descriptors: nothing was sent.
-            raise LocalShortage(f"socket: {error}") from None
+            raise LocalResourceError(f"socket: {error}") from None
         try:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
             with trio.fail_after(timeout):
                 await sock.connect((host, int(port)))
         except trio.TooSlowError:
             sock.close()
-            raise DialTimedOut(f"dial {addr}: no answer in {timeout} s") from None
+            raise ConnectTimeoutError(f"dial {addr}: no answer in {timeout} s") from None
         except (OSError, ValueError) as error:
             sock.close()
             raise dial_error(error)(f"dial {addr}: {error}") from None
@@ -130,7 +135,10 @@
         self.sock.close()
 
     async def exchange(self, method: str, target: str, headers: Headers, body: bytes = b"") -> Reply:
-        """Send a request and return its answer. Raises ``NotSent`` or ``ConnectionBroken``."""
+        """Send a request and return its answer.
+
+        Raises ``RequestNotSentError`` or ``ConnectionBrokenError``.
+        """
         # Guards against header bytes beyond ASCII, which pass on as they came.
         everything = [
             (name.encode(), value.encode("latin-1", "replace"))
@@ -150,14 +158,14 @@
             data += self.h11.send(h11.EndOfMessage()) or b""
             await send_all(self.sock, data)
         except (OSError, h11.LocalProtocolError) as error:
-            raise NotSent(str(error)) from None
+            raise RequestNotSentError(str(error)) from None
         try:
             return await self._reply()
         except OSError as error:
-            raise ConnectionBroken(str(error)) from None
+            raise ConnectionBrokenError(str(error)) from None
         except h11.RemoteProtocolError as error:
             ended = self.h11.trailing_data[1]
-            raise (ConnectionBroken if ended else UnreadableAnswer)(str(error)) from None
+            raise (ConnectionBrokenError if ended else UnreadableResponseError)(str(error)) from None
 
     async def _reply(self) -> Reply:
         head: h11.Response | None = None
@@ -171,7 +179,7 @@
             elif type(event) is h11.Data:
                 body += event.data
                 if len(body) > self.body_bytes:
-                    raise UnreadableAnswer("the answer is too large")
+                    raise UnreadableResponseError("the answer is too large")
             elif type(event) is h11.EndOfMessage and head is not None:
                 if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
                     self.h11.start_next_cycle()
@@ -181,4 +189,4 @@
                     bytes(body),
                 )
             elif type(event) is h11.ConnectionClosed:
-                raise ConnectionBroken("the connection ended before the answer")
+                raise ConnectionBrokenError("the connection ended before the answer")
--- a/merlinbay/http/attendance.py
+++ b/merlinbay/http/client_steering.py
@@ -7,13 +7,13 @@
 import trio
 
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
 
-class Attendance:
+class ClientSteering:
     """Sends clients away and takes them back. No connection of a real server is touched."""
 
-    def __init__(self, listener: Listener, limits: Limits) -> None:
+    def __init__(self, listener: Listener, limits: ResourceLimits) -> None:
         self.listener, self.limits = listener, limits
         self.away = False  # clients are to go elsewhere
         self.changed = trio.Event()
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -13,7 +13,7 @@
 
 from merlinbay.http.messages import Request, Response, encode_response, header_table
 from merlinbay.http.sockets import Sock, readable, send_all
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
 __all__ = ["Connection", "Give", "Handler", "Prepare", "Request", "Response"]
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         sock: trio.socket.SocketType,
-        limits: Limits,
+        limits: ResourceLimits,
         handler: Handler,
         nursery: trio.Nursery,
         prepare: Prepare | None = None,
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -7,21 +7,24 @@
 
 import trio
 
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.http.client import (
+    AttemptWithheldError,
     ClientConnection,
-    DialTimedOut,
+    ConnectTimeoutError,
     Headers,
-    LocalShortage,
-    NotSent,
+    LocalResourceError,
     Reply,
-    Withheld,
+    RequestNotSentError,
 )
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 
 LastLook = Callable[[], Headers]
-"""Called right before the first byte. Returns the headers that tell of that moment; raises ``Withheld``."""
+"""Called right before the first byte.
+
+Returns the headers that tell of that moment; raises ``AttemptWithheldError``.
+"""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +41,7 @@
 
     def __init__(
         self,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         serves: Callable[[str], bool] = lambda name: True,
     ) -> None:
@@ -77,17 +80,18 @@
         """Have one exchange, and keep the connection if it can carry another.
 
         One that places a job has a ``last_look``: it goes to no server that has left since it was chosen,
-        and not if the look raises ``Withheld``. The connection ends after an answer that ``keeps_after``
+        and not if the look raises ``AttemptWithheldError``. The connection ends after an answer that
+        ``keeps_after``
         does not accept. One whose answer proves nothing needs no ``rested`` connection.
         """
         server = self.servers.get(name)
         if server is None:
-            raise NotSent("not listed")
+            raise RequestNotSentError("not listed")
         connection = await self._connection(server, rested)
         if last_look is not None:
             try:
                 headers = headers + self._look(name, server, last_look)
-            except Withheld:
+            except AttemptWithheldError:
                 self.counters.add("sends_withheld")
                 self._keep(name, server, connection, connection.rests_until)
                 raise
@@ -114,10 +118,10 @@
                     self._close(server.idle.pop(0))
 
     def _look(self, name: str, server: RealServer, last_look: LastLook) -> Headers:
-        """Look at the server, then at the request. Raises ``Withheld``."""
+        """Look at the server, then at the request. Raises ``AttemptWithheldError``."""
         # Guards against a drain told between placing and the first byte: a dial, or a long turn, lay between.
         if not self.serves(name) or self.servers.get(name) is not server:
-            raise Withheld("its server has left since it was chosen")
+            raise AttemptWithheldError("its server has left since it was chosen")
         return last_look()
 
     async def _connection(self, server: RealServer, rested: bool) -> ClientConnection:
@@ -133,16 +137,18 @@
         if self.connections >= self.limits.server_connections:
             self._make_room()
         if self.connections >= self.limits.server_connections:
-            raise LocalShortage("no descriptor left for real servers")
+            raise LocalResourceError("no descriptor left for real servers")
         self.connections += 1
         try:
             connection = await ClientConnection.dial(server.addr, self.limits)
         except BaseException as error:
             self.connections -= 1
-            if isinstance(error, LocalShortage):
+            if isinstance(error, LocalResourceError):
                 self.counters.add("dials_short")
-            elif isinstance(error, NotSent):
-                self.counters.add("dials_timed_out" if isinstance(error, DialTimedOut) else "dials_refused")
+            elif isinstance(error, RequestNotSentError):
+                self.counters.add(
+                    "dials_timed_out" if isinstance(error, ConnectTimeoutError) else "dials_refused"
+                )
             raise
         self.counters.add("server_connections")
         return connection
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -10,7 +10,7 @@
 from merlinbay.counters import Counters
 from merlinbay.http.connection import Connection, Give, Handler, Prepare
 from merlinbay.http.sockets import with_plain_socket
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 # The client's connection was at fault, and is gone: the next one is accepted at once.
@@ -30,7 +30,7 @@
 class Listener:
     """Accepts connections, so many at the most."""
 
-    def __init__(self, handler: Handler, limits: Limits, counters: Counters, log: Log) -> None:
+    def __init__(self, handler: Handler, limits: ResourceLimits, counters: Counters, log: Log) -> None:
         self.handler, self.limits, self.counters, self.log = handler, limits, counters, log
         self.connections: set[Connection] = set()
         self.prepare: Prepare | None = None  # what makes TLS of what is accepted
--- a/merlinbay/http/servers.py
+++ b/merlinbay/http/servers.py
@@ -7,30 +7,34 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
-from merlinbay.core.ports import ServerAttempt, ServiceEntry
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.messages import AttemptFinished, Message
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import (
-    ConnectionBroken,
+    AttemptWithheldError,
+    ConnectionBrokenError,
     Headers,
-    LocalShortage,
-    NotSent,
+    LocalResourceError,
     Reply,
-    UnreadableAnswer,
-    Withheld,
+    RequestNotSentError,
+    UnreadableResponseError,
 )
 from merlinbay.http.pool import ConnectionPool, LastLook
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 UNREADABLE = 0  # the status of an answer that is no HTTP, or larger than is taken
 
 
 def check_may_begin(attempt: ServerAttempt) -> Headers:
-    """Look at an attempt right before its first byte, as a pool's last look. Raises ``Withheld``."""
+    """Look at an attempt right before its first byte, as a pool's last look.
+
+    Raises ``AttemptWithheldError``.
+    """
     if not attempt.may_begin():
-        raise Withheld("its client has left, or its class allows it no more")
+        raise AttemptWithheldError("its client has left, or its class allows it no more")
     return []
 
 
@@ -41,9 +45,9 @@
         self,
         nursery: trio.Nursery,
         pool: ConnectionPool,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
@@ -84,14 +88,14 @@
             return await self.pool.exchange(
                 server, method, target, headers, body, last_look, keeps_after, rested
             )
-        except (Withheld, LocalShortage):
+        except (AttemptWithheldError, LocalResourceError):
             # Guards against servers that are left out as failing for what this machine lacks.
             return Outcome.MOOT
-        except NotSent:
+        except RequestNotSentError:
             return Outcome.CONNECT_FAILED
-        except UnreadableAnswer:
+        except UnreadableResponseError:
             return Reply(UNREADABLE, {}, b"")
-        except ConnectionBroken:
+        except ConnectionBrokenError:
             return Outcome.RESET
 
     async def ended(
@@ -102,9 +106,9 @@
         unfit: bool = False,
     ) -> None:
         """Tell how an attempt ended."""
-        await self.post(ports.AttemptFinished(attempt.spec.name, attempt.server, outcome, b"", report, unfit))
+        await self.post(AttemptFinished(attempt.spec.name, attempt.server, outcome, b"", report, unfit))
 
-    async def post(self, message: ports.Message) -> None:
+    async def post(self, message: Message) -> None:
         """Put a message into the owner's inbox."""
         try:
             await self.inbox.send(message)
--- a/merlinbay/limits.py
+++ b/merlinbay/limits.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from merlinbay.decision import api
+from merlinbay.decision.settings import Settings
 
 
 @dataclass(frozen=True)
-class Limits:
+class ResourceLimits:
     """Sizes in bytes, times in seconds unless the name ends in ``_us``."""
 
     body_bytes: int = 64 * 1024
@@ -82,13 +82,13 @@
 
 
 def limits_from(
-    sockets: int, memory_mb: int, settings: api.Settings, dial_us: int, keepalive_us: int, most_held: int
-) -> Limits:
+    sockets: int, memory_mb: int, settings: Settings, dial_us: int, keepalive_us: int, most_held: int
+) -> ResourceLimits:
     """Divide the descriptors between the edge, the real servers and the rest; take times from the site."""
     usable = max(sockets - 32, 16)  # the interpreter, trio, discovery and the listener hold the others
     longest = max(job_class.deadline_us for job_class in settings.classes) / 1e6
     ask_in = settings.safety.must_ask_in_us / 1e6
-    return Limits(
+    return ResourceLimits(
         # Guards against a door shut for want of places while descriptors lie idle: clients that write slowly,
         # or stay without a word, hold most of them while a node takes its neighbour's clients as well.
         edge_connections=usable * 65 // 100,
@@ -98,10 +98,10 @@
         finished_bytes=memory_mb * 1024 * 1024 // 12,
         waits=usable * 55 // 100 // 8,
         inbox=min(4096, max(256, memory_mb * 16)),
-        dial=dial_us / 1e6 if dial_us > 0 else Limits.dial,
-        pool_idle=keepalive_us / 1e6 * 0.7 if keepalive_us > 0 else Limits.pool_idle,
-        watch_wait=min(Limits.watch_wait, ask_in / 3) if ask_in else Limits.watch_wait,
-        dns_most=min(Limits.dns_most, ask_in / 3) if ask_in else Limits.dns_most,
+        dial=dial_us / 1e6 if dial_us > 0 else ResourceLimits.dial,
+        pool_idle=keepalive_us / 1e6 * 0.7 if keepalive_us > 0 else ResourceLimits.pool_idle,
+        watch_wait=min(ResourceLimits.watch_wait, ask_in / 3) if ask_in else ResourceLimits.watch_wait,
+        dns_most=min(ResourceLimits.dns_most, ask_in / 3) if ask_in else ResourceLimits.dns_most,
         # Guards against SIGKILL, which comes 0.7 s after the longest deadline, counted as 3 s at the most.
         stop_serving=min(longest, 3.0) + 0.1,
         stop_most=min(longest, 3.0) + 0.65,
--- a/merlinbay/monitor/filters.py
+++ b/merlinbay/monitor/filters.py
@@ -49,7 +49,7 @@
 Test = Callable[[Getter], bool]
 
 
-class BadFilter(Exception):
+class FilterError(Exception):
     """A filter that cannot be meant; the text names the column, from 1 on."""
 
 
@@ -73,9 +73,9 @@
     def _kind(self, name: Token) -> type:
         self.terms += 1
         if self.terms > TERMS:
-            raise BadFilter(f"column {column(name)}: more than {TERMS} terms")
+            raise FilterError(f"column {column(name)}: more than {TERMS} terms")
         if name not in self.kinds:
-            raise BadFilter(f"column {column(name)}: no attribute {str(name)!r}")
+            raise FilterError(f"column {column(name)}: no attribute {str(name)!r}")
         return self.kinds[name]
 
     def _value(self, token: Token, kind: type) -> Any:
@@ -90,10 +90,10 @@
             except ValueError:
                 moment = datetime.min
             if moment.tzinfo is None:
-                raise BadFilter(f"column {column(token)}: a time is RFC 3339 with its zone")
+                raise FilterError(f"column {column(token)}: a time is RFC 3339 with its zone")
             return moment
         wants = {str: "a string", list: "a string", float: "a number", datetime: "a time in quotes"}[kind]
-        raise BadFilter(f"column {column(token)}: {wants} is wanted")
+        raise FilterError(f"column {column(token)}: {wants} is wanted")
 
     def start(self, children: list[Test]) -> Test:
         """Return the whole."""
@@ -121,7 +121,7 @@
         """Return a comparison; one of a list holds if it holds for one of its members."""
         kind, compare, key = self._kind(name), COMPARES[sign], str(name)
         if kind is list and sign not in ("==", "!="):
-            raise BadFilter(f"column {column(sign)}: {key} is a list: == or != is wanted")
+            raise FilterError(f"column {column(sign)}: {key} is a list: == or != is wanted")
         wanted = self._value(value, kind)
         if kind is list:
             return lambda get: ((wanted in (get(key) or ())) is (sign == "==")) and bool(get(key))
@@ -159,13 +159,13 @@
 
 
 def compiled(text: str, kinds: Mapping[str, type]) -> Test:
-    """Compile a filter over attributes of the given types. Raises ``BadFilter``.
+    """Compile a filter over attributes of the given types. Raises ``FilterError``.
 
     Types: ``str``, ``float``, ``datetime``, and ``list`` (of strings). The test calls its argument with an
     attribute's name and gets its value, or None.
     """
     if len(text) > LENGTH:
-        raise BadFilter(f"column {LENGTH + 1}: more than {LENGTH} characters")
+        raise FilterError(f"column {LENGTH + 1}: more than {LENGTH} characters")
     depth = nots = 0
     try:
         # Guards against nesting that would exhaust the stack: it is counted before anything is built of it.
@@ -173,13 +173,13 @@
             depth += (found[0] == "(") - (found[0] == ")")
             nots += found[0] == "not"
             if depth > DEPTH or nots > NOTS:
-                raise BadFilter(f"column {found.start() + 1}: nested too deeply")
+                raise FilterError(f"column {found.start() + 1}: nested too deeply")
         return _Compiler(kinds).transform(_parser().parse(text))
     except VisitError as error:
-        if isinstance(error.orig_exc, BadFilter):
+        if isinstance(error.orig_exc, FilterError):
             raise error.orig_exc from None
         raise
     except UnexpectedInput as error:
         token = getattr(error, "token", None)
         at = len(text) if token is not None and token.type == "$END" else error.pos_in_stream or 0
-        raise BadFilter(f"column {at + 1}: it makes no sense there") from None
+        raise FilterError(f"column {at + 1}: it makes no sense there") from None
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -13,12 +13,14 @@
 
 from merlinbay.clock import Clock
 from merlinbay.config import Config, load, reload
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import DirectoryMoved, EntriesChanged, Message, ServerSide, Stopping
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.interfaces import ServerTransport
+from merlinbay.core.messages import DiscoveryReloaded, EndpointListReceived, Message, ShutdownRequested
 from merlinbay.counters import Counters
 from merlinbay.decision import Balancer
 from merlinbay.decision.learned import adopt
-from merlinbay.http.attendance import Attendance
+from merlinbay.errors import ConfigurationError, address
+from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.server import Listener, bound
@@ -28,7 +30,6 @@
 from merlinbay.platform.client_adapter import ClientAdapter
 from merlinbay.platform.discovery import Discovery
 from merlinbay.platform.servers import PlatformServers
-from merlinbay.problems import BadConfig, address
 
 if TYPE_CHECKING:
     from merlinbay.control_service.node_follower import ConfigurationFollower
@@ -48,7 +49,7 @@
     takeover: Takeover | None = None  # the process before or after this one
 
     def reload(self) -> None:
-        """Read keys and certificates again. Raises ``BadConfig``."""
+        """Read keys and certificates again. Raises ``ConfigurationError``."""
         for part in (self.drmaa, self.fleet, self.control):
             if part is not None:
                 part.reload()
@@ -75,8 +76,8 @@
     send, receive = trio.open_memory_channel[Message](limits.inbox)
     classes = config.settings.classes
     keyed = frozenset(spec.name for spec in classes if spec.effect == "by_key")
-    edge = ClientAdapter(send, clock, limits, counters, {spec.name for spec in classes}, log, keyed)
-    handler: Handler = edge
+    responder = ClientAdapter(send, clock, limits, counters, {spec.name for spec in classes}, log, keyed)
+    handler: Handler = responder
     sides = Sides()
     if operator is not None:
         # Guards against a slow start: without an operator's file, nothing of this is waited for.
@@ -90,9 +91,9 @@
             sides.fleet = wire_fleet(operator.fleet, config.facts(), send, counters, log)
     listener = Listener(handler, limits, counters, log)
     if config.settings.balancers == 1:  # else clients find another node by a new connection
-        edge.scarce = listener.scarce
-    attendance = Attendance(listener, limits)
-    edge.wanted = attendance.wanted
+        responder.scarce = listener.scarce
+    attendance = ClientSteering(listener, limits)
+    responder.wanted = attendance.wanted
     admin = AdminListener(send, attendance, limits, counters, log)
     sock = await listening(listener.bind(*config.listen), config.listen)
     admin_sock = await listening(bound(*config.admin, limits.backlog), config.admin) if config.admin else None
@@ -132,13 +133,13 @@
     async with trio.open_nursery() as nursery:
         pool = ConnectionPool(limits, counters, discovery.serves)
         drmaa = sides.drmaa
-        servers: ServerSide | None = drmaa.start(nursery, pool) if drmaa is not None else None
+        servers: ServerTransport | None = drmaa.start(nursery, pool) if drmaa is not None else None
         if servers is None:
             servers = PlatformServers(
                 nursery, pool, send, clock, limits, counters, log, bool(config.settings.report_fields)
             )
         balancer = Balancer(config.settings, config.seed, clock.now_us())
-        owner = Owner(balancer, clock, limits, counters, log, servers, discovery)
+        owner = Dispatcher(balancer, clock, limits, counters, log, servers, discovery)
         if drmaa is not None and drmaa.front is not None and drmaa.front.reserving is not None:
             owner.watch_entries(drmaa.front.reserving)
         nursery.start_soon(pool.sweep)
@@ -151,11 +152,14 @@
                 discovery.confirm_after(limits.inherit_told_us)
             attendance.turn(inherited.away, relayed=True)
             owner.turn(
-                [EntriesChanged("remembered", inherited.entries), DirectoryMoved(limits.inherit_told_us)]
+                [
+                    EndpointListReceived("remembered", inherited.entries),
+                    DiscoveryReloaded(limits.inherit_told_us),
+                ]
             )
             adopt(balancer, balancer.classes, inherited.learned)
         else:
-            owner.turn([EntriesChanged("remembered", messages.entries(config.known))])
+            owner.turn([EndpointListReceived("remembered", messages.entries(config.known))])
         if isinstance(discovery, Discovery) and discovery.pushed:
             # Guards against a send by the old list: what the agent has counts as told from the first moment.
             with trio.move_on_after(limits.push_start):
@@ -179,7 +183,7 @@
         admin.serving = True
         log.event("serves", at=f"{config.listen[0]}:{config.listen[1]}", node=config.name)
         await owner.run(receive)
-        edge.end()
+        responder.end()
         await listener.finish(limits.stop_part)
         nursery.cancel_scope.cancel()
 
@@ -187,11 +191,11 @@
 async def listening(
     binding: Awaitable[trio.socket.SocketType], at: tuple[str, int]
 ) -> trio.socket.SocketType:
-    """Return the socket that listens. Raises ``BadConfig``."""
+    """Return the socket that listens. Raises ``ConfigurationError``."""
     try:
         return await binding
     except OSError as error:
-        raise BadConfig(f"cannot listen at {at[0]}:{at[1]}: {error.strerror}") from None
+        raise ConfigurationError(f"cannot listen at {at[0]}:{at[1]}: {error.strerror}") from None
 
 
 def log_for(config: Config) -> Log:
@@ -225,7 +229,7 @@
             elif number == signal.SIGHUP:
                 moved = follow(config, discovery, counters, log, sides)
                 if moved is not None:
-                    await inbox.send(DirectoryMoved(config.limits.reload_told_us, moved))
+                    await inbox.send(DiscoveryReloaded(config.limits.reload_told_us, moved))
             elif not stopping:
                 stopping = True
                 nursery.start_soon(stop, config, listener, inbox, nursery, sides)
@@ -241,7 +245,7 @@
     try:
         new = reload(config)
         sides.reload()
-    except BadConfig as error:
+    except ConfigurationError as error:
         counters.add("reloads_bad")
         log.event("reload_failed", level="warning", error=str(error), kept="the old configuration")
         return None
@@ -269,7 +273,7 @@
     if sides.fleet is not None:
         sides.fleet.leaving()
     if sides.takeover is not None and await sides.takeover.leave():
-        await inbox.send(Stopping())
+        await inbox.send(ShutdownRequested())
         return
     await trio.sleep(limits.stop_arrivals)
     listener.leaving = True
@@ -281,14 +285,14 @@
     await trio.sleep_until(began + limits.stop_serving)
     sides.stop()  # before connections close: calls that wait are answered on theirs
     listener.close_idle()
-    await inbox.send(Stopping())
+    await inbox.send(ShutdownRequested())
 
 
 def serve() -> int:
     """Start; a bad configuration ends with one plain line."""
     try:
         config = load()
-    except BadConfig as error:
+    except ConfigurationError as error:
         print(f"merlinbay: {error}", file=sys.stderr)
         return 2
     counters = Counters()
@@ -301,7 +305,7 @@
     gc.set_threshold(20_000, 20, 50)
     try:
         trio.run(run, config, counters)
-    except BadConfig as error:
+    except ConfigurationError as error:
         print(f"merlinbay: {error}", file=sys.stderr)
         return 2
     except BaseException:
--- a/merlinbay/notify/hub.py
+++ b/merlinbay/notify/hub.py
@@ -12,9 +12,9 @@
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, try_later
 from merlinbay.batch.timers import Timer, Timers
-from merlinbay.notify.journal import Entry, Gone, Journal, News, Page, Stream, Wanted
+from merlinbay.notify.journal import Entry, Journal, JournalGapError, News, Page, Stream, Wanted
 from merlinbay.notify.listeners import Batch, Bounds, Listener, Listeners, closes
-from merlinbay.notify.targets import Allowed, BadTarget
+from merlinbay.notify.targets import Allowed, TargetError
 
 
 @dataclass(slots=True, eq=False)
@@ -110,7 +110,7 @@
     def _after(self, stream: Stream, cursor: str) -> int:
         try:
             return stream.number(cursor)
-        except Gone as error:
+        except JournalGapError as error:
             raise invalid_argument(str(error), missing=True) from None
 
     def _page(self, stream: Stream, after: int, limit: int, wanted: Wanted) -> Page:
@@ -166,7 +166,7 @@
             raise DrmaaError("OutOfResourceException", f"{self.bounds.listeners} listeners are registered")
         try:
             target = self.allowed.target(url)
-        except BadTarget as error:
+        except TargetError as error:
             raise DrmaaError("DeniedByDrmsException", f"url: {error}") from None
         stream = self.journal.open(session)
         after = self._after(stream, cursor) if cursor else stream.last
--- a/merlinbay/notify/journal.py
+++ b/merlinbay/notify/journal.py
@@ -21,7 +21,7 @@
     ATTRIBUTE_CHANGE = "ATTRIBUTE_CHANGE"
 
 
-class Gone(Exception):
+class JournalGapError(Exception):
     """A cursor that was never given out, or whose stream is no more."""
 
 
@@ -87,10 +87,10 @@
         return f"{self.id}.{number}"
 
     def number(self, cursor: str) -> int:
-        """Read a cursor. Raises ``Gone``."""
+        """Read a cursor. Raises ``JournalGapError``."""
         stream, _, number = cursor.rpartition(".")
         if stream != self.id or not number.isdigit() or len(number) > 18 or int(number) > self.last:
-            raise Gone(f"cursor {cursor[:60]!r} is not of this session's events")
+            raise JournalGapError(f"cursor {cursor[:60]!r} is not of this session's events")
         return int(number)
 
     def since(self, after: int, limit: int, scan: int, wanted: Wanted) -> Page:
--- a/merlinbay/notify/sender.py
+++ b/merlinbay/notify/sender.py
@@ -9,9 +9,9 @@
 
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
-from merlinbay.http.client import ConnectionBroken, Headers, NotSent, Reply
+from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, RequestNotSentError
 from merlinbay.http.pool import ConnectionPool, LastLook, RealServer
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify import signing
 from merlinbay.notify.listeners import Batch, Listeners
@@ -52,7 +52,7 @@
         write: Callable[[Batch], bytes],
         flush: Callable[[int], None],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
         timeout: float,
@@ -92,7 +92,7 @@
                 reply = await self.pool.exchange(target.addr, "POST", target.path, heads, body)
         except trio.TooSlowError:
             why = f"no answer within {self.timeout:g} s"
-        except (NotSent, ConnectionBroken) as error:
+        except (RequestNotSentError, ConnectionBrokenError) as error:
             why = str(error)[:200]
         except Exception as error:  # Guards against a listener whose answer ends the node.
             why = repr(error)[:200]
--- a/merlinbay/notify/signing.py
+++ b/merlinbay/notify/signing.py
@@ -18,7 +18,7 @@
 LEAST, MOST = 24, 64  # bytes of a key
 
 
-class BadSignature(Exception):
+class SignatureError(Exception):
     """A call-back that is not to be believed."""
 
 
@@ -62,14 +62,14 @@
     def verify(self, heads: Mapping[str, str], body: bytes, now_s: int) -> bool:
         """Check a call-back. False: it was seen before, which is to be answered 200 and passed over.
 
-        Raises ``BadSignature``.
+        Raises ``SignatureError``.
         """
         name, stamp = heads.get("webhook-id", ""), heads.get("webhook-timestamp", "")
         given = heads.get("webhook-signature", "")
         if not name or not stamp.isdigit() or len(stamp) > 18 or not given:
-            raise BadSignature("it is not signed")
+            raise SignatureError("it is not signed")
         if abs(now_s - int(stamp)) > self.tolerance_s:
-            raise BadSignature("its time is too far off")
+            raise SignatureError("its time is too far off")
         good = [signature(key, name, int(stamp), body) for key in self.keys]
         # Guards against timing: every pair is compared, and each in constant time.
         match = [
@@ -78,7 +78,7 @@
             for other in given.split()[:8]
         ]
         if not any(match):
-            raise BadSignature("no key of ours made the signature")
+            raise SignatureError("no key of ours made the signature")
         while self.seen and (
             len(self.seen) >= self.most or next(iter(self.seen.values())) < now_s - 2 * self.tolerance_s
         ):
--- a/merlinbay/notify/targets.py
+++ b/merlinbay/notify/targets.py
@@ -10,7 +10,7 @@
 Network = ipaddress.IPv4Network
 
 
-class BadTarget(Exception):
+class TargetError(Exception):
     """A URL that no call-back goes to."""
 
 
@@ -41,22 +41,22 @@
         return cls(tuple(networks), frozenset(own))
 
     def target(self, url: str) -> Target:
-        """Read a listener's URL. Raises ``BadTarget``."""
+        """Read a listener's URL. Raises ``TargetError``."""
         if len(url) > 2000 or any(ord(char) <= 32 or ord(char) > 126 for char in url):
-            raise BadTarget("a URL has at most 2000 printable characters")
+            raise TargetError("a URL has at most 2000 printable characters")
         try:
             parts = urlsplit(url)
             host, port = parts.hostname or "", parts.port or 80
             address = ipaddress.IPv4Address(host)
         except ValueError:
-            raise BadTarget("its host is not an IPv4 address") from None
+            raise TargetError("its host is not an IPv4 address") from None
         if parts.scheme != "http" or parts.username is not None or parts.fragment:
-            raise BadTarget("it is http://ADDRESS:PORT/PATH")
+            raise TargetError("it is http://ADDRESS:PORT/PATH")
         # Guards against a node that sends itself call-backs without end.
         for own, own_port in self.own:
             if port == own_port and (host == own or own == "0.0.0.0" or address.is_unspecified):
-                raise BadTarget("it is this node's own address")
+                raise TargetError("it is this node's own address")
         if not any(address in network and wanted in (0, port) for network, wanted in self.networks):
-            raise BadTarget("the operator allows no call-backs there")
+            raise TargetError("the operator allows no call-backs there")
         path = parts.path or "/"
         return Target(f"{host}:{port}", f"{path}?{parts.query}" if parts.query else path)
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -11,9 +11,9 @@
 from merlinbay.control_service.settings import Section as Control
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.fleet.settings import Fleet
 from merlinbay.notify.targets import Allowed
-from merlinbay.problems import BadConfig, address
 
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -35,40 +35,40 @@
 
 
 def read(path: str) -> Operator:
-    """Read an operator's file. Raises ``BadConfig`` with one line that names file, key and cause."""
+    """Read an operator's file. Raises ``ConfigurationError`` with one line that names file, key and cause."""
     try:
         operator = msgspec.convert(tomllib.loads(Path(path).read_text()), Operator)
         if operator.dnssd is not None:
             address(operator.dnssd.nameserver)
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
     except (ValueError, msgspec.ValidationError) as error:
-        raise BadConfig(f"{path}: {error}") from None
-    except BadConfig as error:
-        raise BadConfig(f"{path}: dnssd.nameserver: {error}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
+    except ConfigurationError as error:
+        raise ConfigurationError(f"{path}: dnssd.nameserver: {error}") from None
     if operator.drmaa.front and (wrong := operator.drmaa.access.wrong()):
-        raise BadConfig(f"{path}: drmaa.{wrong}")
+        raise ConfigurationError(f"{path}: drmaa.{wrong}")
     if wrong := operator.fleet.wrong():
-        raise BadConfig(f"{path}: fleet.{wrong}")
+        raise ConfigurationError(f"{path}: fleet.{wrong}")
     if operator.control is not None and (wrong := operator.control.wrong()):
-        raise BadConfig(f"{path}: control.{wrong}")
+        raise ConfigurationError(f"{path}: control.{wrong}")
     for key in ("listen", "advertise", "control"):
         try:
             if text := getattr(operator.fleet, key):
                 address(text)
-        except BadConfig as error:
-            raise BadConfig(f"{path}: fleet.{key}: {error}") from None
+        except ConfigurationError as error:
+            raise ConfigurationError(f"{path}: fleet.{key}: {error}") from None
     try:
         if operator.drmaa.access.tls:
             address(operator.drmaa.access.tls)
         Allowed.read(operator.drmaa.events.to, ())
-    except BadConfig as error:
-        raise BadConfig(f"{path}: drmaa.access.tls: {error}") from None
+    except ConfigurationError as error:
+        raise ConfigurationError(f"{path}: drmaa.access.tls: {error}") from None
     except ValueError as error:
-        raise BadConfig(f"{path}: drmaa.events.to: {error}") from None
+        raise ConfigurationError(f"{path}: drmaa.events.to: {error}") from None
     names = [session.name for session in operator.drmaa.session]
     if "default" in names or len(set(names)) < len(names):
-        raise BadConfig(f"{path}: drmaa.session: names must differ, and from 'default'")
+        raise ConfigurationError(f"{path}: drmaa.session: names must differ, and from 'default'")
     return operator
 
 
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from merlinbay.core import ports
+from merlinbay.core.messages import MaintenanceRequested, Message
 from merlinbay.counters import Counters
-from merlinbay.http.attendance import Attendance
+from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.sockets import send_all
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 Call = Callable[[str], Awaitable[str]]  # takes what follows the call's word, returns why not, or nothing
@@ -21,9 +21,9 @@
 
     def __init__(
         self,
-        inbox: trio.MemorySendChannel[ports.Message],
-        attendance: Attendance,
-        limits: Limits,
+        inbox: trio.MemorySendChannel[Message],
+        attendance: ClientSteering,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
@@ -121,6 +121,6 @@
             known = answer
             heard.set()
 
-        await self.inbox.send(ports.MaintenanceAsked(server, on, told))
+        await self.inbox.send(MaintenanceRequested(server, on, told))
         await heard.wait()
         return "" if known else "nobody has this id"
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -8,13 +8,21 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
-from merlinbay.core.ports import Answer, Verdict
+from merlinbay.core.attempts import Responder
+from merlinbay.core.messages import (
+    AttemptFinished,
+    AttemptProgress,
+    AttemptStarted,
+    Message,
+    RequestArrived,
+    RequestWithdrawn,
+)
+from merlinbay.core.values import Answer, AnswerStatus
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.sockets import hung_up
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages
 
@@ -28,7 +36,7 @@
     return Response(503, b"refused\n", [(b"retry-after", wait)] if retry_after_us else [])
 
 
-class ClientRequest(ports.Edge):
+class ClientRequest(Responder):
     """The client's side of one request: this wire tells clients the end only."""
 
     def __init__(
@@ -54,10 +62,10 @@
         """Write the request's answer to its edge connection."""
         self.connection.context = None
         self.unanswered.discard(self)
-        if answer.verdict is Verdict.SERVED:
+        if answer.verdict is AnswerStatus.SERVED:
             self.connection.proven = True
             self.connection.respond(Response(200, answer.result))
-        elif answer.verdict is Verdict.REFUSED:
+        elif answer.verdict is AnswerStatus.REFUSED:
             self.connection.respond(refusal(answer.retry_after_us))
         else:
             self.connection.respond(Response(500, b"failed\n"))
@@ -68,9 +76,9 @@
 
     def __init__(
         self,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         classes: set[str],
         log: Log,
@@ -90,7 +98,9 @@
         # Guards against requests lost in the inbox, or on their way into it: the owner ends when all that it
         # has taken is answered, so nobody has begun these.
         for client_request in list(self.unanswered):
-            client_request.answer(Answer(Verdict.REFUSED, retry_after_us=self.limits.retry_when_stopping_us))
+            client_request.answer(
+                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+            )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
         """Take a call-back, a job or a check."""
@@ -111,7 +121,7 @@
             return Response(405)
         try:
             spec = messages.job_spec(request.target, request.headers, request.body, self._arrived_us(request))
-        except messages.BadRequest as error:
+        except messages.BadRequestError as error:
             self.counters.add("requests_bad")
             self.log.event("request_bad", level="warning", cause=str(error))
             return Response(400, f"bad request: {error}\n".encode())
@@ -124,7 +134,7 @@
             self.counters.add("jobs_spared")
             return refusal(self.limits.retry_when_stopping_us)
         client_request = connection.context = ClientRequest(connection, spec.name, self.unanswered)
-        arrived = ports.RequestArrived(spec, client_request)
+        arrived = RequestArrived(spec, client_request)
         try:
             self.inbox.send_nowait(arrived)
         except trio.WouldBlock:
@@ -133,7 +143,7 @@
             connection.nursery.start_soon(self._enter, arrived, client_request.entering)
         return None
 
-    async def _enter(self, arrived: ports.RequestArrived, scope: trio.CancelScope) -> None:
+    async def _enter(self, arrived: RequestArrived, scope: trio.CancelScope) -> None:
         with scope:
             await self.inbox.send(arrived)
 
@@ -152,7 +162,7 @@
 
     async def _withdraw(self, client_request: ClientRequest) -> None:
         try:
-            await self.inbox.send(ports.RequestWithdrawn(client_request.name, client_request))
+            await self.inbox.send(RequestWithdrawn(client_request.name, client_request))
         except trio.BrokenResourceError:  # the owner has ended, and with it every request
             pass
 
@@ -166,13 +176,13 @@
             return Response(400)
         self.counters.add("call_backs")
         if event.state == "started":
-            await self.inbox.send(ports.AttemptStarted(event.id, event.server))
+            await self.inbox.send(AttemptStarted(event.id, event.server))
         elif event.state == "running":
-            await self.inbox.send(ports.AttemptProgress(event.id, event.server, event.share))
+            await self.inbox.send(AttemptProgress(event.id, event.server, event.share))
         elif event.state in OUTCOMES:
             result = messages.result_bytes(event.result) if event.state == "done" else b""
             await self.inbox.send(
-                ports.AttemptFinished(
+                AttemptFinished(
                     event.id, event.server, OUTCOMES[event.state], result, messages.named(event.load)
                 )
             )
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -8,17 +8,18 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import EndpointListReceived, Message
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision.events import CallFailure
 from merlinbay.http.client import (
     ClientConnection,
-    ConnectionBroken,
-    ConnectionRefused,
-    DialTimedOut,
-    NotSent,
+    ConnectionBrokenError,
+    ConnectRefusedError,
+    ConnectTimeoutError,
+    RequestNotSentError,
 )
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages
 from merlinbay.platform.start_times import StartTimes
@@ -27,7 +28,7 @@
 NAMES_LOGGED = 4  # of the servers that a list has changed
 
 
-class Unexpected(Exception):
+class UnexpectedStatusError(Exception):
     """An answer with a status other than 200."""
 
     def __init__(self, status: int) -> None:
@@ -37,11 +38,11 @@
 
 def failure_of(error: Exception) -> CallFailure:
     """Return how a call has failed."""
-    if isinstance(error, DialTimedOut | ConnectionRefused):
+    if isinstance(error, ConnectTimeoutError | ConnectRefusedError):
         return CallFailure.UNREACHABLE
     if isinstance(error, trio.TooSlowError):
         return CallFailure.SILENT
-    if isinstance(error, Unexpected) and error.status == SERVICE_UNAVAILABLE:
+    if isinstance(error, UnexpectedStatusError) and error.status == SERVICE_UNAVAILABLE:
         return CallFailure.UNAVAILABLE
     return CallFailure.BROKEN
 
@@ -58,11 +59,11 @@
         self,
         addr: str,
         version: int | None,
-        entries: list[ports.ServiceEntry],
+        entries: list[ServiceEntry],
         pushed: bool,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
@@ -123,11 +124,11 @@
                     self.watching = True
                     await self._watch()
                 except (
-                    NotSent,
-                    ConnectionBroken,
+                    RequestNotSentError,
+                    ConnectionBrokenError,
                     trio.TooSlowError,
                     msgspec.DecodeError,
-                    Unexpected,
+                    UnexpectedStatusError,
                 ) as error:
                     self.watching = False
                     failure = failure_of(error)
@@ -142,7 +143,7 @@
                         error=repr(error),
                     )
                     await self.inbox.send(
-                        ports.EntriesChanged("refused", [], self.heard_us, failure, self.former)
+                        EndpointListReceived("refused", [], self.heard_us, failure, self.former)
                     )
                     if self.pushed:
                         await trio.sleep(self.limits.push_retry)
@@ -161,11 +162,11 @@
         entry = self.entries.get(server)
         return entry is not None and entry.state == "up"
 
-    def listing(self) -> tuple[int | None, list[ports.ServiceEntry]]:
+    def listing(self) -> tuple[int | None, list[ServiceEntry]]:
         """Return the list's version and its entries."""
         return self.version, list(self.entries.values())
 
-    def _learn(self, version: int, full: bool, entries: list[ports.ServiceEntry]) -> None:
+    def _learn(self, version: int, full: bool, entries: list[ServiceEntry]) -> None:
         before = self.entries
         self.entries = {} if full else dict(before)
         self.entries.update((entry.server, entry) for entry in entries)
@@ -175,7 +176,7 @@
             self._log_change(version, full, before)
         self.version = version
 
-    def _log_change(self, version: int, full: bool, before: dict[str, ports.ServiceEntry]) -> None:
+    def _log_change(self, version: int, full: bool, before: dict[str, ServiceEntry]) -> None:
         """Log what a new version of the list has changed, the first few names of each kind of change."""
         leaving = [name for name, entry in before.items() if entry.state == "up" and not self.serves(name)]
         joining = [
@@ -208,7 +209,7 @@
                 with trio.fail_after(most):
                     reply = await connection.exchange("GET", f"/api/targets{query}", [])
                 if reply.status != 200:
-                    raise Unexpected(reply.status)
+                    raise UnexpectedStatusError(reply.status)
                 try:
                     listing = messages.read_listing(reply.body)
                 except msgspec.DecodeError as error:
@@ -255,5 +256,5 @@
             self.report_next = False
             self.confirm_at = [at for at in self.confirm_at if at > now]
             scope = "all" if listing.full else "changes"
-            await self.inbox.send(ports.EntriesChanged(scope, entries, former=self.former))
+            await self.inbox.send(EndpointListReceived(scope, entries, former=self.former))
         self.had.set()
--- a/merlinbay/platform/messages.py
+++ b/merlinbay/platform/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from merlinbay.core.ports import JobSpec, ServiceEntry
+from merlinbay.core.values import RequestSpec, ServiceEntry
 
 STATES = {"SERVING": "up", "DRAINING": "draining", "DELETED": "removed"}
 NAME = re.compile(r"[A-Za-z0-9._~-]{1,64}")
@@ -24,7 +24,7 @@
 }
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """A request that cannot be read."""
 
 
@@ -121,20 +121,20 @@
     return {name.strip(): value.strip() for name, equals, value in parts if equals}
 
 
-def job_spec(target: str, headers: Mapping[str, str], body: bytes, now_us: int) -> JobSpec:
-    """Read a client's request. Raises ``BadRequest``."""
+def job_spec(target: str, headers: Mapping[str, str], body: bytes, now_us: int) -> RequestSpec:
+    """Read a client's request. Raises ``BadRequestError``."""
     name, path = headers.get("x-request-id", ""), target.partition("?")[0]
     if not NAME.fullmatch(name):  # it becomes part of a path
-        raise BadRequest("x-request-id")
+        raise BadRequestError("x-request-id")
     # Guards against a key that a real server cannot read: it would close the connection on it.
     if not REPEAT_KEY.fullmatch(headers.get("idempotency-key", "")):
-        raise BadRequest("idempotency-key")
+        raise BadRequestError("idempotency-key")
     if not DIGITS.fullmatch(headers.get("x-timeout-ms", "")):
-        raise BadRequest("x-timeout-ms")
+        raise BadRequestError("x-timeout-ms")
     path_class = path.strip("/").partition("/")[0]
     # Guards against a job that is held for one of a class which allows more repeats than its own.
     if (headers.get("x-priority-class") or path_class) != path_class:
-        raise BadRequest("x-priority-class differs from the path")
+        raise BadRequestError("x-priority-class differs from the path")
     try:
         extras = pairs(headers.get("x-attrs", ""))
         budget_ms = int(headers["x-timeout-ms"])
@@ -142,12 +142,12 @@
         memory = float(extras.get("memory", extras.get("ramUnits", 0)))
         hint = int(float(headers.get("x-cost") or 0))
     except (KeyError, ValueError, OverflowError) as error:
-        raise BadRequest(str(error)) from None
+        raise BadRequestError(str(error)) from None
     if not 0 < budget_ms <= 3_600_000:
-        raise BadRequest("x-timeout-ms")
+        raise BadRequestError("x-timeout-ms")
     if not 0 <= slots < 1e6 or not 0 <= memory < 1e9:
-        raise BadRequest("x-attrs")
-    return JobSpec(
+        raise BadRequestError("x-attrs")
+    return RequestSpec(
         name=name,
         job_class=path_class,
         arrived_us=now_us,
--- a/merlinbay/platform/replies.py
+++ b/merlinbay/platform/replies.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Reply
 
 NOT_PROCESSED_STATUSES = frozenset({503, 504})
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -5,14 +5,14 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
-from merlinbay.core.ports import ServerAttempt
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.messages import AttemptControlled, AttemptRecalled, Message, ServerChecked
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Headers, Reply
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.servers import PooledServers, check_may_begin
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages, replies
 from merlinbay.platform.replies import JobReply
@@ -25,9 +25,9 @@
         self,
         nursery: trio.Nursery,
         pool: ConnectionPool,
-        inbox: trio.MemorySendChannel[ports.Message],
+        inbox: trio.MemorySendChannel[Message],
         clock: Clock,
-        limits: Limits,
+        limits: ResourceLimits,
         counters: Counters,
         log: Log,
         has_load: bool,
@@ -57,13 +57,13 @@
 
     def recall(self, attempt: ServerAttempt) -> None:
         """Tell at once that it can't be: this wire does not say whether a deleted job had started."""
-        self.nursery.start_soon(self.post, ports.AttemptRecalled(attempt.spec.name, attempt.server, False))
+        self.nursery.start_soon(self.post, AttemptRecalled(attempt.spec.name, attempt.server, False))
 
     def control(self, attempt: ServerAttempt, action: str) -> None:
         """Tell at once that this wire has no word for it."""
         self.nursery.start_soon(
             self.post,
-            ports.AttemptControlled(
+            AttemptControlled(
                 attempt.spec.name,
                 attempt.server,
                 action,
@@ -145,7 +145,7 @@
         if isinstance(reply, Reply):
             outcome = Outcome.OK if reply.status == 200 else Outcome.ERROR
             report = messages.load_from(reply.body.decode("latin-1"))
-        await self.post(ports.ServerProbed(name, outcome, self.clock.now_us() - began, report))
+        await self.post(ServerChecked(name, outcome, self.clock.now_us() - began, report))
 
 
 def may_be_held(reply: Reply | Outcome | None) -> bool:
--- a/merlinbay/platform/start_times.py
+++ b/merlinbay/platform/start_times.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from merlinbay.clock import Clock
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 
 STEP_US = 100_000  # smaller differences are the clock's slewing, and what a look at both clocks takes
 OFFSETS_KEPT = 8  # of the wall clock to ours, the newest
--- a/merlinbay/rig/run.py
+++ b/merlinbay/rig/run.py
@@ -17,13 +17,13 @@
 
 from merlinbay.fleet import wire
 from merlinbay.fleet.members import Health
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
-from merlinbay.limits import Limits
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
+from merlinbay.limits import ResourceLimits
 from merlinbay.rig.processes import Process
 from merlinbay.rig.proxy import PORT, Proxies
 from merlinbay.rig.script import Script, Step
 
-LIMITS = Limits()
+LIMITS = ResourceLimits()
 STEP_S = 0.25  # between two looks at the members
 STARVE_S = 0.4  # one turn of a starved process: it runs for its share of this
 MOST_INT = (1 << 64) - 1  # what a packet has room for: nobody could go above it
@@ -31,7 +31,7 @@
 RIG = {"probe": 0.4, "gossip": 0.1, "exchange": 3.0, "gauges": 1.0}
 
 
-class Failed(Exception):
+class StepFailedError(Exception):
     """Something that must hold does not; one line."""
 
 
@@ -46,7 +46,7 @@
             except OSError:
                 continue
             return number
-    raise Failed("no free loopback net")
+    raise StepFailedError("no free loopback net")
 
 
 class Rig:
@@ -97,7 +97,7 @@
         self.history.write(json.dumps(line) + "\n")
 
     async def play(self) -> None:
-        """Play the script. Raises ``Failed``; every process has ended when it returns."""
+        """Play the script. Raises ``StepFailedError``; every process has ended when it returns."""
         self.began = trio.current_time()
         try:
             async with trio.open_nursery() as nursery:
@@ -125,10 +125,10 @@
                 while await self.call(process, "GET", "members") is None:
                     if not process.running:
                         log = (process.folder / "log").read_text(errors="replace").strip().splitlines()
-                        raise Failed(f"{process.name} did not start: {log[-1] if log else 'no log'}")
+                        raise StepFailedError(f"{process.name} did not start: {log[-1] if log else 'no log'}")
                     await trio.sleep(0.05)
             if scope.cancelled_caught:
-                raise Failed(f"{process.name} did not come up within 30 s")
+                raise StepFailedError(f"{process.name} did not come up within 30 s")
 
     async def call(self, process: Process, method: str, path: str) -> Any:
         """Have one call of a node's operators' address; None: it does not answer."""
@@ -140,7 +140,7 @@
                 finally:
                     connection.close()
             return json.loads(reply.body) if reply.status == 200 else None
-        except (OSError, NotSent, ConnectionBroken, trio.TooSlowError, ValueError):
+        except (OSError, RequestNotSentError, ConnectionBrokenError, trio.TooSlowError, ValueError):
             return None
 
     async def _watch(self, process: Process) -> None:
@@ -211,7 +211,9 @@
             case "force":
                 lost = ",".join(f"n{number}" for number in step.to)
                 if await self.call(chosen[0], "POST", f"epoch?lose={lost}") is None:
-                    raise Failed(f"at {step.at:g} s, {chosen[0].name} does not force an epoch without {lost}")
+                    raise StepFailedError(
+                        f"at {step.at:g} s, {chosen[0].name} does not force an epoch without {lost}"
+                    )
             case "cut":
                 to = step.to or [number for number in range(self.script.nodes) if number not in step.nodes]
                 found = {(a, b) for a in step.nodes for b in to}
@@ -292,7 +294,7 @@
         return found
 
     async def _settled(self, step: Step) -> None:
-        """Wait until all see exactly those that are there, all of them alive. Raises ``Failed``."""
+        """Wait until all see exactly those that are there, all of them alive. Raises ``StepFailedError``."""
         end, wrong = trio.current_time() + step.within, "nobody is left"
         while trio.current_time() < end:
             views, wrong = await self.views(), ""
@@ -305,10 +307,10 @@
                 self.note("rig", "is settled", gauges=self.gauges)
                 return
             await trio.sleep(STEP_S)
-        raise Failed(f"at {step.at:g} s, not settled within {step.within:g} s: {wrong}")
+        raise StepFailedError(f"at {step.at:g} s, not settled within {step.within:g} s: {wrong}")
 
     async def _agree(self, step: Step) -> None:
-        """Wait until the nodes of a side see just that side. Raises ``Failed``."""
+        """Wait until the nodes of a side see just that side. Raises ``StepFailedError``."""
         side, end = {f"n{number}" for number in step.nodes}, trio.current_time() + step.within
         wrong: dict[str, list[str]] = {}
         while trio.current_time() < end:
@@ -318,10 +320,10 @@
                 self.note("rig", "agrees")
                 return
             await trio.sleep(STEP_S)
-        raise Failed(f"at {step.at:g} s, {sorted(side)} do not see just themselves: {wrong}")
+        raise StepFailedError(f"at {step.at:g} s, {sorted(side)} do not see just themselves: {wrong}")
 
     async def _epoch(self, step: Step) -> None:
-        """Wait until nodes are at an epoch of just these members. Raises ``Failed``."""
+        """Wait until nodes are at an epoch of just these members. Raises ``StepFailedError``."""
         members = [f"n{number}" for number in sorted(step.to or step.nodes)]
         end, wrong = trio.current_time() + step.within, ""
         while trio.current_time() < end:
@@ -335,7 +337,7 @@
                 self.note("rig", "is at an epoch", members=members)
                 return
             await trio.sleep(STEP_S)
-        raise Failed(f"at {step.at:g} s, no epoch of {members} within {step.within:g} s: {wrong}")
+        raise StepFailedError(f"at {step.at:g} s, no epoch of {members} within {step.within:g} s: {wrong}")
 
 
 def play(script: Script, folder: Path, former: Path | None = None) -> str:
@@ -349,11 +351,11 @@
     try:
         trio.run(rig.play)
     except BaseExceptionGroup as group:
-        found = group.subgroup(Failed)
+        found = group.subgroup(StepFailedError)
         if found is None:
             raise
         return str(first(found))
-    except Failed as error:
+    except StepFailedError as error:
         return str(error)
     finally:
         signal.signal(signal.SIGTERM, before)
--- a/merlinbay/rig/script.py
+++ b/merlinbay/rig/script.py
@@ -37,7 +37,7 @@
 ]
 
 
-class BadScript(Exception):
+class FaultScheduleError(Exception):
     """A script that cannot be played; one line."""
 
 
@@ -84,23 +84,23 @@
 
 
 def read(text: str, name: str) -> Script:
-    """Read a script. Raises ``BadScript``."""
+    """Read a script. Raises ``FaultScheduleError``."""
     try:
         script = msgspec.convert(tomllib.loads(text), Script)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise BadScript(f"{name}: {error}") from None
+        raise FaultScheduleError(f"{name}: {error}") from None
     last = 0.0
     for number, step in enumerate(script.step):
         if any(not 0 <= node < script.nodes for node in [*step.nodes, *step.to]):
-            raise BadScript(f"{name}: step[{number}].nodes: there are {script.nodes}, from 0 on")
+            raise FaultScheduleError(f"{name}: step[{number}].nodes: there are {script.nodes}, from 0 on")
         if step.at < last:
-            raise BadScript(f"{name}: step[{number}].at: before the step above it")
+            raise FaultScheduleError(f"{name}: step[{number}].at: before the step above it")
         last = step.at
     return script
 
 
 def load(name: str) -> Script:
-    """Read a script of the library by its name, or one from a file. Raises ``BadScript``."""
+    """Read a script of the library by its name, or one from a file. Raises ``FaultScheduleError``."""
     folder = resources.files("merlinbay.rig") / "scripts"
     known = {
         entry.name.removesuffix(".toml"): entry for entry in folder.iterdir() if entry.name.endswith(".toml")
@@ -110,4 +110,6 @@
     try:
         return read(Path(name).read_text(), name)
     except OSError as error:
-        raise BadScript(f"{name}: {error.strerror}; in the library: {', '.join(sorted(known))}") from None
+        raise FaultScheduleError(
+            f"{name}: {error.strerror}; in the library: {', '.join(sorted(known))}"
+        ) from None
--- a/merlinbay/scale/control_roles.py
+++ b/merlinbay/scale/control_roles.py
@@ -22,10 +22,10 @@
 from merlinbay.control_service.settings import MachineSection, load_keys
 from merlinbay.control_service.transport import Endpoint
 from merlinbay.counters import Counters
+from merlinbay.errors import address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
-from merlinbay.problems import address
 from merlinbay.scale import control_plane
 from merlinbay.scale.control_plane import FOLLOWER, RELAY, VOTER
 from merlinbay.scale.control_writer import ControlWriter
--- a/merlinbay/scale/control_writer.py
+++ b/merlinbay/scale/control_writer.py
@@ -9,12 +9,12 @@
 
 from merlinbay.control_service.operator_calls import Applied, ChangeRequest
 from merlinbay.control_service.status import ProcessStatus
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent, Reply
-from merlinbay.limits import Limits
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, Reply, RequestNotSentError
+from merlinbay.limits import ResourceLimits
 from merlinbay.scale.control_plane import VOTER, name_of, operator_of
 from merlinbay.scale.roles import RunFacts
 
-LIMITS = replace(Limits(), dial=3.0)
+LIMITS = replace(ResourceLimits(), dial=3.0)
 ANSWER_S = 5.0
 AGAIN_S = 0.05  # after a call that nobody took: a leader is being elected
 MOST_BYTES = 1024 * 1024
@@ -70,5 +70,5 @@
                     return await connection.exchange(method, f"/control/{path}", [], body)
                 finally:
                     connection.close()
-        except (OSError, NotSent, ConnectionBroken, trio.TooSlowError):
+        except (OSError, RequestNotSentError, ConnectionBrokenError, trio.TooSlowError):
             return None
--- a/merlinbay/scale/membership.py
+++ b/merlinbay/scale/membership.py
@@ -10,17 +10,18 @@
 import msgspec
 import trio
 
-from merlinbay.core import ports
+from merlinbay.core.messages import Message
+from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
-from merlinbay.decision.api import JobClass, Settings
+from merlinbay.decision.settings import RequestClass, Settings
+from merlinbay.errors import address
 from merlinbay.fleet.agreeing import AgreeingView
 from merlinbay.fleet.members import Health
 from merlinbay.fleet.settings import Fleet
 from merlinbay.fleet.view import View
 from merlinbay.fleet.wiring import FleetParts
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.problems import address
 from merlinbay.rig.processes import Process
 from merlinbay.scale.keys import write_keys
 from merlinbay.scale.layout import address_of, zone_of
@@ -41,7 +42,7 @@
 EPOCHS = "epochs"  # the one setting that is none of section ``fleet``
 GAUGES = 1_000_000  # a drawn gauge is news nearly always: it differs by over a tenth from the last one
 LEAVING_S = 0.2  # that a leaving member still gossips, before it ends
-NO_WORK = Settings([JobClass("none", 1, 1)])  # a hollow member has no core that would read them
+NO_WORK = Settings([RequestClass("none", 1, 1)])  # a hollow member has no core that would read them
 
 
 def member_name(number: int) -> str:
@@ -95,8 +96,8 @@
     def __init__(self, context: MemberContext) -> None:
         self.context = context
         section = section_of(context.plan, context.run, context.number)
-        facts = ports.NodeFacts(member_name(context.number), address(section.listen), NO_WORK, Limits())
-        send, self.inbox = trio.open_memory_channel[ports.Message](1024)
+        facts = NodeIdentity(member_name(context.number), address(section.listen), NO_WORK, ResourceLimits())
+        send, self.inbox = trio.open_memory_channel[Message](1024)
         self.parts = FleetParts(section, facts, send, Counters(), Log(0))
         self.parts.net.changed.append(self._look)
         self.seen = 0  # events that have been looked at
--- a/merlinbay/scale/plan.py
+++ b/merlinbay/scale/plan.py
@@ -22,7 +22,7 @@
 MOST_MEMBERS = 250 * 250  # that the loopback net of a run has addresses for
 
 
-class BadPlan(Exception):
+class ScalePlanError(Exception):
     """A plan that cannot be run; one line with file, key and cause."""
 
 
@@ -145,13 +145,13 @@
 
 
 def read(text: str, name: str, known: frozenset[str] = frozenset()) -> Plan:
-    """Read a plan's text; ``known``: the roles that there are. Raises ``BadPlan``."""
+    """Read a plan's text; ``known``: the roles that there are. Raises ``ScalePlanError``."""
     try:
         plan = msgspec.convert(tomllib.loads(text), Plan)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise BadPlan(f"{name}: {error}") from None
+        raise ScalePlanError(f"{name}: {error}") from None
     if wrong := _wrong(plan, known):
-        raise BadPlan(f"{name}: {wrong}")
+        raise ScalePlanError(f"{name}: {wrong}")
     return plan
 
 
@@ -176,7 +176,7 @@
 
 
 def load(name: str, known: frozenset[str] = frozenset()) -> Plan:
-    """Read a plan of the library by its name, or one from a file. Raises ``BadPlan``."""
+    """Read a plan of the library by its name, or one from a file. Raises ``ScalePlanError``."""
     plans = library()
     if name in plans:
         return read(plans[name], f"{name}.toml", known)
@@ -184,4 +184,4 @@
         return read(Path(name).read_text(), name, known)
     except OSError as error:
         names = ", ".join(sorted(plans))
-        raise BadPlan(f"{name}: {error.strerror}; in the library: {names}") from None
+        raise ScalePlanError(f"{name}: {error.strerror}; in the library: {names}") from None
--- a/merlinbay/scale/processes.py
+++ b/merlinbay/scale/processes.py
@@ -25,7 +25,7 @@
 AnswerType = TypeVar("AnswerType", messages.Done, messages.Reading, messages.Progress, messages.Observations)
 
 
-class Failed(Exception):
+class ProcessFailedError(Exception):
     """The run cannot go on; one line."""
 
 
@@ -39,7 +39,7 @@
         self.lock = trio.Lock()
 
     async def start(self, setup: messages.Setup) -> None:
-        """Start it, without members. Raises ``Failed``."""
+        """Start it, without members. Raises ``ProcessFailedError``."""
         self.process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "merlinbay.scale.host"],
             stdin=subprocess.PIPE,
@@ -48,7 +48,7 @@
         await self.call(setup, messages.Done)
 
     async def call(self, order: messages.Order, wanted: type[AnswerType]) -> AnswerType:
-        """Have an order carried out. Raises ``Failed``."""
+        """Have an order carried out. Raises ``ProcessFailedError``."""
         async with self.lock:
             try:
                 with trio.fail_after(ANSWER_S):
@@ -56,9 +56,9 @@
                     await self.process.stdin.send_all(messages.frame(order))
                     data = await self._answer()
             except trio.TooSlowError:
-                raise Failed(f"a hollow process did not answer {type(order).__name__}") from None
+                raise ProcessFailedError(f"a hollow process did not answer {type(order).__name__}") from None
             except (OSError, trio.BrokenResourceError):
-                raise Failed(f"a hollow process ended at {type(order).__name__}") from None
+                raise ProcessFailedError(f"a hollow process ended at {type(order).__name__}") from None
         answer = messages.decode_answer(data)
         assert isinstance(answer, wanted)
         return answer
@@ -75,7 +75,7 @@
                     return data
             part = await self.process.stdout.receive_some(1 << 20)
             if not part:
-                raise Failed("a hollow process ended; its last lines are above")
+                raise ProcessFailedError("a hollow process ended; its last lines are above")
             self.found += part
 
     async def end(self) -> None:
@@ -98,7 +98,10 @@
 
 
 async def until_quiet(pids: list[int]) -> None:
-    """Wait until processes have come up: for a while they take hardly any time. Raises ``Failed``."""
+    """Wait until processes have come up: for a while they take hardly any time.
+
+    Raises ``ProcessFailedError``.
+    """
     last = {pid: 0.0 for pid in pids}
     quiet = 0
     with trio.fail_after(ANSWER_S):
@@ -110,13 +113,13 @@
 
 
 def real_reading(pid: int, base_memory_bytes: int) -> ProcessReading:
-    """Return what a real process has used. Raises ``Failed``."""
+    """Return what a real process has used. Raises ``ProcessFailedError``."""
     try:
         tasks = Path(f"/proc/{pid}/task").glob("*/schedstat")
         cpu_ns = sum(int(task.read_text().split()[0]) for task in tasks)
         resident = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
     except OSError:
-        raise Failed("a real process has ended by itself") from None
+        raise ProcessFailedError("a real process has ended by itself") from None
     if not resident:  # ended, and not yet waited for
-        raise Failed("a real process has ended by itself")
+        raise ProcessFailedError("a real process has ended by itself")
     return ProcessReading(time.monotonic(), cpu_ns / 1e9, resident, 1, base_memory_bytes)
--- a/merlinbay/scale/run.py
+++ b/merlinbay/scale/run.py
@@ -21,7 +21,7 @@
 from merlinbay.scale.limits import unfit
 from merlinbay.scale.meters import ProcessReading
 from merlinbay.scale.plan import DAY_S, Plan
-from merlinbay.scale.processes import Failed, HostProcess, real_reading, until_quiet
+from merlinbay.scale.processes import HostProcess, ProcessFailedError, real_reading, until_quiet
 from merlinbay.scale.registry import ROLES
 from merlinbay.scale.results import FORMAT, RoleMeasurement, ScaleRun
 from merlinbay.scale.roles import RunFacts, Variant
@@ -107,10 +107,10 @@
                 )
                 self.rows += [self._marked(row) for row in rows]
                 self.write()
-        except Failed as error:
+        except ProcessFailedError as error:
             self.incomplete.append(str(error))
         except BaseExceptionGroup as group:
-            failed = group.subgroup(Failed)
+            failed = group.subgroup(ProcessFailedError)
             if failed is None:
                 raise
             self.incomplete.append(str(first(failed)))
--- a/merlinbay/scale/step.py
+++ b/merlinbay/scale/step.py
@@ -16,7 +16,7 @@
 from merlinbay.scale.layout import ProcessLayout, address_of, layout
 from merlinbay.scale.meters import ProcessReading, Traffic
 from merlinbay.scale.plan import Plan, RolePlan
-from merlinbay.scale.processes import Failed, HostProcess, real_reading
+from merlinbay.scale.processes import HostProcess, ProcessFailedError, real_reading
 from merlinbay.scale.registry import ROLES
 from merlinbay.scale.results import RoleMeasurement
 from merlinbay.scale.roles import RealMember, RunFacts, Variant
@@ -74,7 +74,10 @@
         self.counts = self.happenings.counts
 
     async def play(self) -> list[RoleMeasurement]:
-        """Play it; return the rows. Raises ``Failed``; every process has ended when it returns."""
+        """Play it; return the rows.
+
+        Raises ``ProcessFailedError``; every process has ended when it returns.
+        """
         try:
             await self._start()
             await self._settle(gone=0)
@@ -123,7 +126,7 @@
         self.real[number].start()
 
     async def _settle(self, gone: int) -> None:
-        """Wait until all members have come to their role's target. Raises ``Failed``."""
+        """Wait until all members have come to their role's target. Raises ``ProcessFailedError``."""
         began = trio.current_time()
         while True:
             behind = 0
@@ -136,7 +139,9 @@
                 return
             if trio.current_time() - began > self.plan.settle_most_s:
                 limit = f"settle_most_s = {self.plan.settle_most_s:g}"
-                raise Failed(f"size {self.size}: {behind} members have not come to rest within {limit}")
+                raise ProcessFailedError(
+                    f"size {self.size}: {behind} members have not come to rest within {limit}"
+                )
             await trio.sleep(LOOK_S)
 
     # Measured part.
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -13,7 +13,31 @@
 
 import msgspec
 
-from merlinbay.decision import api
+from merlinbay.decision.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    Dispatch,
+    Fail,
+    LogNotice,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from merlinbay.decision.events import (
+    AttemptEnded,
+    CallFailure,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionProgressed,
+    ExecutionStarted,
+    HealthCheckEnded,
+    RequestReceived,
+    StreamStarted,
+    TimerFired,
+)
 from merlinbay.decision.rules import Balancer
 from merlinbay.site_settings import int_of, num_of, settings_from, str_of
 
@@ -50,17 +74,17 @@
     body: Any = None
 
 
-class BadInput(Exception):
+class MalformedInputError(Exception):
     """The input is not a sequence of closed batches."""
 
 
-def _list_changed(line: Wire) -> api.ListChanged:
+def _list_changed(line: Wire) -> EndpointsChanged:
     entries = []
     for row in line.rows if isinstance(line.rows, list) else []:
         if isinstance(row, dict) and isinstance(row.get("worker"), str):
             entries.append(
-                api.WorkerEntry(
-                    worker=row["worker"],
+                EndpointEntry(
+                    endpoint=row["worker"],
                     zone=str_of(row.get("locality")),
                     kind=str_of(row.get("hw")),
                     cell=int_of(row.get("pack")),
@@ -70,12 +94,12 @@
                 )
             )
     # A failed call gives more time on this wire, and does not say how it failed.
-    return api.ListChanged(str_of(line.scope), entries, failure=api.CallFailure.UNREACHABLE)
+    return EndpointsChanged(str_of(line.scope), entries, failure=CallFailure.UNREACHABLE)
 
 
-def _job_arrived(line: Wire) -> api.JobArrived:
+def _job_arrived(line: Wire) -> RequestReceived:
     attrs = line.attrs or 0
-    return api.JobArrived(
+    return RequestReceived(
         line.msgId,
         line.tierClass,
         int_of(line.timeBudgetUs),
@@ -88,8 +112,8 @@
     )
 
 
-def _ended(line: Wire) -> api.AttemptEnded:
-    return api.AttemptEnded(
+def _ended(line: Wire) -> AttemptEnded:
+    return AttemptEnded(
         line.msgId,
         line.attempt,
         line.status,
@@ -100,56 +124,55 @@
     )
 
 
-def _update(line: Wire) -> api.Event | None:
+def _update(line: Wire) -> Event | None:
     if line.kind == 1:
-        return api.JobStarted(line.msgId, line.attempt)
-    return api.JobProgress(line.msgId, line.attempt, num_of(line.value)) if line.kind == 2 else None
+        return ExecutionStarted(line.msgId, line.attempt)
+    return ExecutionProgressed(line.msgId, line.attempt, num_of(line.value)) if line.kind == 2 else None
 
 
-DECODERS: dict[str, Callable[[Wire], api.Event | None]] = {
+# Lines of balancers to each other, which this one has no use for; they end what a batch says all the same.
+IGNORED = {"Mail"}
+
+DECODERS: dict[str, Callable[[Wire], Event | None]] = {
     "View": _list_changed,
     "Req": _job_arrived,
     "Ended": _ended,
     "UpdateOf": _update,
-    "Withdrawn": lambda line: api.JobWithdrawn(line.msgId),
-    "Flowing": lambda line: api.StreamStarted(line.msgId, line.attempt),
-    "PingResult": lambda line: api.ProbeEnded(
+    "Withdrawn": lambda line: ClientDisconnected(line.msgId),
+    "Flowing": lambda line: StreamStarted(line.msgId, line.attempt),
+    "PingResult": lambda line: HealthCheckEnded(
         str_of(line.worker),
         int_of(line.status),
         int_of(line.costTimeUs),
         line.gauge if isinstance(line.gauge, list) else None,
     ),
-    "Reminder": lambda line: api.TimerFired(str_of(line.ref)),
-    "Mail": lambda line: api.PeerMessage(int_of(line.sender), bytes.fromhex(str_of(line.body))),
+    "Reminder": lambda line: TimerFired(str_of(line.ref)),
 }
 
 _dump = msgspec.json.encode
 
 
-def encode(instance: str, action: api.Action) -> bytes:
+def encode(instance: str, action: Action) -> bytes:
     """Write one action as a line."""
     out: dict[str, object] = {"what": "", "scheduler": instance}
     match action:
-        case api.Place():
-            out |= {"what": "Place", "msgId": action.id, "worker": action.worker}
+        case Dispatch():
+            out |= {"what": "Place", "msgId": action.id, "worker": action.endpoint}
             if action.timeout_us:
                 out["capUs"] = action.timeout_us
-        case api.Cancel():
+        case Cancel():
             out |= {"what": "CallOff", "msgId": action.id, "attempt": action.attempt}
-        case api.Refuse():
+        case Reject():
             out |= {"what": "PushBack", "msgId": action.id, "retryAfterUs": action.retry_after_us}
-        case api.Fail():
+        case Fail():
             out |= {"what": "EndFailed", "msgId": action.id}
-        case api.SetTimer():
+        case SetTimer():
             out |= {"what": "Schedule", "inUs": action.in_us, "ref": action.token}
-        case api.Probe():
-            out |= {"what": "Inspect", "worker": action.worker}
-        case api.Tell():
-            peer: object = "all" if action.peer is None else action.peer
-            out |= {"what": "Signal", "recipient": peer, "body": action.body.hex()}
-        case api.Subscribe():
+        case CheckHealth():
+            out |= {"what": "Inspect", "worker": action.endpoint}
+        case WatchEndpoints():
             out |= {"what": "StreamChanges", "enable": True}
-        case api.Note():
+        case LogNotice():
             out |= {"what": "WriteLog", "reasonText": action.text}
     return _dump(out)
 
@@ -163,19 +186,21 @@
     def reply(self, now_us: int, batch: list[Wire]) -> bytes:
         """Answer one batch."""
         out: list[bytes] = []
-        pending: dict[str, list[api.Event]] = {}
+        pending: dict[str, list[Event]] = {}
         for line in batch:
             instance = line.scheduler
             if not isinstance(instance, str):
                 continue
             if line.what == "PowerOff":
-                self._decide(now_us, instance, pending.pop(instance, []), out)
+                self._decide(now_us, instance, pending.pop(instance, None), out)
                 self.balancers.pop(instance, None)
             elif line.what == "Create":
                 try:
                     self.balancers[instance] = Balancer(settings_from(line.conf), int_of(line.salt), now_us)
                 except Exception as error:
                     self._fault(instance, error, out)
+            elif line.what in IGNORED and self.balancers.get(instance) is not None:
+                pending.setdefault(instance, [])
             elif line.what in DECODERS and self.balancers.get(instance) is not None:
                 try:
                     event = DECODERS[line.what](line)
@@ -188,9 +213,9 @@
         out.append(b'{"what":"Eor"}\n')
         return b"\n".join(out)
 
-    def _decide(self, now_us: int, instance: str, events: list[api.Event], out: list[bytes]) -> None:
+    def _decide(self, now_us: int, instance: str, events: list[Event] | None, out: list[bytes]) -> None:
         balancer = self.balancers.get(instance)
-        if balancer is None or not events:
+        if balancer is None or events is None:
             return
         try:
             out.extend([encode(instance, action) for action in balancer.handle(now_us, events)])
@@ -216,20 +241,20 @@
         try:
             line = decode(raw)
         except msgspec.DecodeError as error:
-            raise BadInput(f"line {number}: {error}") from None
+            raise MalformedInputError(f"line {number}: {error}") from None
         if line.what == "Mark":
             if batch is not None or not isinstance(line.wallUs, int):
-                raise BadInput(f"line {number}: a batch is opened inside another, or has no clock")
+                raise MalformedInputError(f"line {number}: a batch is opened inside another, or has no clock")
             now_us, batch = line.wallUs, []
         elif batch is None:
-            raise BadInput(f"line {number}: not inside a batch")
+            raise MalformedInputError(f"line {number}: not inside a batch")
         elif line.what == "Commit":
             yield now_us, batch
             batch = None
         else:
             batch.append(line)
     if batch is not None:
-        raise BadInput(f"line {number}: the input ends inside a batch")
+        raise MalformedInputError(f"line {number}: the input ends inside a batch")
 
 
 def main() -> int:
@@ -239,7 +264,7 @@
         for now_us, batch in batches(sys.stdin.buffer):
             sys.stdout.buffer.write(host.reply(now_us, batch))
             sys.stdout.buffer.flush()
-    except BadInput as error:
+    except MalformedInputError as error:
         print(f"merlinbay: bad input: {error}", file=sys.stderr)
         return 2
     return 0
--- a/merlinbay/site_settings.py
+++ b/merlinbay/site_settings.py
@@ -5,7 +5,15 @@
 import math
 from typing import Any
 
-from merlinbay.decision import api
+from merlinbay.decision.settings import (
+    EFFECTS,
+    GROUPS,
+    DispatchLimits,
+    RequestClass,
+    SafetyMargins,
+    Settings,
+    Tenant,
+)
 
 
 def int_of(value: object, default: int = 0) -> int:
@@ -45,10 +53,10 @@
     """Read a class's effect and group. What this version does not know counts as unsafe to repeat."""
     effect = get_of(row, f"{at}.effect", str)
     group = get_of(row, f"{at}.group", str, "all")
-    if effect not in api.EFFECTS:
+    if effect not in EFFECTS:
         doubts.append(f"{at}.effect: unknown value {effect!r}, taken for 'once'")
         effect = "once"
-    if group not in api.GROUPS:
+    if group not in GROUPS:
         if effect == "by_key":
             doubts.append(f"{at}.group: unknown value {group!r}, the class is taken for one of effect 'once'")
             effect = "once"
@@ -56,7 +64,7 @@
     return effect, group
 
 
-def settings_from(conf: object) -> api.Settings:
+def settings_from(conf: object) -> Settings:
     """Translate the ``conf`` of a ``Create``."""
     extra = get_of(conf, "extra", dict, {})
     limits = get_of(conf, "limits", dict)
@@ -75,7 +83,7 @@
         at = f"classes[{i}]"
         effect, group = repeats_of(row, at, doubts)
         classes.append(
-            api.JobClass(
+            RequestClass(
                 name=get_of(row, f"{at}.name", str),
                 aim_us=int(get_of(row, f"{at}.aimUs", NUMBER)),
                 deadline_us=int(get_of(row, f"{at}.deadlineUs", NUMBER)),
@@ -95,12 +103,12 @@
     def meaning(text: str) -> str:
         return next((x for x in ("x0", "x1") if x in fields and extra.get(f"reportX{x[1]}") == text), "")
 
-    return api.Settings(
+    return Settings(
         classes=classes,
         balancers=max(get_of(conf, "balancers", int), 1),  # Guards against a count of 0: shares divide by it
         me=get_of(conf, "me", int),
         zone=get_of(conf, "az", str, ""),
-        limits=api.Limits(
+        limits=DispatchLimits(
             cancelling=get_of(limits, "limits.cancelling", bool, False),
             probes=get_of(limits, "limits.probes", bool, False),
             peers=get_of(limits, "limits.peers", bool, False),
@@ -109,7 +117,7 @@
             send_cap=get_of(limits, "limits.sendCap", int),
             max_retry_after_us=int(get_of(limits, "limits.maxRetryAfterUs", NUMBER, 0)),
         ),
-        safety=api.Safety(
+        safety=SafetyMargins(
             drain_grace_us=int(get_of(safety, "safety.drainGraceUs", NUMBER)),
             cold_from=float(get_of(safety, "safety.coldFrom", NUMBER)),
             cold_us=int(get_of(safety, "safety.coldUs", NUMBER)),
@@ -120,7 +128,7 @@
         ),
         kinds=[str_of(name) for name in get_of(conf, "kinds", list, [])],
         tenants=[
-            api.Tenant(
+            Tenant(
                 get_of(row, "tenants[].name", str),
                 float(get_of(row, "tenants[].quotaPerS", NUMBER)),
                 float(get_of(row, "tenants[].share", NUMBER, 1.0)),
--- a/merlinbay/store/engine.py
+++ b/merlinbay/store/engine.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from merlinbay.store.records import START, Corrupt, Record, chain, verify
+from merlinbay.store.records import START, CorruptLogError, Record, chain, verify
 from merlinbay.store.records import checksum as own_of
 
 SCHEMA = """
@@ -29,7 +29,7 @@
 KEPT = 2  # snapshots: the one before the last is there if the last cannot be read
 
 
-class Unstored(Exception):
+class StoreWriteError(Exception):
     """Nothing of it is promised: it could not be written. The text says why."""
 
 
@@ -50,20 +50,23 @@
     """One open file."""
 
     def __init__(self, path: Path) -> None:
-        """Open it, or make it. Raises ``Unstored``, and ``Corrupt`` where it is not a log of ours."""
+        """Open it, or make it.
+
+        Raises ``StoreWriteError``, and ``CorruptLogError`` where it is not a log of ours.
+        """
         self.path = path
         self.last, self.checksum = 0, START
         try:
             self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=1.0)
         except sqlite3.Error as error:
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
         try:
             self._begin()
         except sqlite3.DatabaseError as error:
             self.db.close()
             if isinstance(error, sqlite3.OperationalError):
-                raise Unstored(str(error)) from None
-            raise Corrupt(str(error)) from None
+                raise StoreWriteError(str(error)) from None
+            raise CorruptLogError(str(error)) from None
         except BaseException:
             self.db.close()
             raise
@@ -71,10 +74,10 @@
     def _begin(self) -> None:
         known = self.db.execute("PRAGMA user_version").fetchone()[0]
         if known not in (0, FORMAT):
-            raise Corrupt(f"format {known:#x}, this program reads {FORMAT:#x}")
+            raise CorruptLogError(f"format {known:#x}, this program reads {FORMAT:#x}")
         if known == 0:
             if self.db.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]:
-                raise Corrupt("another program's file")
+                raise CorruptLogError("another program's file")
             # Guards against a file that is made but not yet found after a loss of power.
             folder = os.open(self.path.parent, os.O_RDONLY)
             try:
@@ -111,40 +114,42 @@
                     self.db.execute("ROLLBACK")
                 raise
         except sqlite3.Error as error:
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
         if made:
             self.last, self.checksum = made[-1].number, made[-1].checksum
         return self.last
 
     def probe(self) -> None:
-        """Write something and take it back. Raises ``Unstored``."""
+        """Write something and take it back. Raises ``StoreWriteError``."""
         try:
             self.db.execute("INSERT INTO probe VALUES (zeroblob(?))", (PROBE,))
             self.db.execute("DELETE FROM probe")
         except sqlite3.Error as error:
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
 
     def cut(self, number: int, checksum: int) -> int:
-        """Drop what follows on a record; return how many. Raises ``Corrupt`` where that record is not there.
+        """Drop what follows on a record; return how many.
+
+        Raises ``CorruptLogError`` where that record is not there.
 
         Guards against records whose commit was told as failed and is on the disk all the same: nobody was
         promised them.
         """
         if self.last < number:
-            raise Corrupt(f"it ends at record {self.last}; {number} were promised")
+            raise CorruptLogError(f"it ends at record {self.last}; {number} were promised")
         known = {one.number: one.checksum for one in self.snapshots()} | {0: START}
         row = self.db.execute("SELECT checksum FROM records WHERE number = ?", (number,)).fetchone()
         if (int.from_bytes(row[0], "big") if row else known.get(number)) != checksum:
-            raise Corrupt(f"record {number} is not the one that was promised")
+            raise CorruptLogError(f"record {number} is not the one that was promised")
         try:
             dropped = self.db.execute("DELETE FROM records WHERE number > ?", (number,)).rowcount
         except sqlite3.Error as error:
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
         self.last, self.checksum = number, checksum
         return dropped
 
     def read(self, after: int = 0, checksum: int = START) -> Iterator[Record]:
-        """Return the records after one of that checksum. Raises ``Corrupt``, ``Unstored``."""
+        """Return the records after one of that checksum. Raises ``CorruptLogError``, ``StoreWriteError``."""
         yield from verify(checksum, after + 1, self._rows(after))
 
     def _rows(self, after: int) -> Iterator[Record]:
@@ -156,9 +161,9 @@
                     (after, PART),
                 ).fetchall()
             except sqlite3.OperationalError as error:
-                raise Unstored(str(error)) from None
+                raise StoreWriteError(str(error)) from None
             except sqlite3.DatabaseError as error:
-                raise Corrupt(str(error)) from None
+                raise CorruptLogError(str(error)) from None
             for number, version, body, own in rows:
                 yield Record(number, version, body, int.from_bytes(own, "big"))
             if len(rows) < PART:
@@ -175,7 +180,10 @@
         ]
 
     def snapshot(self, body: bytes) -> None:
-        """Keep the state after the last record; the one before the last stays too. Raises ``Unstored``."""
+        """Keep the state after the last record; the one before the last stays too.
+
+        Raises ``StoreWriteError``.
+        """
         own = own_of(self.checksum, self.last, 0, body)
         try:
             self.db.execute(
@@ -183,10 +191,13 @@
                 (self.last, _bytes(self.checksum), body, _bytes(own)),
             )
         except sqlite3.Error as error:
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
 
     def compact(self) -> int:
-        """Drop the records that the older of two snapshots holds; return how many. Raises ``Unstored``."""
+        """Drop the records that the older of two snapshots holds; return how many.
+
+        Raises ``StoreWriteError``.
+        """
         kept = self.snapshots()[:KEPT]
         if len(kept) < KEPT:
             return 0
@@ -200,22 +211,25 @@
         except sqlite3.Error as error:
             if self.db.in_transaction:
                 self.db.execute("ROLLBACK")
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
         return dropped
 
     def check(self) -> tuple[int, int]:
-        """Read all of it; return the first and the last record's number. Raises ``Corrupt``, ``Unstored``."""
+        """Read all of it; return the first and the last record's number.
+
+        Raises ``CorruptLogError``, ``StoreWriteError``.
+        """
         try:
             told = self.db.execute("PRAGMA integrity_check").fetchone()[0]
         except sqlite3.DatabaseError as error:
-            raise Corrupt(str(error)) from None
+            raise CorruptLogError(str(error)) from None
         if told != "ok":
-            raise Corrupt(str(told).splitlines()[0])
+            raise CorruptLogError(str(told).splitlines()[0])
         first = self.db.execute("SELECT min(number) FROM records").fetchone()[0]
         base = self.snapshots()
         count = self.db.execute("SELECT count(*) FROM snapshots").fetchone()[0]
         if len(base) < count:
-            raise Corrupt(f"{count - len(base)} of {count} snapshots are not as they were written")
+            raise CorruptLogError(f"{count - len(base)} of {count} snapshots are not as they were written")
         if first is None:
             return self.last + 1, self.last
         if first == 1:
@@ -223,7 +237,7 @@
         else:
             fits = [one for one in base if one.number == first - 1]
             if not fits:
-                raise Corrupt(f"records begin at {first}, and no snapshot holds those before")
+                raise CorruptLogError(f"records begin at {first}, and no snapshot holds those before")
             before = fits[0].checksum
         last = first - 1
         for record in self.read(first - 1, before):
@@ -231,7 +245,7 @@
         return first, last
 
     def backup(self, path: Path) -> None:
-        """Copy the file as of one moment, while it is written to. Raises ``Unstored``."""
+        """Copy the file as of one moment, while it is written to. Raises ``StoreWriteError``."""
         fresh = path.with_name(f"{path.name}.part")
         fresh.unlink(missing_ok=True)
         try:
@@ -242,7 +256,7 @@
             fresh.replace(path)
         except (sqlite3.Error, OSError) as error:
             fresh.unlink(missing_ok=True)
-            raise Unstored(str(error)) from None
+            raise StoreWriteError(str(error)) from None
 
     def close(self) -> None:
         """Close it."""
--- a/merlinbay/store/log.py
+++ b/merlinbay/store/log.py
@@ -1,6 +1,7 @@
 """The log as tasks use it: appends gathered into one commit, written off the event loop.
 
-A caller hears of its record once it is on the disk, or by ``Refused`` that it is not, with when to come back.
+A caller hears of its record once it is on the disk, or by ``AppendRefusedError`` that it is not, with when
+to come back.
 Where writing fails, all that were in the commit are refused, and so are new ones until the file was
 opened anew and ends where it should (``health``).
 """
@@ -15,14 +16,14 @@
 import trio
 
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine, Unstored
+from merlinbay.store.engine import Engine, StoreWriteError
 from merlinbay.store.health import Event, Health, State
-from merlinbay.store.records import Corrupt
+from merlinbay.store.records import CorruptLogError
 
 GROUP = 512  # records in one commit
 
 
-class Refused(Exception):
+class AppendRefusedError(Exception):
     """A record was not taken: nothing of it is promised."""
 
     def __init__(self, why: str, retry_after_us: int) -> None:
@@ -37,14 +38,14 @@
     body: bytes
     done: trio.Event = field(default_factory=trio.Event)
     number: int = 0
-    refused: Refused | None = None
+    refused: AppendRefusedError | None = None
 
 
 class StoreLog:
     """One file, and whoever appends to it."""
 
     def __init__(self, path: Path, log: Log, make: Callable[[Path], Engine] = Engine) -> None:
-        """Open it. Raises ``Unstored``, ``Corrupt``."""
+        """Open it. Raises ``StoreWriteError``, ``CorruptLogError``."""
         self.path, self.log, self.make = path, log, make
         self.engine = make(path)
         self.health = Health()
@@ -52,7 +53,7 @@
         self.commits = 0
 
     async def append(self, body: bytes) -> int:
-        """Write a record; return its number once it is on the disk. Raises ``Refused``."""
+        """Write a record; return its number once it is on the disk. Raises ``AppendRefusedError``."""
         self._need_open()
         waiting = Waiting(body)
         self.send.send_nowait(waiting)
@@ -63,7 +64,9 @@
 
     def _need_open(self) -> None:
         if self.health.state is not State.OPEN:
-            raise Refused(f"the store is {self.health.state.value}: {self.health.why}", self.health.wait_us)
+            raise AppendRefusedError(
+                f"the store is {self.health.state.value}: {self.health.why}", self.health.wait_us
+            )
 
     async def run(self) -> None:
         """Write for ever. To be ended by ``close``, or by being cancelled."""
@@ -87,7 +90,7 @@
             # Not to be given up half way: who waits has to hear what became of it.
             with trio.CancelScope(shield=True):
                 await trio.to_thread.run_sync(self.engine.append, [one.body for one in group])
-        except Unstored as error:
+        except StoreWriteError as error:
             self.health.tell(Event.UNWRITTEN, str(error))
             self.log.event("store_failed", level="error", path=self.path, error=error)
             self._refuse(group)
@@ -99,7 +102,7 @@
 
     def _refuse(self, group: list[Waiting]) -> None:
         for one in group:
-            one.refused = Refused(f"not stored: {self.health.why}", self.health.wait_us)
+            one.refused = AppendRefusedError(f"not stored: {self.health.why}", self.health.wait_us)
             one.done.set()
 
     async def _mend(self) -> None:
@@ -119,9 +122,9 @@
                 # Guards against a file that was cut short, or replaced: what was promised has to be in it.
                 self.engine.cut(*kept)
                 await trio.to_thread.run_sync(self.engine.probe)
-            except Unstored as error:
+            except StoreWriteError as error:
                 self.health.tell(Event.ILL, str(error))
-            except Corrupt as error:
+            except CorruptLogError as error:
                 self.health.tell(Event.ALTERED, str(error))
                 self.log.event("store_corrupt", level="error", path=self.path, error=error)
             else:
--- a/merlinbay/store/records.py
+++ b/merlinbay/store/records.py
@@ -29,7 +29,7 @@
     checksum: int
 
 
-class Corrupt(Exception):
+class CorruptLogError(Exception):
     """The log is not as it was written; the text says from which record on."""
 
 
@@ -46,13 +46,15 @@
 
 
 def verify(before: int, first: int, records: Iterable[Record]) -> Iterator[Record]:
-    """Pass records on as far as they fit. Raises ``Corrupt`` at the first that does not."""
+    """Pass records on as far as they fit. Raises ``CorruptLogError`` at the first that does not."""
     for number, record in enumerate(records, first):
         if record.number != number:
-            raise Corrupt(f"record {number} is missing; {record.number} comes next")
+            raise CorruptLogError(f"record {number} is missing; {record.number} comes next")
         if record.version not in READ:
-            raise Corrupt(f"record {number} has version {record.version}, which this program does not read")
+            raise CorruptLogError(
+                f"record {number} has version {record.version}, which this program does not read"
+            )
         if record.checksum != checksum(before, number, record.version, record.body):
-            raise Corrupt(f"record {number} is not as it was written")
+            raise CorruptLogError(f"record {number} is not as it was written")
         before = record.checksum
         yield record
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the module through its interface; no worker model, no scoring."""
+"""Tests of the module through its interface; no endpoint model, no scoring."""
--- a/tests/control_scenarios.py
+++ b/tests/control_scenarios.py
@@ -19,7 +19,7 @@
 from merlinbay.fleet.wire import Keys
 from merlinbay.log import Log
 from merlinbay.rig.proxy import PORT
-from merlinbay.store.engine import Engine, Unstored
+from merlinbay.store.engine import Engine, StoreWriteError
 from tests.control_cluster import Cluster, Machine, cluster, reserve_net
 
 TEAM = {"tasks_running": 1}
@@ -316,7 +316,7 @@
 
     def _need_room(self) -> None:
         if (self.path.parent / "full").exists():
-            raise Unstored("database or disk is full")
+            raise StoreWriteError("database or disk is full")
 
 
 async def disk_full(folder: Path) -> None:
--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -19,8 +19,39 @@
 
 import msgspec
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    Dispatch,
+    Fail,
+    LogNotice,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from merlinbay.decision.events import (
+    AttemptEnded,
+    BalancerCountChanged,
+    CallFailure,
+    ClientDisconnected,
+    DiscoveryChanged,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionPaused,
+    ExecutionProgressed,
+    ExecutionStarted,
+    HealthCheckEnded,
+    MaintenanceChanged,
+    RequestReceived,
+    SlotsReserved,
+    StreamStarted,
+    TimerFired,
+)
 from merlinbay.decision.learned import learned
+from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings, Tenant
 from merlinbay.emulator import play as emulator_play
 from merlinbay.emulator import policies
 from merlinbay.emulator.spec import load
@@ -34,33 +65,33 @@
 EMULATED_SEEDS = range(10)
 EMULATED_STEPS = 220
 PASSING_US = (300, 1_000, 4_000, 15_000, 60_000, 150_000, 400_000, 1_600_000)
-FAILURES = [failure.value for failure in api.CallFailure]
+FAILURES = [failure.value for failure in CallFailure]
 
 EVENTS: dict[str, type] = {
-    "arrived": api.JobArrived,
-    "withdrawn": api.JobWithdrawn,
-    "started": api.JobStarted,
-    "progress": api.JobProgress,
-    "paused": api.JobPaused,
-    "streaming": api.StreamStarted,
-    "ended": api.AttemptEnded,
-    "probed": api.ProbeEnded,
-    "timer": api.TimerFired,
-    "list": api.ListChanged,
-    "moved": api.ListMoved,
-    "counted": api.BalancersCounted,
-    "maintained": api.Maintained,
-    "kept": api.SlotsKept,
+    "arrived": RequestReceived,
+    "withdrawn": ClientDisconnected,
+    "started": ExecutionStarted,
+    "progress": ExecutionProgressed,
+    "paused": ExecutionPaused,
+    "streaming": StreamStarted,
+    "ended": AttemptEnded,
+    "probed": HealthCheckEnded,
+    "timer": TimerFired,
+    "list": EndpointsChanged,
+    "moved": DiscoveryChanged,
+    "counted": BalancerCountChanged,
+    "maintained": MaintenanceChanged,
+    "kept": SlotsReserved,
 }
 ACTIONS: dict[type, str] = {
-    api.Place: "send",
-    api.Cancel: "cancel",
-    api.Refuse: "reject",
-    api.Fail: "fail",
-    api.Probe: "probe",
-    api.SetTimer: "timer",
-    api.Subscribe: "subscribe",
-    api.Note: "note",
+    Dispatch: "send",
+    Cancel: "cancel",
+    Reject: "reject",
+    Fail: "fail",
+    CheckHealth: "probe",
+    SetTimer: "timer",
+    WatchEndpoints: "subscribe",
+    LogNotice: "note",
 }
 EVENT_CODES = {kind: code for code, kind in EVENTS.items()}
 
@@ -96,34 +127,34 @@
     return value
 
 
-def settings_of(row: Row) -> api.Settings:
+def settings_of(row: Row) -> Settings:
     """Make settings of their row."""
-    names = [one.name for one in dataclasses.fields(api.Settings)]
+    names = [one.name for one in dataclasses.fields(Settings)]
     values = dict(zip(names, row, strict=True))
-    values["classes"] = [api.JobClass(*one) for one in values["classes"]]
-    values["limits"], values["safety"] = api.Limits(*values["limits"]), api.Safety(*values["safety"])
-    values["tenants"] = [api.Tenant(*one) for one in values["tenants"]]
-    return api.Settings(**values)
+    values["classes"] = [RequestClass(*one) for one in values["classes"]]
+    values["limits"], values["safety"] = DispatchLimits(*values["limits"]), SafetyMargins(*values["safety"])
+    values["tenants"] = [Tenant(*one) for one in values["tenants"]]
+    return Settings(**values)
 
 
-def event_of(row: Row) -> api.Event:
+def event_of(row: Row) -> Event:
     """Make an event of its row."""
     code, values = row[0], list(row[1:])
     if code == "arrived":
         values[9] = tuple(values[9])
     elif code == "list":
-        values[1] = [api.WorkerEntry(*one) for one in values[1]]
-        values[3] = api.CallFailure(values[3])
-    event: api.Event = EVENTS[code](*values)
+        values[1] = [EndpointEntry(*one) for one in values[1]]
+        values[3] = CallFailure(values[3])
+    event: Event = EVENTS[code](*values)
     return event
 
 
-def row_of_event(event: api.Event) -> Row:
+def row_of_event(event: Event) -> Row:
     """Return an event's row."""
     return [EVENT_CODES[type(event)], *plain(dataclasses.astuple(event))]
 
 
-def row_of_action(action: api.Action) -> Row:
+def row_of_action(action: Action) -> Row:
     """Return an action's row. What a line for the log says may change."""
     code = ACTIONS[type(action)]
     return [code] if code == "note" else [code, *plain(dataclasses.astuple(action))]
@@ -149,7 +180,7 @@
 class Drawn:
     """Draws events that could come next, from what the module has done so far."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng, self.now = settings, Random(seed), 1_000_000
         self.requests: dict[int, Request] = {}
         self.probes: list[str] = []
@@ -295,7 +326,7 @@
         return ["kept", name, rng.choice((0.0, 1.0, 2.5)), 4.0]
 
 
-def drawn_settings(seed: int) -> api.Settings:
+def drawn_settings(seed: int) -> Settings:
     """Return settings of three deployments, with some of what they allow drawn."""
     rng = Random(f"settings/{seed}")
     paths: list[Path | None] = [None, *SITES]
@@ -311,7 +342,7 @@
     base.queued_field = rng.choice(("", "waiting")) if "waiting" in base.report_fields else ""
     base.held_field = rng.choice(("active", "active", "")) if "active" in base.report_fields else ""
     base.errors_field = "err_rps" if "err_rps" in base.report_fields else ""
-    base.tenants = [api.Tenant("t1", 3.0), api.Tenant("t2", 50.0, 0.5)] if rng.random() < 0.5 else []
+    base.tenants = [Tenant("t1", 3.0), Tenant("t2", 50.0, 0.5)] if rng.random() < 0.5 else []
     base.limits.probes = rng.random() < 0.6
     base.limits.cancelling = rng.random() < 0.7
     base.limits.second_copies = rng.random() < 0.7
@@ -345,13 +376,13 @@
 
     made: list[Recorder] = []
 
-    def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         row = plain(dataclasses.astuple(settings))
         super().__init__(settings, seed, now_us)
         self.stream = Stream("", row, seed, now_us, [], {})
         Recorder.made.append(self)
 
-    def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Decide, and note it."""
         rows = [row_of_event(event) for event in events]
         actions = super().handle(now_us, events)
--- a/tests/faulty_cluster.py
+++ b/tests/faulty_cluster.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from tests.duplicate_judge import DuplicateJudge
 from tests.faulty_executor import FaultBoard, FaultyExecutor
 from tests.net import CONF, LIMITS, Stage, stage
@@ -244,7 +244,7 @@
         except trio.TooSlowError:
             self.late.append(name)
             return 0
-        except (NotSent, ConnectionBroken):
+        except (RequestNotSentError, ConnectionBrokenError):
             return 0
         if reply.status == 200 and not reply.body.endswith(f":{name}".encode()):
             self.judge.breaks.append(f"{name}: the result is not its own: {reply.body!r}")
@@ -254,7 +254,7 @@
         """Make a call-back at the node that has the request."""
         try:
             await self.node_of[name].call("POST", "/v1/job-events", body=body)
-        except (NotSent, ConnectionBroken, OSError):
+        except (RequestNotSentError, ConnectionBrokenError, OSError):
             pass
 
     async def faults(self) -> list[str]:
--- a/tests/net.py
+++ b/tests/net.py
@@ -20,11 +20,11 @@
 from merlinbay.http.client import ClientConnection, Reply
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.node import run
 
-LIMITS = Limits()
+LIMITS = ResourceLimits()
 ROOT = Path(__file__).parent.parent
 CONF: dict[str, Any] = {
     "balancers": 1,
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -20,7 +20,7 @@
 
 import trio
 
-from merlinbay.http.client import ClientConnection, ConnectionBroken, NotSent
+from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from tests.duplicate_judge import DuplicateJudge
 from tests.net import CONF, LIMITS, ROOT, free_port
 from tests.soak_day import FLEET, SERVERS, JobFault, Leave, SoakDay, draw
@@ -122,12 +122,12 @@
         body = json.dumps(event).encode()
         try:
             connection = await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS, 0, 0.5)
-        except NotSent:
+        except RequestNotSentError:
             return
         try:
             with trio.move_on_after(2):
                 await connection.exchange("POST", "/v1/job-events", [], body)
-        except (NotSent, ConnectionBroken):
+        except (RequestNotSentError, ConnectionBrokenError):
             pass
         finally:
             connection.close()
@@ -197,7 +197,7 @@
                     connection.close()
                     if ready:
                         break
-                except (NotSent, ConnectionBroken):
+                except (RequestNotSentError, ConnectionBrokenError):
                     await trio.sleep(0.05)
         self.ready_at = trio.current_time()
 
@@ -264,7 +264,7 @@
     async def _dial(self) -> ClientConnection | None:
         try:
             return await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS, 0, 1.0)
-        except NotSent:
+        except RequestNotSentError:
             return None
 
     async def _hand_in(self, connection: ClientConnection, name: str, fresh: bool) -> SentRequest:
@@ -282,7 +282,7 @@
                 if reply.status == 200 and not reply.body.endswith(f":{name}".encode()):
                     self.breaks.append(f"lost: {name} was answered with {reply.body!r}")
                 self.judge.answered(name, reply.status, self.now())
-        except (NotSent, ConnectionBroken):
+        except (RequestNotSentError, ConnectionBrokenError):
             request.closed_at = self.now()
         return request
 
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -26,7 +26,7 @@
 from merlinbay.control.fanout import messages as fanout
 from merlinbay.control_service import durable_log, operator_calls, schema, sealing, status
 from merlinbay.control_service.settings import ControlFile
-from merlinbay.core import ports
+from merlinbay.core.messages import AttemptFinished, AttemptProgress, AttemptStarted
 from merlinbay.drmaa import schema as drmaa
 from merlinbay.emulator.play import Result
 from merlinbay.emulator.spec import Script
@@ -70,9 +70,9 @@
     "handover.part": Form(handover.Part),
     "handover.whole": Form(handover.Whole),
     "handover.serves": Form(handover.Serves),
-    "handover.unclaimed-started": Form(ports.AttemptStarted),
-    "handover.unclaimed-progress": Form(ports.AttemptProgress),
-    "handover.unclaimed-finished": Form(ports.AttemptFinished),
+    "handover.unclaimed-started": Form(AttemptStarted),
+    "handover.unclaimed-progress": Form(AttemptProgress),
+    "handover.unclaimed-finished": Form(AttemptFinished),
     "handover.unclaimed": Form(handover.Unclaimed),
     "handover.banned": Form(handover.Banned),
     "handover.away": Form(handover.Away),
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,7 +1,7 @@
 """Helpers: a hand-driven balancer, and a rule checker written apart from the module.
 
 The checker knows the four rules as the wire page states them and nothing of how the module decides.
-There is no worker model and no scoring here: outcomes are whatever a test says.
+There is no endpoint model and no scoring here: outcomes are whatever a test says.
 """
 
 from __future__ import annotations
@@ -9,7 +9,19 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from merlinbay.decision import api
+from merlinbay.decision.actions import Action, Cancel, Dispatch, Fail, LogNotice, Reject, SetTimer
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionProgressed,
+    ExecutionStarted,
+    RequestReceived,
+    TimerFired,
+)
+from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings
 
 NEVER = {3, 5, 8}
 
@@ -17,19 +29,19 @@
 class Decides(Protocol):
     """Anything that decides like a balancer."""
 
-    def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Take events, return actions."""
 
 
-def settings(**changes: object) -> api.Settings:
+def settings(**changes: object) -> Settings:
     """Return settings with one class of each kind of effect."""
     base: dict[str, object] = dict(
         classes=[
-            api.JobClass("safe", 100_000, 5_000_000, worth=5.0, stretch=2.0),
-            api.JobClass(
+            RequestClass("safe", 100_000, 5_000_000, worth=5.0, stretch=2.0),
+            RequestClass(
                 "keyed", 250_000, 10_000_000, effect="by_key", group="cell", window_us=3_000_000, stretch=2.0
             ),
-            api.JobClass("unsafe", 400_000, 8_000_000, effect="once", stretch=2.0),
+            RequestClass("unsafe", 400_000, 8_000_000, effect="once", stretch=2.0),
         ],
         balancers=4,
         zone="a",
@@ -38,8 +50,8 @@
         cross_zone_price=0.01,
         report_fields=["active", "x0"],
         free_slots_field="x0",
-        limits=api.Limits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
-        safety=api.Safety(
+        limits=DispatchLimits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
+        safety=SafetyMargins(
             drain_grace_us=250_000,
             cold_from=0.3,
             cold_us=9_000_000,
@@ -48,22 +60,22 @@
             answer_slack_us=16_000,
         ),
     )
-    return api.Settings(**{**base, **changes})  # type: ignore[arg-type]
+    return Settings(**{**base, **changes})  # type: ignore[arg-type]
 
 
-def entry(number: int, state: str = "up", ready: int = 0) -> api.WorkerEntry:
-    """Return a list line of worker ``number``: two zones, two kinds, cells of two."""
+def entry(number: int, state: str = "up", ready: int = 0) -> EndpointEntry:
+    """Return a list line of endpoint ``number``: two zones, two kinds, cells of two."""
     odd = number % 2
-    return api.WorkerEntry(f"w{number}", "ab"[odd], f"k{odd + 1}", number // 2, state, 1.0, ready)
+    return EndpointEntry(f"w{number}", "ab"[odd], f"k{odd + 1}", number // 2, state, 1.0, ready)
 
 
 @dataclass
 class Sent:
     """An attempt as the checker saw it."""
 
-    worker: str
+    endpoint: str
     at: int
-    cell: int  # of the worker when it was sent
+    cell: int  # of the endpoint when it was sent
     zone: str
     outcome: int = 0
     started: bool = False  # a start, or progress, was reported
@@ -78,8 +90,8 @@
 class Seen:
     """A request as the checker saw it."""
 
-    event: api.JobArrived
-    cls: api.JobClass
+    event: RequestReceived
+    cls: RequestClass
     at: int
     attempts: list[Sent] = field(default_factory=list)
     answers: int = 0
@@ -87,7 +99,7 @@
 
     @property
     def effect(self) -> str:
-        """What a repeat does: no worker knows one that carries no key."""
+        """What a repeat does: no endpoint knows one that carries no key."""
         return "once" if self.cls.effect == "by_key" and self.event.keyless else self.cls.effect
 
     @property
@@ -100,7 +112,7 @@
 class Checker:
     """Drives a balancer and notes every broken rule."""
 
-    conf: api.Settings
+    conf: Settings
     balancer: Decides
     now: int = 1_000_000
     broken: list[str] = field(default_factory=list)
@@ -112,7 +124,7 @@
     timers: list[tuple[int, str]] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
 
-    def give(self, *events: api.Event) -> list[api.Action]:
+    def give(self, *events: Event) -> list[Action]:
         """Hand a batch to the balancer and check what it answers."""
         ended_now: set[int] = set()
         for event in events:
@@ -124,43 +136,43 @@
             self.jobs[number].over, self.jobs[number].answers = True, 1
         return actions
 
-    def _before(self, event: api.Event, ended_now: set[int]) -> None:
-        if isinstance(event, api.JobArrived):
+    def _before(self, event: Event, ended_now: set[int]) -> None:
+        if isinstance(event, RequestReceived):
             cls = next(c for c in self.conf.classes if c.name == event.job_class)
             self.jobs[event.id] = Seen(event, cls, self.now)
-        elif isinstance(event, api.AttemptEnded) and event.id in self.jobs:
+        elif isinstance(event, AttemptEnded) and event.id in self.jobs:
             job = self.jobs[event.id]
             job.attempts[event.attempt].outcome = event.outcome
             if event.final:
                 job.over = True
-        elif isinstance(event, (api.JobStarted, api.JobProgress)) and event.id in self.jobs:
+        elif isinstance(event, (ExecutionStarted, ExecutionProgressed)) and event.id in self.jobs:
             sent = self.jobs[event.id].attempts[event.attempt]
             sent.started = sent.started or not sent.outcome
-        elif isinstance(event, api.JobWithdrawn) and event.id in self.jobs:
+        elif isinstance(event, ClientDisconnected) and event.id in self.jobs:
             ended_now.add(event.id)
-        elif isinstance(event, api.ListChanged):
+        elif isinstance(event, EndpointsChanged):
             named = set()
             for row in event.entries:
-                named.add(row.worker)
-                self.cell[row.worker] = (row.cell, row.zone)
-                self.ready[row.worker] = row.ready_at_us
+                named.add(row.endpoint)
+                self.cell[row.endpoint] = (row.cell, row.zone)
+                self.ready[row.endpoint] = row.ready_at_us
                 if row.state == "up":
-                    self.told_off.pop(row.worker, None)
+                    self.told_off.pop(row.endpoint, None)
                 else:
-                    self.told_off.setdefault(row.worker, self.now)
+                    self.told_off.setdefault(row.endpoint, self.now)
             if event.scope in ("all", "remembered"):
-                for worker in self.cell:
-                    if worker not in named:
-                        self.told_off.setdefault(worker, self.now)
+                for endpoint in self.cell:
+                    if endpoint not in named:
+                        self.told_off.setdefault(endpoint, self.now)
 
-    def _after(self, action: api.Action, ended_now: set[int]) -> None:
-        if isinstance(action, api.SetTimer):
+    def _after(self, action: Action, ended_now: set[int]) -> None:
+        if isinstance(action, SetTimer):
             self.timers.append((self.now + action.in_us, action.token))
-        elif isinstance(action, api.Note):
+        elif isinstance(action, LogNotice):
             self.notes.append(action.text)
-        elif isinstance(action, api.Place):
+        elif isinstance(action, Dispatch):
             self._placed(self.jobs[action.id], action)
-        elif isinstance(action, (api.Refuse, api.Fail)):
+        elif isinstance(action, (Reject, Fail)):
             job = self.jobs[action.id]
             job.answers += 1
             if job.over:
@@ -168,9 +180,9 @@
             if action.id in ended_now:
                 return
             job.over = True
-            if isinstance(action, api.Refuse) and not self._may_refuse(job, action.retry_after_us):
+            if isinstance(action, Reject) and not self._may_refuse(job, action.retry_after_us):
                 self.broken.append("2: refused though it may have run")
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, Cancel):
             assert action.attempt < len(self.jobs[action.id].attempts), "cancelled an attempt never sent"
 
     def _may_refuse(self, job: Seen, wait_us: int) -> bool:
@@ -180,7 +192,7 @@
         ends = job.unsure[0].at + job.cls.window_us
         return job.effect == "by_key" and job.cls.group == "all" and self.now + wait_us <= ends
 
-    def _placed(self, job: Seen, action: api.Place) -> None:
+    def _placed(self, job: Seen, action: Dispatch) -> None:
         if job.over:
             self.broken.append("1: sent after the end")
         unsure = job.unsure
@@ -189,32 +201,32 @@
             self.broken.append("2: second copy where none is allowed")
         if unsure and job.effect == "once":
             self.broken.append("2: once sent again")
-        cell, zone = self.cell[action.worker]
+        cell, zone = self.cell[action.endpoint]
         if unsure and job.effect == "by_key":
             home = unsure[0]
             same = {"all": True, "cell": cell == home.cell, "zone": zone == home.zone}[job.cls.group]
             if not same or self.now - home.at > job.cls.window_us:
                 self.broken.append("2: keyed sent outside its group or window")
-        job.attempts.append(Sent(action.worker, self.now, cell, zone))
+        job.attempts.append(Sent(action.endpoint, self.now, cell, zone))
         if len(job.attempts) > self.conf.limits.send_cap:
             self.broken.append("send cap passed")
-        off = self.told_off.get(action.worker)
+        off = self.told_off.get(action.endpoint)
         if off is not None and self.now - off > self.conf.safety.drain_grace_us:
             self.broken.append("3: sent to a drained worker")
-        started = self.ready.get(action.worker, 0)
+        started = self.ready.get(action.endpoint, 0)
         if started and self.now - started < self.conf.safety.cold_us:
-            self.cold_sends.setdefault(action.worker, []).append((self.now, job.event.slots))
+            self.cold_sends.setdefault(action.endpoint, []).append((self.now, job.event.slots))
 
     def check_cold(self, slots: float, run_us: float) -> None:
-        """Check the sliding cold budget for workers of so many slots and jobs of such a mean run time.
+        """Check the sliding cold budget for endpoints of so many slots and jobs of such a mean run time.
 
         One job may always be under way; what comes beyond it must fit this scheduler's share.
         """
         safety = self.conf.safety
         budget = safety.tip_multiple * slots * safety.overload_for_us / self.conf.balancers
-        for worker, sends in self.cold_sends.items():
+        for endpoint, sends in self.cold_sends.items():
             for at, _ in sends:
-                age = min(at + safety.overload_for_us - self.ready[worker], safety.cold_us)
+                age = min(at + safety.overload_for_us - self.ready[endpoint], safety.cold_us)
                 share = safety.cold_from + (1 - safety.cold_from) * age / safety.cold_us
                 span = [s for t, s in sends if at <= t < at + safety.overload_for_us]
                 if sum(span[1:]) * run_us > budget * share:
@@ -233,22 +245,22 @@
             if not late and step > end:
                 break
             self.now = self.now if late else min(step, end)
-            events: list[api.Event] = [api.TimerFired(token) for at, token in self.timers if at <= self.now]
+            events: list[Event] = [TimerFired(token) for at, token in self.timers if at <= self.now]
             self.timers = [(at, token) for at, token in self.timers if at > self.now]
             for number, job in self.jobs.items():
                 if job.at + job.event.budget_us <= self.now:
                     events += [
-                        api.AttemptEnded(number, i, 4, self.now - sent.at, job.over, None, sent.worker)
+                        AttemptEnded(number, i, 4, self.now - sent.at, job.over, None, sent.endpoint)
                         for i, sent in enumerate(job.attempts)
                         if not sent.outcome
                     ]
             if not events:
                 break
-            called_off = [(a.id, a.attempt) for a in self.give(*events) if isinstance(a, api.Cancel)]
+            called_off = [(a.id, a.attempt) for a in self.give(*events) if isinstance(a, Cancel)]
             if called_off:  # as the owner does at once: they have ended as cancelled
                 self.give(
                     *(
-                        api.AttemptEnded(job, attempt, 7, 1, self.jobs[job].over)
+                        AttemptEnded(job, attempt, 7, 1, self.jobs[job].over)
                         for job, attempt in called_off
                         if not self.jobs[job].attempts[attempt].outcome
                     )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -23,12 +23,12 @@
 from merlinbay.access import tokens
 from merlinbay.access.grants import Grant, Scope
 from merlinbay.access.settings import Access
-from merlinbay.access.tokens import BadKeys, Key, Ring, TokenGate
+from merlinbay.access.tokens import Key, KeyRingError, Ring, TokenGate
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.cli.main import main
+from merlinbay.errors import ConfigurationError
 from merlinbay.http.client import Reply
 from merlinbay.operator_file import read
-from merlinbay.problems import BadConfig
 from tests.net import Stage, free_port, play, stage
 from tests.test_front import Scheduler
 
@@ -155,7 +155,7 @@
     path = tmp_path / "keys.json"
     path.write_text(text)
     path.chmod(0o600)
-    with pytest.raises(BadKeys) as found:
+    with pytest.raises(KeyRingError) as found:
         tokens.load(path)
     assert str(path) in str(found.value) and says in str(found.value) and "\n" not in str(found.value)
 
@@ -199,7 +199,7 @@
     """A front that nobody was said to be kept from does not start."""
     path = tmp_path / "o.toml"
     path.write_text(f"[drmaa]\nfront = true\n{text}\n")
-    with pytest.raises(BadConfig) as found:
+    with pytest.raises(ConfigurationError) as found:
         read(str(path))
     assert f"{path}: drmaa.{says}" in str(found.value)
     assert Access(open=True).wrong() == ""
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -18,7 +18,7 @@
 from merlinbay.batch.jobs import Backlog, Job, Session, Stage, Submission
 from merlinbay.batch.quota import Allowance
 from merlinbay.batch.registry import Bounds, Control, Effect, Offer, Recall, Reply, Withdraw
-from merlinbay.batch.states import ENDED, HELD, TABLE, Event, InvalidState, State, after
+from merlinbay.batch.states import ENDED, HELD, TABLE, Event, InvalidStateError, State, after
 
 T0 = 1_800_000_000_000_000
 SECOND = 1_000_000
@@ -61,7 +61,7 @@
     if (state, event) in TABLE:
         assert state not in ENDED and after(state, event) is TABLE[state, event] is not state
     else:
-        with pytest.raises(InvalidState, match=f"cannot {event.value} a job that is {state.value}"):
+        with pytest.raises(InvalidStateError, match=f"cannot {event.value} a job that is {state.value}"):
             after(state, event)
     assert ((state, Event.FAIL) in TABLE) == (state not in ENDED)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,12 +14,12 @@
 from hypothesis import strategies as st
 
 from merlinbay.capacity import page
-from merlinbay.capacity.fit import GROWTH, Fit, Form, TooFewSizes, choose
-from merlinbay.capacity.formula import BadFormula, evaluate
+from merlinbay.capacity.fit import GROWTH, Fit, Form, TooFewSizesError, choose
+from merlinbay.capacity.formula import FormulaError, evaluate
 from merlinbay.capacity.needs import Basis, Prediction, Reckoner, Row
 from merlinbay.capacity.plan import (
     NO_MODULE,
-    BadPlan,
+    CapacityPlanError,
     Input,
     Measure,
     Mechanism,
@@ -30,7 +30,7 @@
     read_plan,
 )
 from merlinbay.capacity.ranking import Standing, rank
-from merlinbay.capacity.runs import BadRun, Metric, RunFile, read_folder
+from merlinbay.capacity.runs import Metric, RunFile, ScaleRunError, read_folder
 from merlinbay.capacity.words import filled, quantity
 from merlinbay.cli.capacity import DIFFERENT, capacity, fit_runs
 from merlinbay.scale.results import FORMAT, Percentiles, RoleMeasurement, ScaleRun
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("sizes", [(50,), (50, 50, 50, 50, 50), (50, 100, 200), (50, 100, 200, 200, 100)])
 def test_too_few_sizes_are_refused(sizes: tuple[int, ...]) -> None:
     """Repeats are no sizes."""
-    with pytest.raises(TooFewSizes, match="a fit needs 4"):
+    with pytest.raises(TooFewSizesError, match="a fit needs 4"):
         choose(sizes, [float(size) for size in sizes])
 
 
@@ -161,7 +161,7 @@
     """Anything else is refused in one line, by the text."""
     assert evaluate("2 * n ** 2 + max(n, ceil(log(n)))", {"n": 3.0}) == 21
     for text in ("n.real", "open('x')", "n if n else 1", "[n]", "n +", "m", "max(n, key=n)", "'n'", "-n"):
-        with pytest.raises(BadFormula) as caught:
+        with pytest.raises(FormulaError) as caught:
             evaluate(text, {"n": 1.0})
         assert len(str(caught.value).splitlines()) == 1
     assert filled("about {n * 2:B}, {n:/s}", {"n": 1500.0}) == "about 3 kB, 1,500/s"
@@ -192,7 +192,7 @@
     assert Metric("times.x.p999").of(row) == 3 and Metric("counts.changes").of(row) == 4
     assert Metric("counts.changes", "changes").of(row) == 1  # no rate: so many for each
     assert Metric("times.y.p50").of(row) is None and Metric("cpu_share", "deaths").of(row) is None
-    with pytest.raises(BadRun, match="no metric 'speed'"):
+    with pytest.raises(ScaleRunError, match="no metric 'speed'"):
         Metric("speed").of(row)
 
 
@@ -396,7 +396,7 @@
         (tmp_path / f"{name}.toml").write_text(
             text.replace('formula = "follower_core"', 'formula = "folower_core"')
         )
-    with pytest.raises(BadPlan, match="there is no value 'folower_core'"):
+    with pytest.raises(CapacityPlanError, match="there is no value 'folower_core'"):
         read_plan(tmp_path)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from merlinbay.cli.local import prompt_stop
 from merlinbay.cli.main import main
 from merlinbay.events import EventLog
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from tests.net import ROOT, free_port
 from tests.test_executor import alive
 
@@ -199,7 +199,7 @@
 
 def test_ctrl_c_waits_for_no_clients() -> None:
     """The time that a node serves on after SIGTERM is for a front layer, which a person does not have."""
-    limits = prompt_stop(Limits())
+    limits = prompt_stop(ResourceLimits())
     assert limits.stop_serving == limits.stop_arrivals == 0.0
     assert limits.stop_most <= 1.0
 
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -21,11 +21,15 @@
 
 from merlinbay.clock import Clock
 from merlinbay.config import Config, load
-from merlinbay.core import ports
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import AttemptFinished, RequestArrived, ServerAttempt
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.messages import AttemptFinished, Message, RequestArrived
+from merlinbay.core.values import RequestSpec
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.events import EndpointEntry, EndpointsChanged
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa.job_client import JobClient
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Connection, Request, Response
@@ -399,12 +403,12 @@
     async def open(self, inbox: int = 64, effect: str = "repeatable") -> None:
         """Listen."""
         self.clock = Clock()
-        send, self.inbox = trio.open_memory_channel[ports.Message](inbox)
-        classes = [api.JobClass("safe", 100_000, 5_000_000, worth=5.0, effect=effect, stretch=2.0)]
+        send, self.inbox = trio.open_memory_channel[Message](inbox)
+        classes = [RequestClass("safe", 100_000, 5_000_000, worth=5.0, effect=effect, stretch=2.0)]
         balancer = Balancer(settings(classes=classes, balancers=1), 1, self.clock.now_us())
-        workers = [api.WorkerEntry(f"w{number}", "a", "k1") for number in range(4)]
-        balancer.handle(self.clock.now_us(), [api.ListChanged("all", workers)])
-        self.owner = Owner(balancer, self.clock, LIMITS, self.counters, Log(9), self.servers, Mock())
+        endpoints = [EndpointEntry(f"w{number}", "a", "k1") for number in range(4)]
+        balancer.handle(self.clock.now_us(), [EndpointsChanged("all", endpoints)])
+        self.owner = Dispatcher(balancer, self.clock, LIMITS, self.counters, Log(9), self.servers, Mock())
         self.adapter = ClientAdapter(send, self.clock, LIMITS, self.counters, {"safe"}, Log(9))
         self.listener = Listener(self.adapter, LIMITS, self.counters, Log(9))
         sock = bound()
@@ -423,9 +427,9 @@
         statistics = self.inbox.statistics
         await until(lambda: statistics().current_buffer_used + statistics().tasks_waiting_send >= number)
 
-    def take(self, most: int = 64) -> list[ports.Message]:
+    def take(self, most: int = 64) -> list[Message]:
         """Have the owner take what is in the inbox, so many messages at the most; return them."""
-        taken: list[ports.Message] = []
+        taken: list[Message] = []
         while len(taken) < most:
             try:
                 taken.append(self.inbox.receive_nowait())
@@ -522,7 +526,7 @@
             leave(client)
             node.wait_until_left()
             first = node.started[0]
-            node.owner.turn([AttemptFinished("a", first.server, api.Outcome.FULL)])
+            node.owner.turn([AttemptFinished("a", first.server, Outcome.FULL)])
             await trio.testing.wait_all_tasks_blocked(0.05)
             node.owner.turn([])
             assert len(node.started) == 1
@@ -539,7 +543,7 @@
             await client.send(job("a"))
             await node.arrived()
             node.take()
-            node.owner.turn([AttemptFinished("a", node.started[0].server, api.Outcome.FULL)])
+            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.FULL)])
             assert len(node.started) == 2
             client.close()
 
@@ -600,7 +604,7 @@
             assert not given
             node.take()
             assert len(node.started) == 1
-            node.owner.turn([AttemptFinished("a", node.started[0].server, api.Outcome.OK, b"done")])
+            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             assert (await client.recv(1000)).endswith(b"done")
             await until(lambda: bool(given))
             assert len(node.owner.requests) == 0
@@ -612,7 +616,7 @@
 def test_no_attempt_begins_for_a_job_that_its_client_has_terminated() -> None:
     """The batch front's word of it may still wait behind others."""
     ended = Mock(ended=False)
-    client = JobClient(Mock(), ended, ports.JobSpec("j", "safe", 0, 1))
+    client = JobClient(Mock(), ended, RequestSpec("j", "safe", 0, 1))
     assert not client.left()
     ended.ended = True
     assert client.left()
@@ -658,7 +662,7 @@
             read_by = node.clock.now_us()
             await client.send(job("c")[:20])  # more behind it, later, is not its last byte
             await trio.sleep(0.2)
-            node.owner.turn([AttemptFinished("a", node.started[0].server, api.Outcome.OK, b"done")])
+            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             await node.arrived()
             (message,) = node.take()
             assert isinstance(message, RequestArrived)
@@ -941,7 +945,7 @@
     """One line each; the request is answered 400, or taken as one that is unsafe to repeat."""
 
     async def scene() -> None:
-        send, inbox = trio.open_memory_channel[ports.Message](9)
+        send, inbox = trio.open_memory_channel[Message](9)
         classes = {"keyed", "other"}
         adapter = ClientAdapter(send, Clock(), LIMITS, Counters(), classes, Log(9), frozenset({"keyed"}))
         asked = Request("POST", "/keyed", {"x-request-id": "a", "x-timeout-ms": "900", **headers}, b"")
