--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,13 +11,29 @@
 
 import pytest
 
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.records import Worker
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, CheckHealth, Dispatch
+from merlinbay.decision.events import (
+    AttemptEnded,
+    BalancerCountChanged,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionStarted,
+    HealthCheckEnded,
+    MaintenanceChanged,
+    RequestReceived,
+    SlotsReserved,
+    TimerFired,
+)
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.records import Endpoint
+from merlinbay.decision.settings import SafetyMargins
 from tests.support import settings
 
 SECOND, STEP = 1_000_000, 50_000
 SLOTS, RUN_US = 4.0, 270_000
-COLD = api.Safety(
+COLD = SafetyMargins(
     drain_grace_us=500_000,
     cold_from=0.31,
     cold_us=9 * SECOND,
@@ -44,18 +60,18 @@
         for cls in node.classes.values():
             cls.run, cls.seen = RUN_US, 100
         node.kinds["k1"].slots, node.kinds["k1"].told = SLOTS, True
-        node.handle(now, [api.BalancersCounted(self.conf.balancers, me)])
-        node.handle(now, [api.ListChanged("remembered", [api.WorkerEntry("w", "a", "k1", 0, "up", 1.0, 1)])])
+        node.handle(now, [BalancerCountChanged(self.conf.balancers, me)])
+        node.handle(now, [EndpointsChanged("remembered", [EndpointEntry("w", "a", "k1", 0, "up", 1.0, 1)])])
         return node
 
     def offer(self, now: int, node: Balancer) -> None:
         """Hand in a job; an attempt ends at once, so that nothing but the budget holds the next one back."""
         self.jobs += 1
-        out = node.handle(now, [api.JobArrived(self.jobs, "safe", 5 * SECOND)])
-        if any(isinstance(action, api.Place) for action in out):
+        out = node.handle(now, [RequestReceived(self.jobs, "safe", 5 * SECOND)])
+        if any(isinstance(action, Dispatch) for action in out):
             self.sent.append(now)
-            node.handle(now, [api.AttemptEnded(self.jobs, 0, api.Outcome.FULL, RUN_US, False, None, "w")])
-            node.workers["w"].observe(now, 0.0)
+            node.handle(now, [AttemptEnded(self.jobs, 0, Outcome.FULL, RUN_US, False, None, "w")])
+            node.endpoints["w"].observe(now, 0.0)
         while self.sent and self.sent[0] <= now - COLD.overload_for_us:
             self.sent.popleft()
         capacity = COLD.cold_from + (1 - COLD.cold_from) * min(now / COLD.cold_us, 1)
@@ -108,11 +124,11 @@
     """Its turns are worked out, not counted through: a node once stood still over this."""
     now = 1_790_000_000 * SECOND
     made = Balancer(settings(balancers=200, kinds=["k1"], safety=COLD), 1, now)
-    made.handle(now, [api.ListChanged("all", [api.WorkerEntry("w", "a", "k1", 0, "up", 1.0, ready)])])
-    made.workers["w"].cold_next = 0
-    assert made.cold_turn(made.workers["w"]) in (True, False)
-    out = made.handle(now, [api.JobArrived(1, "safe", SECOND)])
-    assert any(isinstance(action, api.Place) for action in out)
+    made.handle(now, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1", 0, "up", 1.0, ready)])])
+    made.endpoints["w"].cold_next = 0
+    assert made.cold_turn(made.endpoints["w"]) in (True, False)
+    out = made.handle(now, [RequestReceived(1, "safe", SECOND)])
+    assert any(isinstance(action, Dispatch) for action in out)
 
 
 # The budget over a range of settings, sizes of fleets and ways to send.
@@ -124,7 +140,7 @@
 
     slots: float
     run_us: int
-    safety: api.Safety
+    safety: SafetyMargins
 
     def calls(self, at: int) -> float:
         """Return how many calls of mean work the settings allow in a span that ends then."""
@@ -133,9 +149,9 @@
         return safety.tip_multiple * capacity * self.slots * safety.overload_for_us / self.run_us
 
 
-def slow_start(cold_from: float, cold_s: float, multiple: float, span_s: float) -> api.Safety:
+def slow_start(cold_from: float, cold_s: float, multiple: float, span_s: float) -> SafetyMargins:
     """Return the figures of a slow start."""
-    return api.Safety(
+    return SafetyMargins(
         cold_from=cold_from,
         cold_us=int(cold_s * SECOND),
         tip_multiple=multiple,
@@ -193,9 +209,9 @@
     begins: float = 0.5
     rejects: bool = True  # the server refuses each job; else it runs them
 
-    def job(self, number: int, rng: Random) -> api.JobArrived:
+    def job(self, number: int, rng: Random) -> RequestReceived:
         """Return the next job."""
-        return api.JobArrived(
+        return RequestReceived(
             number,
             self.job_class,
             5 * SECOND,
@@ -219,11 +235,11 @@
         self.conf = settings(**{"balancers": nodes, "kinds": ["k1", "k2"], "safety": site.safety, **changes})
         self.rng = Random(f"{nodes} {offer}")
         self.server = Server(site, site.run_us * offer.mean_slots)
-        self.entries = [api.WorkerEntry("w", "a", "k1", 0, "up", 1.0, 1)]
+        self.entries = [EndpointEntry("w", "a", "k1", 0, "up", 1.0, 1)]
         self.nodes = [self.fresh(me, 1, known=True) for me in range(nodes)]
         self.jobs = 0
         self.told = 0
-        self.later: list[tuple[int, int, Balancer, api.JobArrived, api.Event]] = []
+        self.later: list[tuple[int, int, Balancer, RequestReceived, Event]] = []
 
     def fresh(self, me: int, now: int, known: bool = False) -> Balancer:
         """Return a node that has just started; ``known``: it knows slots and run times."""
@@ -233,10 +249,10 @@
             for cls in node.classes.values():
                 cls.run, cls.seen = self.site.run_us, 100
             node.kinds["k1"].slots, node.kinds["k1"].told = self.site.slots, True
-        node.handle(now, [api.BalancersCounted(self.conf.balancers, me)])
-        node.handle(now, [api.ListChanged("remembered", self.entries)])
+        node.handle(now, [BalancerCountChanged(self.conf.balancers, me)])
+        node.handle(now, [EndpointsChanged("remembered", self.entries)])
         if self.offer.reserved:
-            node.handle(now, [api.SlotsKept("w", 1000.0, self.site.slots)])
+            node.handle(now, [SlotsReserved("w", 1000.0, self.site.slots)])
         return node
 
     def play(self, *changes: Callable[[Cluster, int], None]) -> None:
@@ -259,29 +275,29 @@
         job = self.offer.job(self.jobs, self.rng)
         self.act(now, node, job, node.handle(now, [job]))
 
-    def act(self, now: int, node: Balancer, job: api.JobArrived, actions: list[api.Action]) -> None:
+    def act(self, now: int, node: Balancer, job: RequestReceived, actions: list[Action]) -> None:
         """Carry out what a node has decided on a job."""
         for action in actions:
-            if isinstance(action, api.Place):
+            if isinstance(action, Dispatch):
                 self.place(now, node, job, action)
-            elif isinstance(action, api.Probe):
-                answer = api.ProbeEnded(action.worker, api.Outcome.OK, 1000, [0.0, self.site.slots])
+            elif isinstance(action, CheckHealth):
+                answer = HealthCheckEnded(action.endpoint, Outcome.OK, 1000, [0.0, self.site.slots])
                 self.tell(now + 1000, node, job, answer)
 
-    def place(self, now: int, node: Balancer, job: api.JobArrived, action: api.Place) -> None:
+    def place(self, now: int, node: Balancer, job: RequestReceived, action: Dispatch) -> None:
         """Have a server refuse the attempt, or run it."""
         run = self.site.run_us * math.exp(self.rng.gauss(-(self.offer.spread**2) / 2, self.offer.spread))
-        if action.worker == "w":
+        if action.endpoint == "w":
             self.server.take(now, run * job.slots)
         number = len(node.jobs[job.id].attempts) - 1
-        if action.worker == "w" and self.offer.rejects:
-            full = api.AttemptEnded(job.id, number, api.Outcome.FULL, 1000, False, None, action.worker)
+        if action.endpoint == "w" and self.offer.rejects:
+            full = AttemptEnded(job.id, number, Outcome.FULL, 1000, False, None, action.endpoint)
             self.tell(now + 1000, node, job, full)
             return
-        ended = api.AttemptEnded(job.id, number, api.Outcome.OK, int(run), True, None, action.worker)
+        ended = AttemptEnded(job.id, number, Outcome.OK, int(run), True, None, action.endpoint)
         self.tell(now + int(run), node, job, ended)
 
-    def tell(self, at: int, node: Balancer, job: api.JobArrived, event: api.Event) -> None:
+    def tell(self, at: int, node: Balancer, job: RequestReceived, event: Event) -> None:
         """Tell a node something later."""
         self.told += 1
         heapq.heappush(self.later, (at, self.told, node, job, event))
@@ -291,8 +307,8 @@
         while self.later and self.later[0][0] <= now:
             at, _, node, job, event = heapq.heappop(self.later)
             self.act(at, node, job, node.handle(at, [event]))
-            if "w" in node.workers:
-                node.workers["w"].observe(at, 0.0)
+            if "w" in node.endpoints:
+                node.endpoints["w"].observe(at, 0.0)
 
     def check(self) -> None:
         """Require that the budget was kept, and that it was used."""
@@ -364,7 +380,7 @@
 def recount(cluster: Cluster, now: int) -> None:
     """Tell all nodes how many they are."""
     for me, node in enumerate(cluster.nodes):
-        node.handle(now, [api.BalancersCounted(len(cluster.nodes), me)])
+        node.handle(now, [BalancerCountChanged(len(cluster.nodes), me)])
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
@@ -385,7 +401,7 @@
     cluster = Cluster(site, nodes, Offer(begins=0.0, spread=spread))
     if warm:
         cluster.entries += [
-            api.WorkerEntry(f"v{number}", "a", "k1", 0, "up") for number in range(min(nodes, 20))
+            EndpointEntry(f"v{number}", "a", "k1", 0, "up") for number in range(min(nodes, 20))
         ]
     cluster.nodes = [cluster.fresh(me, 1) for me in range(nodes)]
     for node in cluster.nodes:
@@ -412,30 +428,30 @@
 
 def another_kind_tells(node: Balancer) -> None:
     """Have a machine of another kind report sixteen slots."""
-    node._told_slots(node.workers["v"], 16.0, 0.0)
+    node._told_slots(node.endpoints["v"], 16.0, 0.0)
     assert node.kinds["k1"].slots == 16
 
 
 def cold_one_tells(node: Balancer) -> None:
     """Have the server in slow start report one free slot after that."""
     another_kind_tells(node)
-    node._told_slots(node.workers["w"], 1.0, None)
+    node._told_slots(node.endpoints["w"], 1.0, None)
 
 
 def starts_tell(node: Balancer) -> None:
     """Have prompt starts alone tell the slots: what runs here is scaled by the count of nodes."""
     for number in range(0, -20, -2):
         for job in (number, number - 1):
-            node.handle(1, [api.JobArrived(job, "safe", 5 * SECOND, only=("u",)), api.JobStarted(job, 0)])
+            node.handle(1, [RequestReceived(job, "safe", 5 * SECOND, only=("u",)), ExecutionStarted(job, 0)])
         for job in (number, number - 1):
-            node.handle(1, [api.AttemptEnded(job, 0, api.Outcome.OK, 300_000, True, None, "u")])
+            node.handle(1, [AttemptEnded(job, 0, Outcome.OK, 300_000, True, None, "u")])
 
 
 def refusals_tell(node: Balancer) -> None:
     """Have a refusal alone tell the slots: nineteen of the server's twenty jobs wait in its queue."""
-    node.handle(1, [api.JobArrived(-1, "safe", 5 * SECOND, only=("u",))])
-    node.workers["u"].count(1, 19.0)
-    node.handle(1, [api.AttemptEnded(-1, 0, api.Outcome.FULL, 1000, False, None, "u")])
+    node.handle(1, [RequestReceived(-1, "safe", 5 * SECOND, only=("u",))])
+    node.endpoints["u"].count(1, 19.0)
+    node.handle(1, [AttemptEnded(-1, 0, Outcome.FULL, 1000, False, None, "u")])
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
@@ -443,14 +459,14 @@
 def test_the_budget_binds_while_slots_are_not_known(tell: Callable[[Balancer], None], nodes: int) -> None:
     """A kind that was never tried is not as large as another, nor as what scaled guesses say."""
     site = Site(1.0, 300_000, slow_start(0.3, 6, 2.0, 1))
-    others = [api.WorkerEntry("v", "a", "k2", 0, "up"), api.WorkerEntry("u", "a", "k1", 0, "up")]
+    others = [EndpointEntry("v", "a", "k2", 0, "up"), EndpointEntry("u", "a", "k1", 0, "up")]
     cluster = Cluster(site, nodes, Offer(begins=0.0))
     for node in cluster.nodes:
         node.kinds["k1"].slots, node.kinds["k1"].told = 1.0, False
-        node.handle(1, [api.ListChanged("changes", others)])
+        node.handle(1, [EndpointsChanged("changes", others)])
         tell(node)
         assert node.kinds["k1"].slots > 1
-        node.handle(1, [api.ListChanged("all", cluster.entries)])
+        node.handle(1, [EndpointsChanged("all", cluster.entries)])
     cluster.play()
     cluster.check()
 
@@ -461,14 +477,14 @@
     for name in ("2 calls", "28 calls", "119 calls"):
         cluster = Cluster(SITES[name], nodes, Offer(begins=0.0))
         for number, node in enumerate(cluster.nodes):
-            node.handle(2, [api.ListChanged("all", [api.WorkerEntry("w", "a", "k1")])])
-            node.workers["w"].ready_at = 0
-            node.handle(3, [api.Maintained("w", True)])
+            node.handle(2, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
+            node.endpoints["w"].ready_at = 0
+            node.handle(3, [MaintenanceChanged("w", True)])
             cluster.tell(
                 4 + SECOND * number // nodes,
                 node,
                 cluster.offer.job(0, cluster.rng),
-                api.Maintained("w", False),
+                MaintenanceChanged("w", False),
             )
         cluster.play()
         cluster.check()
@@ -480,9 +496,9 @@
     for name in ("2 calls", "28 calls", "119 calls"):
         site = SITES[name]
         cluster = Cluster(site, nodes, Offer(begins=0.3))
-        full = api.WorkerEntry("v", "a", "k1", 0, "up", 1.0, 0)
+        full = EndpointEntry("v", "a", "k1", 0, "up", 1.0, 0)
         for node in cluster.nodes:
-            node.handle(2, [api.ListChanged("changes", [full])])
+            node.handle(2, [EndpointsChanged("changes", [full])])
         cluster.play(copies)
         assert cluster.server.over <= 0, f"{name}: {cluster.server.over:.1f} calls too many"
 
@@ -490,9 +506,9 @@
 def copies(cluster: Cluster, now: int) -> None:
     """Look at all that waits, at all nodes."""
     for node in cluster.nodes:
-        for action in node.handle(now, [api.TimerFired("watch")]):
-            if isinstance(action, api.Place) and action.worker == "w":
-                cluster.place(now, node, api.JobArrived(action.id, "safe", 1), action)
+        for action in node.handle(now, [TimerFired("watch")]):
+            if isinstance(action, Dispatch) and action.endpoint == "w":
+                cluster.place(now, node, RequestReceived(action.id, "safe", 1), action)
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
@@ -514,7 +530,7 @@
         assert not (anew := cluster.fresh(me, used + 1)).cold_turn(at(anew, used + 1))
 
 
-def at(node: Balancer, now: int) -> Worker:
+def at(node: Balancer, now: int) -> Endpoint:
     """Let the time be as told, at one node; return the server in slow start."""
     node.now = now
-    return node.workers["w"]
+    return node.endpoints["w"]
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -15,7 +15,7 @@
 from merlinbay.control.consensus.membership import Configuration, Member
 from merlinbay.control.effects import Persist, ProposalDone, ReadDone, Send
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, ChangeResult, ChangeUncertain
-from merlinbay.control.voter import CorruptRecords, Role, Voter, VoterSettings
+from merlinbay.control.voter import CorruptRecordsError, Role, Voter, VoterSettings
 from tests.consensus_cluster import NAMES, Cluster, Trouble, settings
 
 LATER = 100.0  # past each election timeout
@@ -804,7 +804,7 @@
 )
 def test_records_that_are_not_its_own(kept: list[bytes]) -> None:
     """The host is told; it takes the disk as lost."""
-    with pytest.raises(CorruptRecords):
+    with pytest.raises(CorruptRecordsError):
         Voter("a", settings(("a", "b", "c")), kept, Random(1), 0.0)
 
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -16,9 +16,9 @@
 from click.testing import CliRunner
 
 from merlinbay.cli.main import main
+from merlinbay.errors import ConfigurationError
 from merlinbay.fleet.wire import Keys
 from merlinbay.operator_file import read
-from merlinbay.problems import BadConfig
 from tests.control_cluster import Cluster, Machine, Scenario, cluster, run_side_by_side
 from tests.net import CONF, free_port
 
@@ -216,10 +216,10 @@
     """As the other sections of an operator's file: file, key and cause in one line."""
     path = tmp_path / "operator.toml"
     path.write_text(CONTROL.format(keys="k", address="nowhere"))
-    with pytest.raises(BadConfig, match=r"operator.toml: control.machines.r1.address"):
+    with pytest.raises(ConfigurationError, match=r"operator.toml: control.machines.r1.address"):
         read(str(path))
     path.write_text('[control]\nkeys = "k"\n[control.machines]\n')
-    with pytest.raises(BadConfig, match="at least one relay"):
+    with pytest.raises(ConfigurationError, match="at least one relay"):
         read(str(path))
 
 
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -19,11 +19,11 @@
 from merlinbay.control_service.connection import LENGTH, Connection, Overflow, TransportLimits
 from merlinbay.control_service.durable_log import DurableLog
 from merlinbay.control_service.sealing import TAG_BYTES, frame_seal
-from merlinbay.control_service.transport import Acceptor, Endpoint, NotConnected, connect, listen_at
+from merlinbay.control_service.transport import Acceptor, Endpoint, NotConnectedError, connect, listen_at
 from merlinbay.control_service.voter_host import VoterHost
-from merlinbay.fleet.wire import Keys, Refused
+from merlinbay.errors import ConfigurationError
+from merlinbay.fleet.wire import Keys, MessageRejectedError
 from merlinbay.log import Log
-from merlinbay.problems import BadConfig
 from merlinbay.store.engine import Engine
 from tests.control_cluster import run_side_by_side
 from tests.control_scenarios import SCENARIOS
@@ -39,7 +39,7 @@
     assert frame_seal(b"key", b"hello", b"1", b"2").open(first) == b"a"
     for frames in ([first, first], [second], [first[:-1] + b"c"]):
         receiver = frame_seal(b"key", b"hello", b"1", b"2")
-        with pytest.raises(Refused):
+        with pytest.raises(MessageRejectedError):
             for frame in frames:
                 receiver.open(frame)
     for other in (
@@ -47,7 +47,7 @@
         frame_seal(b"key", b"hello", b"1", b"3"),
         frame_seal(b"other", b"hello", b"1", b"2"),
     ):
-        with pytest.raises(Refused):
+        with pytest.raises(MessageRejectedError):
             other.open(first)
 
 
@@ -86,7 +86,7 @@
 )
 def test_a_value_is_checked_before_it_is_proposed(key: str, value: object, cause: str) -> None:
     """Each refusal names its key and cause."""
-    with pytest.raises(schema.BadValue, match=cause) as caught:
+    with pytest.raises(schema.InvalidValueError, match=cause) as caught:
         schema.encode_value(key, value)
     assert str(caught.value).startswith(key)
 
@@ -121,7 +121,7 @@
     """Operators see where to look."""
     path = tmp_path / "control.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         settings.read(str(path))
     assert str(caught.value).startswith(str(path))
     assert cause in str(caught.value)
@@ -176,7 +176,7 @@
                 Endpoint("client", "follower", "fleet", OTHER_KEY),
                 Endpoint("client", "follower", "other", KEY),
             ):
-                with pytest.raises(NotConnected):
+                with pytest.raises(NotConnectedError):
                     await connect(wrong, echo.address, Overflow.CLOSE)
             assert echo.endpoint.traffic.connections_refused == 2
             assert client.traffic.messages_received == 3
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,23 +19,22 @@
 from merlinbay import node
 from merlinbay.clock import Clock
 from merlinbay.config import load
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import (
-    Answer,
+from merlinbay.core.attempts import Responder
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.messages import (
     AttemptFinished,
     AttemptProgress,
     AttemptStarted,
-    Edge,
-    JobSpec,
     Message,
     RequestArrived,
-    ServiceEntry,
-    Stopping,
-    Verdict,
+    ShutdownRequested,
 )
+from merlinbay.core.values import Answer, AnswerStatus, RequestSpec, ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
-from merlinbay.http.client import Withheld
+from merlinbay.decision import Balancer
+from merlinbay.decision.events import EndpointEntry, EndpointsChanged
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.http.client import AttemptWithheldError
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.server import Listener
@@ -384,7 +383,7 @@
 # A client that has gone, and the attempts that its request would still get.
 
 
-class Leaver(Edge):
+class Leaver(Responder):
     """A client that has left though nobody has said so."""
 
     def __init__(self, left: bool) -> None:
@@ -405,70 +404,70 @@
     servers, clock, counters = Mock(), Mock(), Counters()
     clock.now_us.return_value = 1_000_000
     made = Balancer(settings(balancers=1), 1, 0)
-    made.handle(0, [api.ListChanged("all", [api.WorkerEntry("w", "a", "k1")])])
-    owner, edge = Owner(made, clock, LIMITS, counters, Log(9), servers, Mock()), Leaver(left)
-    owner.turn([RequestArrived(JobSpec("j", "safe", 1_000_000, 2_000_000), edge)])
-    assert servers.start.call_count == (not left) and edge.answers == 0
+    made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
+    owner, responder = Dispatcher(made, clock, LIMITS, counters, Log(9), servers, Mock()), Leaver(left)
+    owner.turn([RequestArrived(RequestSpec("j", "safe", 1_000_000, 2_000_000), responder)])
+    assert servers.start.call_count == (not left) and responder.answers == 0
     assert (len(owner.requests), counters.counts["requests_withdrawn"]) == ((0, 1) if left else (1, 0))
 
 
 @pytest.mark.parametrize(
     ("job_class", "group", "verdict"),
     [
-        ("safe", "all", Verdict.REFUSED),
-        ("keyed", "all", Verdict.REFUSED),
-        ("keyed", "zone", Verdict.FAILED),
-        ("keyed", "cell", Verdict.FAILED),
-        ("unsafe", "all", Verdict.FAILED),
+        ("safe", "all", AnswerStatus.REFUSED),
+        ("keyed", "all", AnswerStatus.REFUSED),
+        ("keyed", "zone", AnswerStatus.FAILED),
+        ("keyed", "cell", AnswerStatus.FAILED),
+        ("unsafe", "all", AnswerStatus.FAILED),
     ],
 )
 def test_a_node_that_stops_cuts_an_attempt_short_and_sends_no_other(
-    job_class: str, group: str, verdict: Verdict
+    job_class: str, group: str, verdict: AnswerStatus
 ) -> None:
     """The owner's deadline is earlier than the module's, which would send the job again."""
-    servers, clock, edge = Mock(), Mock(), Mock()
-    edge.left.return_value = False
+    servers, clock, responder = Mock(), Mock(), Mock()
+    responder.left.return_value = False
     clock.now_us.return_value = 1_000_000
     conf = settings(balancers=1)
     conf.classes[1].group = group
     made = Balancer(conf, 1, 0)
     made.handle(
-        0, [api.ListChanged("all", [api.WorkerEntry(f"w{n}", "a", f"k{n % 2 + 1}") for n in range(4)])]
+        0, [EndpointsChanged("all", [EndpointEntry(f"w{n}", "a", f"k{n % 2 + 1}") for n in range(4)])]
     )
-    owner = Owner(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
-    spec = JobSpec("j", job_class, 1_000_000, 5_000_000, repeat_key="k")
-    owner.turn([RequestArrived(spec, edge), Stopping()])
+    owner = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, repeat_key="k")
+    owner.turn([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
     clock.now_us.return_value += LIMITS.stop_answers_us
     owner.turn([])
     assert servers.start.call_count == servers.give_up.call_count == 1
-    (answer,) = [call.args[0] for call in edge.answer.call_args_list]
+    (answer,) = [call.args[0] for call in responder.answer.call_args_list]
     assert answer.verdict is verdict
 
 
 @pytest.mark.parametrize(
     ("reported", "outcome"),
     [
-        ([], api.Outcome.FULL),
-        ([AttemptStarted("j", "w")], api.Outcome.RESET),
-        ([AttemptProgress("j", "w", 0.4)], api.Outcome.RESET),
+        ([], Outcome.FULL),
+        ([AttemptStarted("j", "w")], Outcome.RESET),
+        ([AttemptProgress("j", "w", 0.4)], Outcome.RESET),
     ],
 )
 def test_the_owner_takes_no_hand_back_after_a_start_or_progress_for_unstarted(
-    reported: list[Message], outcome: api.Outcome
+    reported: list[Message], outcome: Outcome
 ) -> None:
     """Whatever the module makes of it: counters and fronts go by the owner's word."""
-    clock, counters, edge = Mock(), Counters(), Mock()
-    edge.left.return_value = False
+    clock, counters, responder = Mock(), Counters(), Mock()
+    responder.left.return_value = False
     clock.now_us.return_value = 1_000_000
     made = Balancer(settings(balancers=1), 1, 0)
-    made.handle(0, [api.ListChanged("all", [api.WorkerEntry("w", "a", "k1")])])
-    owner = Owner(made, clock, LIMITS, counters, Log(9), Mock(), Mock())
-    owner.turn([RequestArrived(JobSpec("j", "unsafe", 1_000_000, 5_000_000), edge)])
-    owner.turn([*reported, AttemptFinished("j", "w", api.Outcome.FULL)])
+    made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
+    owner = Dispatcher(made, clock, LIMITS, counters, Log(9), Mock(), Mock())
+    owner.turn([RequestArrived(RequestSpec("j", "unsafe", 1_000_000, 5_000_000), responder)])
+    owner.turn([*reported, AttemptFinished("j", "w", Outcome.FULL)])
     assert counters.counts[f"attempts_{outcome.name.lower()}"] == 1
-    (answer,) = [call.args[0] for call in edge.answer.call_args_list]
-    assert answer.verdict is (Verdict.FAILED if reported else Verdict.REFUSED)
+    (answer,) = [call.args[0] for call in responder.answer.call_args_list]
+    assert answer.verdict is (AnswerStatus.FAILED if reported else AnswerStatus.REFUSED)
 
 
 @pytest.mark.parametrize("unread", [b"", b"x"])
@@ -515,10 +514,10 @@
 
             def last_look() -> list[tuple[str, str]]:
                 if not wanted:
-                    raise Withheld("its client has left")
+                    raise AttemptWithheldError("its client has left")
                 return []
 
-            with pytest.raises(Withheld):
+            with pytest.raises(AttemptWithheldError):
                 await pool.exchange("s", "POST", "/", [], b"x", last_look)
             assert not server.seen and len(pool.servers["s"].idle) == 1
 
@@ -618,12 +617,12 @@
         from merlinbay.platform.client_adapter import ClientAdapter
 
         send, inbox = trio.open_memory_channel[object](9)
-        edge = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
-        edge.over = True
+        responder = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
+        responder.over = True
         head = {name.lower(): value for name, value in admission("j")}
-        refused = await edge.request(Mock(proven=False), Request("POST", "/admit", head, b""))
+        refused = await responder.request(Mock(proven=False), Request("POST", "/admit", head, b""))
         told = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
-        taken = await edge.request(Mock(), Request("POST", "/v1/job-events", {}, told))
+        taken = await responder.request(Mock(), Request("POST", "/v1/job-events", {}, told))
         assert refused is not None and refused.status == 503 and refused.headers[0][0] == b"retry-after"
         assert taken is not None and taken.status == 200 and inbox.statistics().current_buffer_used == 0
 
--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -14,11 +14,12 @@
 import pytest
 import trio
 
-from merlinbay.core.ports import EntriesChanged, Message, ServiceEntry
+from merlinbay.core.messages import EndpointListReceived, Message
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.decision import CallFailure
 from merlinbay.dnssd import records
-from merlinbay.dnssd.directory import DnsSdDirectory, Failed
+from merlinbay.dnssd.directory import DnsQueryError, DnsSdDirectory
 from merlinbay.log import Log
 from tests.net import LIMITS, play, serves, stage
 
@@ -122,11 +123,11 @@
             directory = DnsSdDirectory(at, SERVICE, send, limits, Counters(), Log(9))
             nursery.start_soon(directory.run)
             directory.subscribe()
-            assert await receive.receive() == EntriesChanged("all", [S1, S2])
+            assert await receive.receive() == EndpointListReceived("all", [S1, S2])
             moved_at = trio.current_time()
             directory.move(at, SERVICE)
             for least, most in ((0.0, 0.3), (0.3, 0.8)):
-                assert await receive.receive() == EntriesChanged("all", [S1, S2])
+                assert await receive.receive() == EndpointListReceived("all", [S1, S2])
                 assert least <= trio.current_time() - moved_at < most
             nursery.cancel_scope.cancel()
 
@@ -144,14 +145,14 @@
             directory = DnsSdDirectory(at, SERVICE, send, LIMITS, Counters(), Log(9))
             nursery.start_soon(directory.run)
             directory.subscribe()
-            assert await receive.receive() == EntriesChanged("all", [S1, S2])
+            assert await receive.receive() == EndpointListReceived("all", [S1, S2])
             server.rcode = dns.rcode.SERVFAIL
-            with pytest.raises(Failed):
+            with pytest.raises(DnsQueryError):
                 await directory.look()
-            assert await receive.receive() == EntriesChanged("refused", failure=CallFailure.UNREACHABLE)
+            assert await receive.receive() == EndpointListReceived("refused", failure=CallFailure.UNREACHABLE)
             server.rcode, server.text = dns.rcode.NOERROR, TWO + "host-1.example. 1 IN A 127.0.0.9"
             directory.subscribe()
-            assert await receive.receive() == EntriesChanged("all", [S2])
+            assert await receive.receive() == EndpointListReceived("all", [S2])
             nursery.cancel_scope.cancel()
 
     play(scene)
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -17,14 +17,16 @@
 from merlinbay.batch.jobs import Backlog
 from merlinbay.batch.quota import Allowance
 from merlinbay.batch.registry import Bounds, Offer
-from merlinbay.core.ports import Answer, AttemptFinished, AttemptStarted, JobSpec, Verdict
-from merlinbay.decision.api import JobClass, Outcome
+from merlinbay.core.messages import AttemptFinished, AttemptStarted
+from merlinbay.core.values import Answer, AnswerStatus, RequestSpec
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import schema, templates
 from merlinbay.drmaa.job_client import JobClient
 from merlinbay.drmaa.servers import message_of, outcome_of
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Request, Response
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from tests.net import Stage, StandIn, play, serves, stage
 from tests.test_node import full
 
@@ -32,11 +34,14 @@
 BOTH = FRONT + "servers = true\n"
 CALL = {"jobTemplate": {"remoteCommand": "transcribe", "args": ["--minutes"]}}
 NOW = 1_800_000_000_000_000
-CLASSES = [JobClass("admit", 1, 3_000_000, effect="by_key"), JobClass("print", 1, 9_000_000, effect="once")]
+CLASSES = [
+    RequestClass("admit", 1, 3_000_000, effect="by_key"),
+    RequestClass("print", 1, 9_000_000, effect="once"),
+]
 RULES = templates.Rules({spec.name: spec for spec in CLASSES}, memory_unit_kib=1024)
 
 
-def spec_of(template: schema.JobTemplate, index: int = 0) -> JobSpec:
+def spec_of(template: schema.JobTemplate, index: int = 0) -> RequestSpec:
     """Return what the core is offered of a template, of an array member if there is an index."""
     engine = Engine(Bounds(), lambda: "j")
     session = engine.create("s", "", Allowance(), Backlog(), NOW)
@@ -317,10 +322,11 @@
 
 
 @pytest.mark.parametrize(
-    "operator, limits", [(BOTH + "finished = 2\n", Limits()), (BOTH, Limits(finished_bytes=20))]
+    "operator, limits",
+    [(BOTH + "finished = 2\n", ResourceLimits()), (BOTH, ResourceLimits(finished_bytes=20))],
 )
 def test_finished_jobs_are_kept_within_bounds(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, operator: str, limits: Limits
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, operator: str, limits: ResourceLimits
 ) -> None:
     """Of many, or large ones, the oldest is forgotten: its id is no job any more."""
     monkeypatch.setattr("merlinbay.config.limits_from", lambda *_: limits)
@@ -472,7 +478,7 @@
         for name in ("http", "platform", "drmaa", "dnssd", "json")
         if f"merlinbay.{name}" in text or f"import {name}" in text
     ]
-    assert JobSpec("j", "c", 0, 1).budget_us == 1 and Answer(Verdict.FAILED).retry_after_us == 0
+    assert RequestSpec("j", "c", 0, 1).budget_us == 1 and Answer(AnswerStatus.FAILED).retry_after_us == 0
 
 
 @pytest.mark.parametrize(
@@ -490,10 +496,12 @@
 ) -> None:
     """Its next offer could come when servers have forgotten the key of this one."""
     front, job = Mock(), Mock(ended=False, job_class="c")
-    front.rules.classes = {"c": JobClass("c", 1000, 9_000_000, effect=effect, group="all", window_us=400_000)}
-    front.clock.now_us.return_value, front.limits = 1_000, Limits()
-    client = JobClient(front, job, JobSpec("j", "c", 0, 9_000_000))
-    client.answer(Answer(Verdict.REFUSED, may_have_run=may_have_run))
+    front.rules.classes = {
+        "c": RequestClass("c", 1000, 9_000_000, effect=effect, group="all", window_us=400_000)
+    }
+    front.clock.now_us.return_value, front.limits = 1_000, ResourceLimits()
+    client = JobClient(front, job, RequestSpec("j", "c", 0, 9_000_000))
+    client.answer(Answer(AnswerStatus.REFUSED, may_have_run=may_have_run))
     assert (front.engine.refused.call_count, front.engine.failed.call_count) == (
         (1, 0) if offered_again else (0, 1)
     )
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -1,7 +1,7 @@
 """Who may take a job, on every path: drawn settings and event sequences against the real balancer.
 
 The checker in ``support`` judges class, group, window, send cap, second copies, drains and answers; here it
-also sees two attempts at one worker, and actions that the settings do not allow.
+also sees two attempts at one endpoint, and actions that the settings do not allow.
 """
 
 from __future__ import annotations
@@ -15,8 +15,23 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.records import Attempt, Job, Worker
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Cancel, CheckHealth, Dispatch, Fail, SetTimer
+from merlinbay.decision.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionProgressed,
+    ExecutionStarted,
+    HealthCheckEnded,
+    MaintenanceChanged,
+    RequestReceived,
+    SlotsReserved,
+)
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.records import Attempt, Endpoint, Job
+from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 from merlinbay.site_settings import settings_from
 from tests.support import Checker, Seen, entry, settings
 from tests.test_sites import SITES, conf_of
@@ -32,61 +47,61 @@
 
 @dataclass
 class StrictChecker(Checker):
-    """Judges also single actions: one attempt at a worker at once, and nothing that is not allowed."""
+    """Judges also single actions: one attempt at an endpoint at once, and nothing that is not allowed."""
 
     probes: deque[str] = field(default_factory=deque)
 
-    def act(self, *events: api.Event) -> None:
+    def act(self, *events: Event) -> None:
         """Hand a batch over; what is cancelled in answer ends at once, as the owner has it."""
         for action in self.give(*events):
-            if not isinstance(action, api.Cancel):
+            if not isinstance(action, Cancel):
                 continue
             job = self.jobs[action.id]
             sent = job.attempts[action.attempt]
             if not sent.outcome:
                 took = self.now - sent.at
-                self.act(api.AttemptEnded(action.id, action.attempt, 7, took, job.over, None, sent.worker))
+                self.act(AttemptEnded(action.id, action.attempt, 7, took, job.over, None, sent.endpoint))
 
-    def _after(self, action: api.Action, ended_now: set[int]) -> None:
-        if isinstance(action, api.Probe):
-            self.probes.append(action.worker)
+    def _after(self, action: Action, ended_now: set[int]) -> None:
+        if isinstance(action, CheckHealth):
+            self.probes.append(action.endpoint)
             if not self.conf.limits.probes:
                 self.broken.append("probed where no probes are allowed")
-        if isinstance(action, api.Cancel) and not self.conf.limits.cancelling:
+        if isinstance(action, Cancel) and not self.conf.limits.cancelling:
             self.broken.append("cancelled where that is not allowed")
         super()._after(action, ended_now)
 
-    def _placed(self, job: Seen, action: api.Place) -> None:
-        if any(sent.worker == action.worker and not sent.outcome for sent in job.attempts):
+    def _placed(self, job: Seen, action: Dispatch) -> None:
+        if any(sent.endpoint == action.endpoint and not sent.outcome for sent in job.attempts):
             self.broken.append("two attempts at one worker at once")
-        if job.event.only and action.worker not in job.event.only:
+        if job.event.only and action.endpoint not in job.event.only:
             self.broken.append("sent to a worker that the job is not bound to")
         super()._placed(job, action)
 
 
 @dataclass
 class Fleet:
-    """The workers of a drawn deployment: ``zones`` of two cells each, ``cell`` workers in each."""
+    """The endpoints of a drawn deployment: ``zones`` of two cells each, ``cell`` endpoints in each."""
 
     zones: int
     cell: int
     kinds: int
 
-    def rows(self) -> list[api.WorkerEntry]:
-        """Return the worker list."""
+    def rows(self) -> list[EndpointEntry]:
+        """Return the endpoint list."""
         return [
-            api.WorkerEntry(f"w{n}", "abc"[n // self.cell // 2], f"k{n % self.kinds + 1}", n // self.cell)
+            EndpointEntry(f"w{n}", "abc"[n // self.cell // 2], f"k{n % self.kinds + 1}", n // self.cell)
             for n in range(self.zones * 2 * self.cell)
         ]
 
 
 @st.composite
-def deployments(draw: st.DrawFn) -> tuple[api.Settings, Fleet]:
-    """Draw settings with a class of each effect, and the workers they are about."""
+def deployments(draw: st.DrawFn) -> tuple[Settings, Fleet]:
+    """Draw settings with a class of each effect, and the endpoints they are about."""
     fleet = Fleet(draw(st.integers(1, 3)), draw(st.integers(1, 3)), draw(st.integers(1, 2)))
     probes = draw(st.booleans())
     keyed = [
-        api.JobClass(
+        RequestClass(
             f"keyed-{group}",
             120_000,
             draw(st.sampled_from([1_000_000, 7_500_000])),
@@ -96,16 +111,16 @@
         )
         for group in ("zone", "cell", "all")
     ]
-    unsafe = api.JobClass("unsafe", 400_000, 2_000_000, effect="once")
+    unsafe = RequestClass("unsafe", 400_000, 2_000_000, effect="once")
     conf = settings(
-        classes=[*keyed, api.JobClass("safe", 150_000, 5_000_000), unsafe],
+        classes=[*keyed, RequestClass("safe", 150_000, 5_000_000), unsafe],
         balancers=draw(st.integers(1, 4)),
         must_subscribe=draw(st.booleans()),
         tells_start=draw(st.booleans()),
         cross_zone_price=draw(st.sampled_from([0.0, 0.01, 0.16])),
         asks_first=probes and draw(st.booleans()),
         probe_price=draw(st.sampled_from([0.0, 0.002])),
-        limits=api.Limits(
+        limits=DispatchLimits(
             cancelling=draw(st.booleans()),
             second_copies=draw(st.booleans()),
             send_cap=draw(st.integers(1, 5)),
@@ -116,17 +131,17 @@
     return conf, fleet
 
 
-def report_of(conf: api.Settings, pick: int) -> list[object]:
+def report_of(conf: Settings, pick: int) -> list[object]:
     """Return a load report in the settings' order: as often full as with room."""
     free = (0, 3, 0, 1)[pick % 4]
     return [free if name == conf.free_slots_field else pick % 3 for name in conf.report_fields]
 
 
-def arrival(check: StrictChecker, rows: list[api.WorkerEntry], pick: int, small: int) -> api.JobArrived:
-    """Return a job; some are bound to workers, some take free slots only, some what is reserved."""
+def arrival(check: StrictChecker, rows: list[EndpointEntry], pick: int, small: int) -> RequestReceived:
+    """Return a job; some are bound to endpoints, some take free slots only, some what is reserved."""
     cls = check.conf.classes[small % len(check.conf.classes)]
-    bound = tuple(row.worker for row in rows if pick >> rows.index(row) & 1) if pick % 5 == 0 else ()
-    return api.JobArrived(
+    bound = tuple(row.endpoint for row in rows if pick >> rows.index(row) & 1) if pick % 5 == 0 else ()
+    return RequestReceived(
         len(check.jobs) + 1,
         cls.name,
         cls.deadline_us >> (pick % 3),
@@ -139,12 +154,12 @@
     )
 
 
-def relisted(row: api.WorkerEntry, now: int, pick: int, small: int) -> api.WorkerEntry:
-    """Return a worker's next line of the list: another state, a new start, at times another zone and cell."""
+def relisted(row: EndpointEntry, now: int, pick: int, small: int) -> EndpointEntry:
+    """Return an endpoint's next line of the list: another state, a new start, another zone or cell."""
     state = ("up", "up", "draining", "removed")[small % 4]
     ready = now - 100_000 if small >= 4 else 0
     zone, cell = ("abc"[pick % 3], pick % 7) if pick % 5 == 0 else (row.zone, row.cell)
-    return api.WorkerEntry(row.worker, zone, row.kind, cell, state, 1.0, ready)
+    return EndpointEntry(row.endpoint, zone, row.kind, cell, state, 1.0, ready)
 
 
 def attempt_step(check: StrictChecker, what: str, pick: int, small: int) -> None:
@@ -159,35 +174,37 @@
         return
     number, job, at, sent = pending[pick % len(pending)]
     if what in ("start", "progress"):
-        check.act(api.JobStarted(number, at) if what == "start" else api.JobProgress(number, at, 0.5))
+        check.act(ExecutionStarted(number, at) if what == "start" else ExecutionProgressed(number, at, 0.5))
         return
     outcome = OUTCOMES[small]
-    over = job.over or outcome == api.Outcome.OK
+    over = job.over or outcome == Outcome.OK
     report = report_of(check.conf, pick) if pick % 3 else None
-    check.act(api.AttemptEnded(number, at, outcome, check.now - sent.at, over, report, sent.worker))
+    check.act(AttemptEnded(number, at, outcome, check.now - sent.at, over, report, sent.endpoint))
 
 
-def play(check: StrictChecker, rows: list[api.WorkerEntry], steps: list[tuple[str, int, int]]) -> None:
+def play(check: StrictChecker, rows: list[EndpointEntry], steps: list[tuple[str, int, int]]) -> None:
     """Turn drawn steps into legal events."""
-    check.act(api.ListChanged("remembered", rows))
+    check.act(EndpointsChanged("remembered", rows))
     for what, pick, small in steps:
         row = rows[pick % len(rows)]
         if what == "job":
             check.act(arrival(check, rows, pick, small))
         elif what == "replies":
             for _ in range(len(check.probes) if small < 6 else len(check.probes) // 2):
-                worker, lost = check.probes.popleft(), pick % 9 == 0
-                outcome = api.Outcome.TIMEOUT if lost else api.Outcome.OK
-                check.act(api.ProbeEnded(worker, outcome, 900, None if lost else report_of(check.conf, pick)))
+                endpoint, lost = check.probes.popleft(), pick % 9 == 0
+                outcome = Outcome.TIMEOUT if lost else Outcome.OK
+                check.act(
+                    HealthCheckEnded(endpoint, outcome, 900, None if lost else report_of(check.conf, pick))
+                )
         elif what == "time":
             check.pass_time(PASSING_US[small])
         elif what == "list":
-            check.act(api.ListChanged("changes", [relisted(row, check.now, pick, small)]))
+            check.act(EndpointsChanged("changes", [relisted(row, check.now, pick, small)]))
         elif what == "operators":
             check.act(
-                api.SlotsKept(row.worker, float(small % 3), 4.0)
+                SlotsReserved(row.endpoint, float(small % 3), 4.0)
                 if small < 4
-                else api.Maintained(row.worker, small % 2 == 0)
+                else MaintenanceChanged(row.endpoint, small % 2 == 0)
             )
         else:
             attempt_step(check, what, pick, small)
@@ -202,7 +219,7 @@
 @LIGHT
 @given(deployment=deployments(), steps=STEPS)
 def test_no_path_sends_a_job_where_it_may_not_go(
-    deployment: tuple[api.Settings, Fleet], steps: list[tuple[str, int, int]]
+    deployment: tuple[Settings, Fleet], steps: list[tuple[str, int, int]]
 ) -> None:
     """Effects, groups, windows, probes, copies, cancels, zones, cells and send caps of all sorts."""
     conf, fleet = deployment
@@ -211,8 +228,8 @@
     assert check.broken == []
 
 
-def probing(path: Path) -> api.Settings:
-    """Return the settings of a deployment whose workers report their load to probes only."""
+def probing(path: Path) -> Settings:
+    """Return the settings of a deployment whose endpoints report their load to probes only."""
     conf = conf_of(path, False)
     conf["report"]["how"] = "on_probe"
     return settings_from(conf)
@@ -227,9 +244,7 @@
     conf.limits.probes = True
     check = StrictChecker(conf, Balancer(conf, 7, 1_000_000))
     zones = (conf.zone, "another")
-    rows = [
-        api.WorkerEntry(f"w{n}", zones[n // 6], conf.kinds[n % len(conf.kinds)], n // 3) for n in range(12)
-    ]
+    rows = [EndpointEntry(f"w{n}", zones[n // 6], conf.kinds[n % len(conf.kinds)], n // 3) for n in range(12)]
     play(check, rows, steps)
     assert check.broken == []
 
@@ -240,41 +255,41 @@
     conf = settings(asks_first=True, cross_zone_price=0.16, probe_price=0.002)
     conf.limits.probes, conf.classes[1].group, conf.classes[1].window_us = True, "zone", 12_000_000
     check = StrictChecker(conf, Balancer(conf, seed, 1_000_000))
-    check.act(api.ListChanged("all", [entry(n) for n in range(8)]))
+    check.act(EndpointsChanged("all", [entry(n) for n in range(8)]))
     for number in range(1, 11):
-        check.act(api.JobArrived(number, "keyed", 7_500_000))
+        check.act(RequestReceived(number, "keyed", 7_500_000))
         while check.probes:
-            check.act(api.ProbeEnded(check.probes.popleft(), 1, 900, [3, 0]))  # all are full
+            check.act(HealthCheckEnded(check.probes.popleft(), 1, 900, [3, 0]))  # all are full
         check.pass_time(30_000)
     assert sum(len(job.attempts) for job in check.jobs.values()) > len(check.jobs), "no copy was sent"
     assert check.broken == []
 
 
-def eight_workers(conf: api.Settings) -> tuple[Balancer, list[Worker]]:
-    """Return a balancer and its workers w0 to w7, in order."""
+def eight_workers(conf: Settings) -> tuple[Balancer, list[Endpoint]]:
+    """Return a balancer and its endpoints w0 to w7, in order."""
     made = Balancer(conf, 1, 1_000_000)
-    made.handle(1_000_000, [api.ListChanged("all", [entry(n) for n in range(8)])])
-    return made, sorted(made.workers.values(), key=lambda worker: worker.name)
+    made.handle(1_000_000, [EndpointsChanged("all", [entry(n) for n in range(8)])])
+    return made, sorted(made.endpoints.values(), key=lambda endpoint: endpoint.name)
 
 
-def allowed(made: Balancer, job: Job, workers: list[Worker]) -> str:
-    """Return the numbers of the workers that may take the job."""
-    return "".join(worker.name[1:] for worker in made.eligible(job, workers))
+def allowed(made: Balancer, job: Job, endpoints: list[Endpoint]) -> str:
+    """Return the numbers of the endpoints that may take the job."""
+    return "".join(endpoint.name[1:] for endpoint in made.eligible(job, endpoints))
 
 
 @pytest.mark.parametrize(("group", "expected"), [("all", "1234567"), ("zone", "246"), ("cell", "1")])
 def test_only_the_group_of_an_unresolved_attempt_may_repeat(group: str, expected: str) -> None:
-    """Whatever workers a path looks at: those that would not drop a repeat are left out."""
+    """Whatever endpoints a path looks at: those that would not drop a repeat are left out."""
     conf = settings()
     conf.classes[1].group = group
-    made, workers = eight_workers(conf)
+    made, endpoints = eight_workers(conf)
     state = made.classes["keyed"]
     job = Job(1, state, 1.0, 0.0, "", state.run, 1.0, 9_000_000)
-    assert allowed(made, job, workers) == "01234567"
-    job.attempts, job.pending = [Attempt(workers[0], made.now)], 1
-    assert allowed(made, job, workers) == expected
+    assert allowed(made, job, endpoints) == "01234567"
+    job.attempts, job.pending = [Attempt(endpoints[0], made.now)], 1
+    assert allowed(made, job, endpoints) == expected
     job.attempts[0].open, job.pending = False, 0  # it has come back unstarted, so it binds no longer
-    assert allowed(made, job, workers) == "1234567"
+    assert allowed(made, job, endpoints) == "1234567"
 
 
 @pytest.mark.parametrize(
@@ -288,24 +303,24 @@
     conf = settings()
     conf.limits.second_copies, conf.classes[1].group = second_copies, "all"
     conf.classes[2].window_us = 9_000_000  # which counts for keyed classes only
-    made, workers = eight_workers(conf)
+    made, endpoints = eight_workers(conf)
     state = made.classes[job_class]
     job = Job(1, state, 1.0, 0.0, "", state.run, 1.0, 9_000_000)
-    job.attempts, job.pending = [Attempt(workers[0], made.now)], 1
-    assert allowed(made, job, workers) == expected
+    job.attempts, job.pending = [Attempt(endpoints[0], made.now)], 1
+    assert allowed(made, job, endpoints) == expected
 
 
-def job_of(made: Balancer, job_class: str, *sent: tuple[Worker, int], keyless: bool = False) -> Job:
-    """Return a job of a class whose attempts went to these workers at these times, and are out."""
+def job_of(made: Balancer, job_class: str, *sent: tuple[Endpoint, int], keyless: bool = False) -> Job:
+    """Return a job of a class whose attempts went to these endpoints at these times, and are out."""
     state = made.classes[job_class]
     job = Job(1, state, 1.0, 0.0, "", state.run, 1.0, 90_000_000, keyless=keyless)
-    job.attempts, job.pending = [Attempt(worker, at) for worker, at in sent], len(sent)
+    job.attempts, job.pending = [Attempt(endpoint, at) for endpoint, at in sent], len(sent)
     made.jobs[job.id] = job
     return job
 
 
-def keyed_settings(group: str, window_us: int = 3_000_000, second_copies: bool = True) -> api.Settings:
-    """Return settings with a class that workers of a group know repeats of for so long."""
+def keyed_settings(group: str, window_us: int = 3_000_000, second_copies: bool = True) -> Settings:
+    """Return settings with a class that endpoints of a group know repeats of for so long."""
     conf = settings()
     conf.classes[1].group, conf.classes[1].window_us = group, window_us
     conf.limits.second_copies = second_copies
@@ -318,15 +333,15 @@
 @pytest.mark.parametrize("how", MOVES)
 @pytest.mark.parametrize(("group", "expected"), [("zone", "246"), ("cell", "1")])
 def test_the_group_is_that_of_the_send_whatever_is_listed_later(group: str, expected: str, how: str) -> None:
-    """The first attempt's worker is listed in another zone and cell, or gone and back as another record."""
-    made, workers = eight_workers(keyed_settings(group))
-    job = job_of(made, "keyed", (workers[0], made.now))
+    """The first attempt's endpoint is listed in another zone and cell, or gone and back as another record."""
+    made, endpoints = eight_workers(keyed_settings(group))
+    job = job_of(made, "keyed", (endpoints[0], made.now))
     if how != "relisted":
-        made.handle(made.now, [api.ListChanged("changes", [entry(0, "removed")])])
-        workers[0].held = 0.0
-    made.handle(made.now, [api.ListChanged("changes", [api.WorkerEntry("w0", "b", "k1", 3)])])
-    now_listed = sorted(made.workers.values(), key=lambda worker: worker.name)
-    assert now_listed[0].zone == "b" and (now_listed[0] is workers[0]) == (how == "relisted")
+        made.handle(made.now, [EndpointsChanged("changes", [entry(0, "removed")])])
+        endpoints[0].held = 0.0
+    made.handle(made.now, [EndpointsChanged("changes", [EndpointEntry("w0", "b", "k1", 3)])])
+    now_listed = sorted(made.endpoints.values(), key=lambda endpoint: endpoint.name)
+    assert now_listed[0].zone == "b" and (now_listed[0] is endpoints[0]) == (how == "relisted")
     assert allowed(made, job, now_listed) == expected
     group_by_index = made.repeat_group(job)
     assert group_by_index is not None
@@ -335,10 +350,10 @@
 
 def test_a_worker_that_was_forgotten_and_is_back_gets_no_second_attempt() -> None:
     """Its record is another one, but it may still hold the first attempt."""
-    made, workers = eight_workers(settings())
-    job = job_of(made, "safe", (workers[0], made.now))
-    made.workers["w0"] = Worker("w0", workers[0].kind, "a")
-    assert allowed(made, job, list(made.workers.values())) == "1234567"
+    made, endpoints = eight_workers(settings())
+    job = job_of(made, "safe", (endpoints[0], made.now))
+    made.endpoints["w0"] = Endpoint("w0", endpoints[0].kind, "a")
+    assert allowed(made, job, list(made.endpoints.values())) == "1234567"
 
 
 @pytest.mark.parametrize(
@@ -360,17 +375,17 @@
     job_class: str, keyless: bool, group: str, second_copies: bool, after_us: int, expected: bool
 ) -> None:
     """The second attempt's dial has lasted so long; the first one is out."""
-    made, workers = eight_workers(keyed_settings(group, second_copies=second_copies))
+    made, endpoints = eight_workers(keyed_settings(group, second_copies=second_copies))
     at = made.now
-    job_of(made, job_class, (workers[0], at), (workers[2], at), keyless=keyless)
+    job_of(made, job_class, (endpoints[0], at), (endpoints[2], at), keyless=keyless)
     assert made.may_begin(1, 1, at + after_us) == expected
 
 
 def test_the_look_counts_later_attempts_that_went_out_before() -> None:
     """The first attempt's dial lasts; its copy goes out, and the window counts from there."""
-    made, workers = eight_workers(keyed_settings("zone"))
+    made, endpoints = eight_workers(keyed_settings("zone"))
     at = made.now
-    job = job_of(made, "keyed", (workers[0], at), (workers[2], at + 40_000))
+    job = job_of(made, "keyed", (endpoints[0], at), (endpoints[2], at + 40_000))
     assert made.may_begin(1, 0, at + 3_039_999)
     assert not made.may_begin(1, 0, at + 3_040_000)
     job.attempts[1].open = False  # it has come back unstarted
@@ -397,52 +412,52 @@
     job_class: str, keyless: bool, group: str, after_us: int, wait_us: int, expected: bool
 ) -> None:
     """The client sends it again, at once or after the wait that it is told."""
-    made, workers = eight_workers(keyed_settings(group))
-    job = job_of(made, job_class, (workers[0], made.now), keyless=keyless)
+    made, endpoints = eight_workers(keyed_settings(group))
+    job = job_of(made, job_class, (endpoints[0], made.now), keyless=keyless)
     made.now += after_us
     assert made.may_refuse(job, wait_us) == expected
     job.attempts[0].open = False
     assert made.may_refuse(job, wait_us), "it has come back unstarted"
 
 
-@pytest.mark.parametrize("told", [api.JobStarted(1, 0), api.JobProgress(1, 0, 0.5), None])
-def test_a_hand_back_after_a_start_proves_nothing(told: api.Event | None) -> None:
+@pytest.mark.parametrize("told", [ExecutionStarted(1, 0), ExecutionProgressed(1, 0, 0.5), None])
+def test_a_hand_back_after_a_start_proves_nothing(told: Event | None) -> None:
     """A job that is unsafe to repeat is failed then, and tried elsewhere if no start was reported."""
     made, _ = eight_workers(settings())
-    made.handle(made.now, [api.JobArrived(1, "unsafe", 8_000_000)])
+    made.handle(made.now, [RequestReceived(1, "unsafe", 8_000_000)])
     if told is not None:
         made.handle(made.now, [told])
-    actions = made.handle(made.now, [api.AttemptEnded(1, 0, api.Outcome.FULL, 900)])
+    actions = made.handle(made.now, [AttemptEnded(1, 0, Outcome.FULL, 900)])
     kinds = [type(action) for action in actions]
-    assert (api.Fail in kinds) == (told is not None) and (api.Place in kinds) == (told is None)
+    assert (Fail in kinds) == (told is not None) and (Dispatch in kinds) == (told is None)
 
 
 def test_a_class_that_nobody_knows_is_unsafe_to_repeat() -> None:
     """It does not take the rules of another one."""
     made, _ = eight_workers(settings())
-    made.handle(made.now, [api.JobArrived(1, "another", 8_000_000)])
-    actions = made.handle(made.now, [api.AttemptEnded(1, 0, api.Outcome.RESET, 900)])
-    assert [type(action) for action in actions if not isinstance(action, api.SetTimer)] == [api.Fail]
+    made.handle(made.now, [RequestReceived(1, "another", 8_000_000)])
+    actions = made.handle(made.now, [AttemptEnded(1, 0, Outcome.RESET, 900)])
+    assert [type(action) for action in actions if not isinstance(action, SetTimer)] == [Fail]
 
 
 def test_the_condition_of_each_worker_counts() -> None:
     """Drained, failing, hanging, short of memory, of another kind, not one that the job is bound to."""
     conf = settings()
-    conf.classes[0].kind = 0  # the workers with even numbers
-    made, workers = eight_workers(conf)
+    conf.classes[0].kind = 0  # the endpoints with even numbers
+    made, endpoints = eight_workers(conf)
     made.now = 5_000_000
     state = made.classes["safe"]
     job = Job(1, state, 1.0, 2.0, "", state.run, 1.0, 9_000_000)
-    assert allowed(made, job, workers) == "0246"
-    workers[0].state = "draining"
-    workers[2].bench_until = made.now + 1
-    workers[4].held, workers[4].unheard_since = 1.0, 1_000_000
-    assert allowed(made, job, workers) == "6"
-    workers[6].free_memory, workers[6].memory_at = 1.0, made.now
-    assert allowed(made, job, workers) == ""
-    workers[6].free_memory = 2.0
-    assert allowed(made, job, workers) == "6"
+    assert allowed(made, job, endpoints) == "0246"
+    endpoints[0].state = "draining"
+    endpoints[2].bench_until = made.now + 1
+    endpoints[4].held, endpoints[4].unheard_since = 1.0, 1_000_000
+    assert allowed(made, job, endpoints) == "6"
+    endpoints[6].free_memory, endpoints[6].memory_at = 1.0, made.now
+    assert allowed(made, job, endpoints) == ""
+    endpoints[6].free_memory = 2.0
+    assert allowed(made, job, endpoints) == "6"
     job.only = ("w0", "w1")
-    assert allowed(made, job, workers) == ""
+    assert allowed(made, job, endpoints) == ""
     job.only, made.now = (), job.deadline
-    assert allowed(made, job, workers) == ""
+    assert allowed(made, job, endpoints) == ""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,14 +19,16 @@
 from hypothesis import strategies as st
 
 from merlinbay.cli.main import main
-from merlinbay.decision import api
+from merlinbay.decision.actions import Action
+from merlinbay.decision.events import Event
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.emulator import spec, theory
-from merlinbay.emulator.checker import Checker, RuleViolation
+from merlinbay.emulator.checker import Checker, RuleViolationError
 from merlinbay.emulator.live import play_live
 from merlinbay.emulator.loop import Loop, Order
 from merlinbay.emulator.play import Result, play
 from merlinbay.emulator.servers import Rack, Server, Work
-from merlinbay.emulator.spec import BadScript, Script
+from merlinbay.emulator.spec import ScenarioError, Script
 from merlinbay.experiment import grid, stats
 from merlinbay.experiment.run import run
 from merlinbay.experiment.store import Store
@@ -98,7 +100,7 @@
     """A judge that lets everything pass, and a place for what servers tell."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[int, str, api.Outcome | None]] = []
+        self.told: list[tuple[int, str, Outcome | None]] = []
 
     def reached(self, server: Server, node: int, work_us: float) -> None:
         """Let it pass."""
@@ -106,7 +108,7 @@
     def ran(self, work: Work, server: Server) -> None:
         """Let it pass."""
 
-    def tell(self, work: Work, what: str, outcome: api.Outcome | None) -> None:
+    def tell(self, work: Work, what: str, outcome: Outcome | None) -> None:
         """Note it."""
         self.told.append((work.job, what, outcome))
 
@@ -157,7 +159,7 @@
     loop.run(2_499_990)
     assert judge.told == [(1, "started", None)]
     loop.run(2_500_010)
-    assert judge.told[-1] == (1, "ended", api.Outcome.OK)
+    assert judge.told[-1] == (1, "ended", Outcome.OK)
     server.drain()
     server.crash()
     server.start()
@@ -182,7 +184,7 @@
     server = server_of(loop, judge, slots=4)
     server.take(job(judge, 1, 1.0, key="a"))
     server.take(job(judge, 2, 1.0, key="a"))
-    assert judge.told == [(1, "started", None), (2, "ended", api.Outcome.FULL)]
+    assert judge.told == [(1, "started", None), (2, "ended", Outcome.FULL)]
     server.crash()
     server.start()
     server.take(job(judge, 3, 0.1, key="a"))
@@ -190,20 +192,20 @@
     server.take(job(judge, 4, 0.1, key="a"))
     loop.run(9 * S)
     ended = [(number, outcome) for number, what, outcome in judge.told if what == "ended"]
-    assert ended == [(2, api.Outcome.FULL), (1, api.Outcome.RESET), (3, api.Outcome.OK), (4, api.Outcome.OK)]
+    assert ended == [(2, Outcome.FULL), (1, Outcome.RESET), (3, Outcome.OK), (4, Outcome.OK)]
 
 
 def test_a_drain_hands_back_what_waits_and_a_full_queue_what_comes() -> None:
     """What runs is finished; nothing new is taken."""
     loop, judge = Loop(), Nobody()
     server = server_of(loop, judge, slots=1, queue=1)
-    assert [server.take(job(judge, number, 1.0)) for number in (1, 2, 3)] == [None, None, api.Outcome.FULL]
+    assert [server.take(job(judge, number, 1.0)) for number in (1, 2, 3)] == [None, None, Outcome.FULL]
     server.drain()
-    assert server.take(job(judge, 4, 1.0)) is api.Outcome.FULL
+    assert server.take(job(judge, 4, 1.0)) is Outcome.FULL
     loop.run(2 * S)
     assert [(number, outcome) for number, what, outcome in judge.told if what == "ended"] == [
-        (2, api.Outcome.FULL),
-        (1, api.Outcome.OK),
+        (2, Outcome.FULL),
+        (1, Outcome.OK),
     ]
 
 
@@ -245,40 +247,40 @@
     """One answer in time; repeats in rack and window; nothing to a gone server; no cold one tipped."""
     checker, loop, one, two = checked()
     checker.sent(0, 1, one)
-    with pytest.raises(RuleViolation, match="rule 2"):
+    with pytest.raises(RuleViolationError, match="rule 2"):
         checker.sent(0, 1, two)  # another rack, and the first is out
-    checker.ended(0, 1, 0, api.Outcome.RESET)
-    with pytest.raises(RuleViolation, match="rule 2"):
+    checker.ended(0, 1, 0, Outcome.RESET)
+    with pytest.raises(RuleViolationError, match="rule 2"):
         checker.answered(0, 1, "refused")
     checker, loop, one, two = checked()
     checker.answered(0, 1, "served")
-    with pytest.raises(RuleViolation, match="rule 1"):
+    with pytest.raises(RuleViolationError, match="rule 1"):
         checker.answered(0, 1, "served")
     checker, loop, one, two = checked()
     loop.run(5 * S + 9000)
-    with pytest.raises(RuleViolation, match="rule 1"):
+    with pytest.raises(RuleViolationError, match="rule 1"):
         checker.answered(0, 1, "failed")
-    with pytest.raises(RuleViolation, match="rule 1"):
+    with pytest.raises(RuleViolationError, match="rule 1"):
         checked()[0].overdue(0, 1)
     checker, loop, one, two = checked()
     checker.listed(0, "s0", "draining", 0)
     loop.run(500_000)
     checker.sent(0, 1, one)
     loop.run(500_001)
-    checker.ended(0, 1, 0, api.Outcome.FULL)
-    with pytest.raises(RuleViolation, match="rule 3"):
+    checker.ended(0, 1, 0, Outcome.FULL)
+    with pytest.raises(RuleViolationError, match="rule 3"):
         checker.sent(0, 1, one)
     checker, loop, one, two = checked()
     loop.run(S)
     one.start()
     checker.listed(0, "s0", "up", one.ready_us)
-    with pytest.raises(RuleViolation, match="rule 4"):
+    with pytest.raises(RuleViolationError, match="rule 4"):
         for _ in range(100):
             one.take(job(Nobody(), 1, 0.3))
     assert checker.tipped == ["s0"] and one.state == "down"
     checker, loop, one, two = checked(second_copies=False)
     checker.sent(0, 1, one)
-    with pytest.raises(RuleViolation, match="two attempts"):
+    with pytest.raises(RuleViolationError, match="two attempts"):
         checker.sent(0, 1, one)
 
 
@@ -288,7 +290,7 @@
     """A policy that sends twice: seed and event are named, and the replay breaks at the same event."""
     from merlinbay.emulator.policies import RandomChoice
 
-    def twice(self: Any, now: int, events: list[api.Event]) -> list[api.Action]:
+    def twice(self: Any, now: int, events: list[Event]) -> list[Action]:
         return [action for found in base(self, now, events) for action in (found, found)]
 
     base = RandomChoice.handle
@@ -318,7 +320,7 @@
 )
 def test_a_script_that_cannot_be_played_is_named_in_one_line(text: str, says: str) -> None:
     """File, key or line, and cause."""
-    with pytest.raises(BadScript) as found:
+    with pytest.raises(ScenarioError) as found:
         spec.read(text, "evening.toml")
     line = str(found.value)
     assert line.startswith("evening.toml: ") and "\n" not in line
@@ -400,7 +402,7 @@
 
 
 def test_an_experiment_goes_on_where_it_was_killed(tmp_path: Path) -> None:
-    """No row lost or doubled, the same whether by one worker or several, and the summary pairs by seed."""
+    """No row lost or doubled, the same whether by one endpoint or several, and the summary pairs by seed."""
     (tmp_path / "g.toml").write_text(GRID)
     asked = grid.read(tmp_path / "g.toml")
     whole = Store(tmp_path / "whole.sqlite")
@@ -516,5 +518,5 @@
     result = play(script(load={"trace": str(path)}, callers={"retries": 0.0}), 1)
     assert (result.requests, result.in_time) == (3, 1.0)
     path.write_text("0.5\n-1\n")
-    with pytest.raises(BadScript, match=r"evening.csv: line 2"):
+    with pytest.raises(ScenarioError, match=r"evening.csv: line 2"):
         play(script(load={"trace": str(path)}), 1)
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -4,15 +4,26 @@
 
 import pytest
 
-from merlinbay.decision import Balancer, api, threshold
+from merlinbay.decision import Balancer, threshold
+from merlinbay.decision.actions import Action, Reject, SetTimer, WatchEndpoints
+from merlinbay.decision.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointsChanged,
+    ExecutionStarted,
+    HealthCheckEnded,
+    RequestReceived,
+    TimerFired,
+)
 from merlinbay.decision.records import Class, Job
+from merlinbay.decision.settings import RequestClass
 from tests.support import entry, settings
 
 
-def balancer(workers: int = 4, **changes: object) -> Balancer:
+def balancer(endpoints: int = 4, **changes: object) -> Balancer:
     """Return a balancer that knows a fleet."""
     made = Balancer(settings(**changes), 1, 1_000_000)
-    made.handle(1_000_000, [api.ListChanged("all", [entry(n) for n in range(workers)])])
+    made.handle(1_000_000, [EndpointsChanged("all", [entry(n) for n in range(endpoints)])])
     return made
 
 
@@ -23,54 +34,56 @@
 
 
 def test_offered_rate_counts_refused_jobs() -> None:
-    """100 jobs a second, all refused for want of workers, read as 100 a second."""
+    """100 jobs a second, all refused for want of endpoints, read as 100 a second."""
     made = balancer(0)
     for number in range(1000):
-        actions = made.handle(1_000_000 + number * 10_000, [api.JobArrived(number, "safe", 10**6)])
-        assert any(isinstance(a, api.Refuse) for a in actions)
+        actions = made.handle(1_000_000 + number * 10_000, [RequestReceived(number, "safe", 10**6)])
+        assert any(isinstance(a, Reject) for a in actions)
     assert made.rate.value * 1e6 == pytest.approx(100, rel=0.05)
 
 
 def test_run_time_leaves_out_waiting() -> None:
     """Where starts are told the run time counts from the start."""
     made = balancer()
-    made.handle(2_000_000, [api.JobArrived(1, "safe", 10**7)])
-    made.handle(5_000_000, [api.JobStarted(1, 0)])
-    made.handle(5_300_000, [api.AttemptEnded(1, 0, 1, 3_300_000, True, None, "w0")])
+    made.handle(2_000_000, [RequestReceived(1, "safe", 10**7)])
+    made.handle(5_000_000, [ExecutionStarted(1, 0)])
+    made.handle(5_300_000, [AttemptEnded(1, 0, 1, 3_300_000, True, None, "w0")])
     assert made.classes["safe"].run == pytest.approx(300_000)
 
 
 def test_slots_in_the_designs_order() -> None:
     """Reports first, else no fewer than seen running, else the count at a 'full' less an allowance."""
     made = balancer()
-    made.handle(2_000_000, [api.ProbeEnded("w0", 1, 9, [0, 6.1])])
-    assert made.workers["w0"].kind.slots == 6 and made.workers["w0"].kind.told
+    made.handle(2_000_000, [HealthCheckEnded("w0", 1, 9, [0, 6.1])])
+    assert made.endpoints["w0"].kind.slots == 6 and made.endpoints["w0"].kind.told
     made = balancer(1, balancers=1, report_fields=[])
     for number in range(4):
-        made.handle(2_000_000, [api.JobArrived(number, "unsafe", 10**7)])
-        made.handle(2_000_001, [api.JobStarted(number, 0)])
-    assert made.workers["w0"].kind.slots >= made.workers["w0"].running == made.workers["w0"].kind.most > 1
+        made.handle(2_000_000, [RequestReceived(number, "unsafe", 10**7)])
+        made.handle(2_000_001, [ExecutionStarted(number, 0)])
+    assert (
+        made.endpoints["w0"].kind.slots >= made.endpoints["w0"].running == made.endpoints["w0"].kind.most > 1
+    )
     made = balancer(1, balancers=1, report_fields=[], tells_start=False)
-    worker = made.workers["w0"]
-    worker.held = 9.0
-    made.handle(2_000_000, [api.JobArrived(9, "unsafe", 10**7)])
+    endpoint = made.endpoints["w0"]
+    endpoint.held = 9.0
+    made.handle(2_000_000, [RequestReceived(9, "unsafe", 10**7)])
     if 9 not in made.jobs:
-        made._place(job := job_of(made, "unsafe"), worker)
+        made._place(job := job_of(made, "unsafe"), endpoint)
         made.jobs[job.id] = job
     number = next(iter(made.jobs))
-    made.handle(2_000_100, [api.AttemptEnded(number, 0, 3, 100, False, None, "w0")])
-    assert worker.kind.slots == pytest.approx(4.5)
+    made.handle(2_000_100, [AttemptEnded(number, 0, 3, 100, False, None, "w0")])
+    assert endpoint.kind.slots == pytest.approx(4.5)
 
 
 def test_slots_do_not_follow_a_growing_queue() -> None:
     """Issue 6: 20 schedulers, five of our jobs run, ever more wait, half of the starts are late."""
     made = balancer(20, balancers=20, report_fields=[])
-    state, workers, now = made.classes["safe"], list(made.workers.values()), 2_000_000
+    state, endpoints, now = made.classes["safe"], list(made.endpoints.values()), 2_000_000
     running: list[int] = []
     for number in range(600):
         job = Job(number, state, 1.0, 0.0, "", state.run, 1.0, 10**12)
         made.jobs[number] = job
-        made._place(job, workers[number % 20])
+        made._place(job, endpoints[number % 20])
         now += 20_000
         if number >= 20 and number % 10:  # the queue grows by one job in ten
             late = len(running) % 4 < 2  # in both kinds
@@ -78,23 +91,23 @@
             if not late:
                 made.jobs[first].attempts[0].at = now
             running.append(first)
-            made.handle(now, [api.JobStarted(first, 0)])
+            made.handle(now, [ExecutionStarted(first, 0)])
             if len(running) > 5:
-                made.handle(now, [api.AttemptEnded(first - 5, 0, 1, 100_000, True, None, workers[0].name)])
+                made.handle(now, [AttemptEnded(first - 5, 0, 1, 100_000, True, None, endpoints[0].name)])
         made.mean_held = made.own_held
     assert made.own_held > 60
-    assert 4 < made.workers["w0"].kind.slots < 9
+    assert 4 < made.endpoints["w0"].kind.slots < 9
 
 
 def test_kinds_that_start_late_have_fewer_slots() -> None:
     """Where no report tells slots, the kind that starts late more often is taken to be smaller."""
     made = Balancer(settings(balancers=10, report_fields=[]), 1, 1_000_000)
-    entries = [api.WorkerEntry(f"w{n}", "a", "xy"[n % 2]) for n in range(10)]
-    made.handle(1_000_000, [api.ListChanged("all", entries)])
+    entries = [EndpointEntry(f"w{n}", "a", "xy"[n % 2]) for n in range(10)]
+    made.handle(1_000_000, [EndpointsChanged("all", entries)])
     made.own_running = 5.0
     for _ in range(200):
-        made._learn_slots(made.workers["w0"], False)
-        made._learn_slots(made.workers["w1"], True)
+        made._learn_slots(made.endpoints["w0"], False)
+        made._learn_slots(made.endpoints["w1"], True)
     assert made.kinds["y"].slots < made.kinds["x"].slots / 1.5
     assert made.slots == pytest.approx(5 / 0.5**0.4, rel=0.2)
 
@@ -115,26 +128,26 @@
 def test_absurd_reports_are_ignored(report: list[object] | None) -> None:
     """A report that makes no sense changes nothing."""
     made = balancer()
-    before = made._free(made.workers["w0"])
-    made.handle(1_000_000, [api.ProbeEnded("w0", 1, 9, report)])
-    assert made._free(made.workers["w0"]) == before
+    before = made._free(made.endpoints["w0"])
+    made.handle(1_000_000, [HealthCheckEnded("w0", 1, 9, report)])
+    assert made._free(made.endpoints["w0"]) == before
 
 
 def test_unheard_worker_holds_the_mean() -> None:
-    """A worker never heard of is not empty."""
+    """An endpoint never heard of is not empty."""
     made = balancer(4, balancers=4)
     made.mean_held = 2.0
-    assert made._others(made.workers["w3"]) == pytest.approx(3 * 2.0 / made.slots_total)
+    assert made._others(made.endpoints["w3"]) == pytest.approx(3 * 2.0 / made.slots_total)
 
 
 def test_worth_aim_and_late_worth_widen_the_gate() -> None:
     """More worth for each slot and second, a longer aim, and worth left when late: each waits longer."""
     made = balancer(balancers=1)
     made.rate.value, made.mean_worth, made.mean_run = 1.0, 5.0, 100_000.0
-    kind = made.workers["w0"].kind
+    kind = made.endpoints["w0"].kind
 
     def gate(worth: float, aim: int, late: float) -> float:
-        spec = api.JobClass("c", aim, 10**7, late_worth=late)
+        spec = RequestClass("c", aim, 10**7, late_worth=late)
         state = Class(spec, 100_000.0)
         return sum(made._gate(kind, Job(1, state, 1.0, 0.0, "", 100_000.0, worth, 10**9)) for _ in range(200))
 
@@ -148,7 +161,7 @@
     made = balancer(balancers=1)
     made.rate.value, made.mean_worth, made.mean_run = 1.3e-5, 5.0, 100_000.0
     made.slots_total = 1.0
-    kind, job = made.workers["w0"].kind, job_of(made, "unsafe", 5.0)
+    kind, job = made.endpoints["w0"].kind, job_of(made, "unsafe", 5.0)
     job.run = 100_000.0
     gates = [made._gate(kind, job) for _ in range(4000)]
     turn = 100_000.0 * kind.pace / kind.slots
@@ -157,53 +170,53 @@
     assert sum(g > n for g in gates) / len(gates) == pytest.approx(q, abs=0.03)
 
 
-def subscribes(actions: list[api.Action]) -> bool:
+def subscribes(actions: list[Action]) -> bool:
     """Tell whether the list is asked for."""
-    return any(isinstance(action, api.Subscribe) for action in actions)
+    return any(isinstance(action, WatchEndpoints) for action in actions)
 
 
 def test_subscription_is_renewed_after_a_failed_call() -> None:
     """Where the list must be asked for, a refused call is made again after a while."""
     made = Balancer(settings(must_subscribe=True, balancers=1), 1, 0)
-    assert subscribes(made.handle(0, [api.ListChanged("remembered", [entry(0)])]))
-    later = made.handle(10, [api.ListChanged("refused", [])])
-    assert [a.token for a in later if isinstance(a, api.SetTimer)] == ["subscribe"]
-    assert subscribes(made.handle(2_000_000, [api.TimerFired("subscribe")]))
-    assert made.workers["w0"].state == "up"
+    assert subscribes(made.handle(0, [EndpointsChanged("remembered", [entry(0)])]))
+    later = made.handle(10, [EndpointsChanged("refused", [])])
+    assert [a.token for a in later if isinstance(a, SetTimer)] == ["subscribe"]
+    assert subscribes(made.handle(2_000_000, [TimerFired("subscribe")]))
+    assert made.endpoints["w0"].state == "up"
 
 
 def test_restart_of_a_worker_is_noticed() -> None:
-    """A new start time makes a worker cold and empty, and forgets its failures."""
+    """A new start time makes an endpoint cold and empty, and forgets its failures."""
     made = balancer()
-    made.workers["w0"].fails, made.workers["w0"].bench_until = 3, 10**9
+    made.endpoints["w0"].fails, made.endpoints["w0"].bench_until = 3, 10**9
     made.offered, made.classes["safe"].seen = 100, 100
-    made.handle(2_000_000, [api.ListChanged("changes", [entry(0, "up", 1_900_000)])])
-    worker = made.workers["w0"]
-    assert made.cold(worker) and worker.bench_until == 0 and worker.cold_next >= 1_900_000
+    made.handle(2_000_000, [EndpointsChanged("changes", [entry(0, "up", 1_900_000)])])
+    endpoint = made.endpoints["w0"]
+    assert made.cold(endpoint) and endpoint.bench_until == 0 and endpoint.cold_next >= 1_900_000
 
 
 def test_an_unseen_count_has_a_spread() -> None:
-    """A worker at the mean is not taken to have room to the last slot; one just observed is."""
+    """An endpoint at the mean is not taken to have room to the last slot; one just observed is."""
     made = balancer(4, balancers=10)
-    made.mean_held, made.slots_total, worker = 4.0, 36.0, made.workers["w0"]
-    worker.kind.slots = 9.0  # so the others hold 9 in the mean
-    assert made._free(worker) < -1
-    worker.observe(made.now, 9.0)
-    assert made._free(worker) == pytest.approx(0)
+    made.mean_held, made.slots_total, endpoint = 4.0, 36.0, made.endpoints["w0"]
+    endpoint.kind.slots = 9.0  # so the others hold 9 in the mean
+    assert made._free(endpoint) < -1
+    endpoint.observe(made.now, 9.0)
+    assert made._free(endpoint) == pytest.approx(0)
 
 
 def test_cold_budget_grows_as_the_worker_warms() -> None:
     """Found as a fleet replaced by cold ones and 40% refused: the budget must grow with them."""
     made = balancer(1, balancers=10)
     made.now = 50_000_000
-    made.handle(50_000_000, [api.ListChanged("changes", [entry(0, "up", 50_000_000)])])
-    worker, safety = made.workers["w0"], made.safety
-    worker.kind.slots, worker.kind.told, worker.cold_next = 4.0, True, 0
+    made.handle(50_000_000, [EndpointsChanged("changes", [entry(0, "up", 50_000_000)])])
+    endpoint, safety = made.endpoints["w0"], made.safety
+    endpoint.kind.slots, endpoint.kind.told, endpoint.cold_next = 4.0, True, 0
     made.offered, made.classes["safe"].seen = 100, 100
     work, sends = 100_000.0, []
-    while worker.cold_next < 50_000_000 + safety.cold_us:
-        worker.cold_next = made._cold_until(work, worker)
-        sends.append(worker.cold_next - 50_000_000)
+    while endpoint.cold_next < 50_000_000 + safety.cold_us:
+        endpoint.cold_next = made._cold_until(work, endpoint)
+        sends.append(endpoint.cold_next - 50_000_000)
     early, late = (
         sum(1 for at in sends if lo <= at < lo + safety.cold_us / 4) for lo in (0, safety.cold_us * 3 / 4)
     )
@@ -228,21 +241,21 @@
 def test_queue_allowance_is_learned_from_run_times() -> None:
     """Jobs that met a queue took three times as long: two thirds of the count at a 'full' are queue."""
     made = balancer(1, balancers=1, report_fields=[], tells_start=False)
-    worker, now = made.workers["w0"], 2_000_000
-    assert worker.kind.queued == 0.5
+    endpoint, now = made.endpoints["w0"], 2_000_000
+    assert endpoint.kind.queued == 0.5
     for number in range(400):
         made.jobs[number] = job = job_of(made, "safe")
         job.id = number
-        made._place(job, worker)
+        made._place(job, endpoint)
         job.attempts[0].room = number % 2 == 0
         took = 100_000 if number % 2 == 0 else 300_000
-        made.handle(now, [api.AttemptEnded(number, 0, 1, took, True, None, "w0")])
+        made.handle(now, [AttemptEnded(number, 0, 1, took, True, None, "w0")])
         now += 1_000
-    assert worker.kind.queued == pytest.approx(2 / 3, abs=0.1)
-    worker.held, worker.kind.slots = 12.0, 1.0
+    assert endpoint.kind.queued == pytest.approx(2 / 3, abs=0.1)
+    endpoint.held, endpoint.kind.slots = 12.0, 1.0
     made.jobs[999] = job = job_of(made, "unsafe")
     job.id = 999
-    made._place(job, worker)
-    worker.others_at, made.mean_held = -1, 0.0
-    made.handle(now, [api.AttemptEnded(999, 0, 3, 100, False, None, "w0")])
-    assert worker.kind.slots == pytest.approx(12 * (1 - worker.kind.queued), rel=0.05)
+    made._place(job, endpoint)
+    endpoint.others_at, made.mean_held = -1, 0.0
+    made.handle(now, [AttemptEnded(999, 0, 3, 100, False, None, "w0")])
+    assert endpoint.kind.slots == pytest.approx(12 * (1 - endpoint.kind.queued), rel=0.05)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -17,11 +17,11 @@
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
 from merlinbay.drmaa.schema import JobTemplate
-from merlinbay.executor.child import Child, NotStarted
+from merlinbay.executor.child import Child, ProcessStartError
 from merlinbay.executor.server import Executor
 from merlinbay.executor.slots import Job, Slots
 from merlinbay.http.connection import Request
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from tests.net import play
 from tests.test_fuzz import FakeConnection
@@ -134,7 +134,7 @@
     ):
 
         async def body(child: Child) -> None:
-            with pytest.raises(NotStarted, match="No such file"):
+            with pytest.raises(ProcessStartError, match="No such file"):
                 await child.run()
 
         play(body, Child(template, tmp_path))
@@ -195,7 +195,7 @@
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(child.stop)
-                with pytest.raises(NotStarted):
+                with pytest.raises(ProcessStartError):
                     await child.run()
 
     play(body)
@@ -205,7 +205,7 @@
     """Also where nobody has terminated the job before: running, or stopped by a suspend."""
 
     async def body() -> None:
-        counters, limits = Counters(), Limits()
+        counters, limits = Counters(), ResourceLimits()
         executor = Executor("e", Slots(2), tmp_path, limits, counters, Log(5), Clock())
         connection: Any = FakeConnection()
         async with trio.open_nursery() as nursery:
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -35,7 +35,7 @@
     GoodbyeReason,
     KeepAlive,
     Laggard,
-    MalformedMessage,
+    MalformedMessageError,
     Progress,
     RevisionCount,
     Role,
@@ -44,7 +44,7 @@
     Summary,
     Watch,
 )
-from merlinbay.control.fanout.relay import InvalidTier, Relay
+from merlinbay.control.fanout.relay import InvalidTierError, Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
 from merlinbay.control.fanout.simulated_fleet import Fleet, FleetPlan, SourceStore
 from merlinbay.control.fanout.source import WatchServer
@@ -164,7 +164,7 @@
     for read in (messages.decode_from_follower, messages.decode_from_server):
         try:
             read(frame)
-        except MalformedMessage:
+        except MalformedMessageError:
             pass
     server, one = serve(source(3)), follower()
     watcher = Watcher(server)
@@ -201,7 +201,7 @@
 def test_a_frame_over_the_bound_is_malformed_though_it_could_be_read() -> None:
     """Whatever carries it."""
     large = SnapshotMessage(1, (Entry("k", b"x" * messages.MAX_FRAME_BYTES, 1),))
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         messages.decode_from_server(messages.encode(large))
 
 
@@ -818,7 +818,7 @@
 
 def test_relays_cannot_follow_each_other_in_a_ring() -> None:
     """An upstream's tier is below."""
-    with pytest.raises(InvalidTier):
+    with pytest.raises(InvalidTierError):
         Relay("r", HERE, [FIRST], RelaySettings(), Random(1), 0.0, tier=1)
     Relay("r", HERE, [FIRST], RelaySettings(), Random(1), 0.0, tier=2)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,8 +7,23 @@
 import pytest
 
 from bench import peers
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Cancel, Dispatch, SetTimer, WatchEndpoints
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    DiscoveryChanged,
+    EndpointEntry,
+    EndpointsChanged,
+    Event,
+    ExecutionStarted,
+    HealthCheckEnded,
+    RequestReceived,
+    TimerFired,
+)
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.records import Job
+from merlinbay.decision.settings import DispatchLimits, SafetyMargins
 from tests.support import entry, settings
 
 SECOND = 1_000_000
@@ -21,8 +36,8 @@
     2 s). At a told moment something may happen to all nodes: it closes on everybody, or moves.
     """
 
-    def __init__(self, count: int, call_us: int, at_us: int = 0, event: api.Event | None = None) -> None:
-        safety = api.Safety(must_ask_in_us=10 * SECOND)
+    def __init__(self, count: int, call_us: int, at_us: int = 0, event: Event | None = None) -> None:
+        safety = SafetyMargins(must_ask_in_us=10 * SECOND)
         self.fleet = [
             Balancer(settings(balancers=count, me=me, must_subscribe=True, safety=safety), me + 1, 0)
             for me in range(count)
@@ -33,7 +48,7 @@
         self.asked = dict[int, list[int]]()  # and when it called
         self.event = event
         for who in range(count):
-            self._act(0, who, api.ListChanged("remembered", [entry(0)]))
+            self._act(0, who, EndpointsChanged("remembered", [entry(0)]))
             if event is not None:
                 heapq.heappush(self.due, (at_us, who, "event"))
 
@@ -43,20 +58,20 @@
             now, who, what = heapq.heappop(self.due)
             if what == "told":
                 self.told[who] = now
-                self._act(now, who, api.ListChanged("changes", []))
+                self._act(now, who, EndpointsChanged("changes", []))
             elif what == "event":
                 assert self.event is not None
                 self._act(now, who, self.event)
             else:
                 self._act(
-                    now, who, api.ListChanged("refused", []) if what == "refused" else api.TimerFired(what)
+                    now, who, EndpointsChanged("refused", []) if what == "refused" else TimerFired(what)
                 )
 
-    def _act(self, now: int, who: int, event: api.Event) -> None:
+    def _act(self, now: int, who: int, event: Event) -> None:
         for action in self.fleet[who].handle(now, [event]):
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, SetTimer):
                 heapq.heappush(self.due, (now + action.in_us, who, action.token))
-            elif isinstance(action, api.Subscribe):
+            elif isinstance(action, WatchEndpoints):
                 self.calls += 1
                 self.asked.setdefault(who, []).append(now)
                 self.queue_us = max(self.queue_us, self.free - now)
@@ -96,7 +111,7 @@
 @pytest.mark.parametrize(("call_us", "last"), [(2_000, 2 * SECOND), (20_000, 4 * SECOND)])
 def test_a_discovery_that_moves_is_asked_before_its_news_count_as_told(call_us: int, last: int) -> None:
     """All two hundred are sent there in one instant; it is neither stormed nor asked too late."""
-    played = Discovery(200, call_us, 30 * SECOND, api.ListMoved(4 * SECOND))
+    played = Discovery(200, call_us, 30 * SECOND, DiscoveryChanged(4 * SECOND))
     played.play(29 * SECOND)
     before = played.calls
     played.play(100 * SECOND)
@@ -110,7 +125,7 @@
     """A discovery that is quick is asked again within a second by all; one that is slow is left its time."""
     back = []
     for call_us in (2_000, 125_000):
-        played = Discovery(40, call_us, 30 * SECOND, api.ListChanged("refused", []))
+        played = Discovery(40, call_us, 30 * SECOND, EndpointsChanged("refused", []))
         played.play(120 * SECOND)
         back.append(max(played.told.values()) - 30 * SECOND)
         assert played.failed == 0 and played.calls == 80
@@ -141,38 +156,40 @@
 def test_a_planned_call_is_not_put_off_by_a_watch_that_ends() -> None:
     """The old discovery closes while the call to the new one is planned: whichever is sooner counts."""
     made = Balancer(
-        settings(balancers=200, me=100, must_subscribe=True, safety=api.Safety(must_ask_in_us=10 * SECOND)),
+        settings(
+            balancers=200, me=100, must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)
+        ),
         1,
         0,
     )
-    wait = [a.in_us for a in made.handle(0, [api.ListMoved(SECOND)]) if isinstance(a, api.SetTimer)]
+    wait = [a.in_us for a in made.handle(0, [DiscoveryChanged(SECOND)]) if isinstance(a, SetTimer)]
     assert len(wait) == 2 and wait[1] < 0.61 * SECOND < wait[0]  # the start's, and the move's
-    assert made.handle(SECOND // 10, [api.ListChanged("refused", [])]) == []
-    asked = [a for when in wait[::-1] for a in made.handle(when, [api.TimerFired("subscribe")])]
-    assert [type(action) for action in asked] == [api.Subscribe]
+    assert made.handle(SECOND // 10, [EndpointsChanged("refused", [])]) == []
+    asked = [a for when in wait[::-1] for a in made.handle(when, [TimerFired("subscribe")])]
+    assert [type(action) for action in asked] == [WatchEndpoints]
 
 
 def test_a_discovery_that_closes_on_everybody_is_not_stormed() -> None:
     """All lose their watch in one instant: all are back, with hardly a call twice, and place meanwhile."""
-    played = Discovery(40, 125_000, 30 * SECOND, api.ListChanged("refused", []))
+    played = Discovery(40, 125_000, 30 * SECOND, EndpointsChanged("refused", []))
     played.play(120 * SECOND)
     assert len(played.told) == 40
     assert 30 * SECOND < min(played.told.values()) < max(played.told.values()) <= 52 * SECOND
     assert played.calls <= 1.1 * 80
     made = Balancer(settings(balancers=40, must_subscribe=True), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0)])])
-    made.handle(SECOND, [api.ListChanged("refused", [])])
-    assert any(isinstance(a, api.Place) for a in made.handle(2 * SECOND, [api.JobArrived(1, "safe", 10**7)]))
+    made.handle(0, [EndpointsChanged("all", [entry(0)])])
+    made.handle(SECOND, [EndpointsChanged("refused", [])])
+    assert any(isinstance(a, Dispatch) for a in made.handle(2 * SECOND, [RequestReceived(1, "safe", 10**7)]))
 
 
 def test_an_unheard_cold_worker_is_not_held_to_be_as_full_as_warm_ones() -> None:
-    """What the others hold is spread by capacity: a worker at a third of its own holds a third as much."""
+    """What the others hold is spread by capacity: an endpoint at a third of its own holds a third as much."""
     made = Balancer(settings(balancers=40), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0), entry(2)])])
-    made.handle(20 * SECOND, [api.ListChanged("changes", [entry(4, ready=20 * SECOND)])])
-    made.handle(22 * SECOND, [api.JobArrived(1, "safe", 10**7)])
+    made.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
+    made.handle(20 * SECOND, [EndpointsChanged("changes", [entry(4, ready=20 * SECOND)])])
+    made.handle(22 * SECOND, [RequestReceived(1, "safe", 10**7)])
     made.mean_held = 2.0
-    warm, cold = made.workers["w0"], made.workers["w4"]
+    warm, cold = made.endpoints["w0"], made.endpoints["w4"]
     assert made._others(cold) == pytest.approx(made._others(warm) * made.capacity(cold), rel=0.01)
     assert made.capacity(cold) < 0.5
     assert made._free(cold) > made._free(warm)
@@ -182,25 +199,25 @@
 def test_a_bad_worker_is_left_out_after_few_losses(field: str) -> None:
     """It starts what it gets and fails four in five; with a report of its errors the first loss is enough."""
     made = Balancer(settings(balancers=40, report_fields=["err_rps"], errors_field=field), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(n) for n in range(4)])])
+    made.handle(0, [EndpointsChanged("all", [entry(n) for n in range(4)])])
     lost = 0
     for number in range(400):
         now = 200_000 * (number + 1)
-        actions = made.handle(now, [api.JobArrived(number, "safe", 10**7)])
-        worker = next(a.worker for a in actions if isinstance(a, api.Place))
-        bad = worker == "w0" and number % 5 > 0
-        made.handle(now, [api.JobStarted(number, 0)])
+        actions = made.handle(now, [RequestReceived(number, "safe", 10**7)])
+        endpoint = next(a.endpoint for a in actions if isinstance(a, Dispatch))
+        bad = endpoint == "w0" and number % 5 > 0
+        made.handle(now, [ExecutionStarted(number, 0)])
         later = made.handle(
             now + 100_000,
             [
-                api.AttemptEnded(
+                AttemptEnded(
                     number,
                     0,
-                    api.Outcome.ERROR if bad else api.Outcome.OK,
+                    Outcome.ERROR if bad else Outcome.OK,
                     100_000,
                     not bad,
-                    [40.0 if worker == "w0" else 0.01],
-                    worker,
+                    [40.0 if endpoint == "w0" else 0.01],
+                    endpoint,
                 )
             ],
         )
@@ -209,10 +226,10 @@
             made.handle(
                 now + 150_000,
                 [
-                    api.JobWithdrawn(number),
+                    ClientDisconnected(number),
                     *(
-                        api.AttemptEnded(number, n + 1, api.Outcome.CANCELLED, 1, True, None, a.worker)
-                        for n, a in enumerate(x for x in later if isinstance(x, api.Place))
+                        AttemptEnded(number, n + 1, Outcome.CANCELLED, 1, True, None, a.endpoint)
+                        for n, a in enumerate(x for x in later if isinstance(x, Dispatch))
                     ),
                 ],
             )
@@ -220,22 +237,22 @@
 
 
 def test_a_job_that_waits_gets_a_copy_where_the_mean_leaves_room() -> None:
-    """At one of 40 all other workers are unheard; at 0.6 of the load a copy is worth sending all the same."""
+    """At one of 40 all others are unheard; at 0.6 of the load a copy is worth sending all the same."""
     made = Balancer(settings(balancers=40), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(n) for n in range(0, 8, 2)])])
+    made.handle(0, [EndpointsChanged("all", [entry(n) for n in range(0, 8, 2)])])
     made.kinds["k1"].slots, made.kinds["k1"].told = 4.0, True
-    first = made.handle(SECOND, [api.JobArrived(1, "safe", 10**7)])
-    made.mean_held, wait = 4 * 4 * 0.6 / 39, next(a.in_us for a in first if isinstance(a, api.SetTimer))
-    assert all(made._free(worker) < 1 for worker in made.usable)
+    first = made.handle(SECOND, [RequestReceived(1, "safe", 10**7)])
+    made.mean_held, wait = 4 * 4 * 0.6 / 39, next(a.in_us for a in first if isinstance(a, SetTimer))
+    assert all(made._free(endpoint) < 1 for endpoint in made.usable)
     made.jobs[1].worth /= 2  # of a job that is worth less than others, the copy goes only where there is room
-    late = made.handle(SECOND + wait, [api.TimerFired("watch")])
-    assert [a for a in late if isinstance(a, api.Place)]
+    late = made.handle(SECOND + wait, [TimerFired("watch")])
+    assert [a for a in late if isinstance(a, Dispatch)]
 
 
 def test_slots_are_known_from_reports_and_hold_for_a_kind_never_tried() -> None:
-    """That nothing is free says nothing; free and held make slots up, a half-empty worker's for good."""
+    """That nothing is free says nothing; free and held make slots up, a half-empty endpoint's for good."""
     made = Balancer(settings(held_field="active"), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0), entry(1), entry(2)])])
+    made.handle(0, [EndpointsChanged("all", [entry(0), entry(1), entry(2)])])
     told: list[tuple[list[object], float]] = [
         ([0.0, 0.0], 1),
         ([0.0, 0.2], 1),
@@ -247,25 +264,25 @@
         ([1.0, 9.0], 7.5),
     ]  # half empty
     for report, slots in told:
-        made.handle(SECOND, [api.ProbeEnded("w0", 1, 9, report)])
+        made.handle(SECOND, [HealthCheckEnded("w0", 1, 9, report)])
         assert made.kinds["k1"].slots == pytest.approx(slots)
         assert made.kinds["k2"].slots == pytest.approx(slots)  # never tried: it would never be, with one slot
-    made.handle(SECOND, [api.ProbeEnded("w1", 1, 9, [1.0, 1.0])])
-    made.handle(SECOND, [api.ProbeEnded("w0", 1, 9, [0.5, 9.5])])
+    made.handle(SECOND, [HealthCheckEnded("w1", 1, 9, [1.0, 1.0])])
+    made.handle(SECOND, [HealthCheckEnded("w0", 1, 9, [0.5, 9.5])])
     assert made.kinds["k2"].slots == 2
 
 
 def test_one_job_out_moves_a_gate_by_one_job_not_by_forty() -> None:
-    """What a worker is held to hold grows by the job itself: that count is not scaled by the balancers."""
+    """What an endpoint is held to hold grows by the job itself: that count is not scaled by the balancers."""
     made = Balancer(settings(balancers=40), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(n) for n in range(0, 120, 2)])])
+    made.handle(0, [EndpointsChanged("all", [entry(n) for n in range(0, 120, 2)])])
     made.kinds["k1"].slots, made.kinds["k1"].told, made.mean_held = 4.0, True, 3.0
-    made.handle(SECOND, [api.JobArrived(1, "safe", 10**7)])
-    worker = made.jobs[1].attempts[0].worker
-    before = made._free(worker) + worker.held
-    made.handle(SECOND + 5_000, [api.JobArrived(2, "safe", 10**7)])
-    assert worker.held == 1
-    assert made._free(worker) == pytest.approx(before - 1, abs=0.5)
+    made.handle(SECOND, [RequestReceived(1, "safe", 10**7)])
+    endpoint = made.jobs[1].attempts[0].endpoint
+    before = made._free(endpoint) + endpoint.held
+    made.handle(SECOND + 5_000, [RequestReceived(2, "safe", 10**7)])
+    assert endpoint.held == 1
+    assert made._free(endpoint) == pytest.approx(before - 1, abs=0.5)
 
 
 def test_forty_balancers_tip_no_cold_worker_over() -> None:
@@ -274,19 +291,17 @@
     cold = [entry(n, ready=SECOND) for n in range(0, 8, 2)]
     sent: dict[str, list[int]] = {}
     for made in fleet:
-        made.handle(0, [api.ListChanged("all", [entry(100)])])
-        made.handle(SECOND, [api.ListChanged("all", cold)])
+        made.handle(0, [EndpointsChanged("all", [entry(100)])])
+        made.handle(SECOND, [EndpointsChanged("all", cold)])
         made.kinds["k1"].slots, made.kinds["k1"].told = 4.0, True
     for step in range(400):
         now = SECOND + 20_000 * step
         for number, made in enumerate(fleet):
             job = step * 40 + number
-            for action in made.handle(now, [api.JobArrived(job, "safe", 10**7)]):
-                if isinstance(action, api.Place):
-                    sent.setdefault(action.worker, []).append(now)
-                    made.handle(
-                        now, [api.AttemptEnded(job, 0, api.Outcome.OK, 150_000, True, None, action.worker)]
-                    )
+            for action in made.handle(now, [RequestReceived(job, "safe", 10**7)]):
+                if isinstance(action, Dispatch):
+                    sent.setdefault(action.endpoint, []).append(now)
+                    made.handle(now, [AttemptEnded(job, 0, Outcome.OK, 150_000, True, None, action.endpoint)])
     assert len(sent) == len(cold)
     for times in sent.values():
         assert len(times) > 40
@@ -306,17 +321,17 @@
 
 
 def heard(made: Balancer, now: int, shares: list[float]) -> None:
-    """Have reports of a worker of ten slots come in."""
+    """Have reports of an endpoint of ten slots come in."""
     for number, share in enumerate(shares):
         held = 10 * share
-        made.handle(now, [api.ProbeEnded("w0", 1, 9, [held, max(10.0 - held, 0.0) + number / 1e6])])
+        made.handle(now, [HealthCheckEnded("w0", 1, 9, [held, max(10.0 - held, 0.0) + number / 1e6])])
     made.weigh_reports()
 
 
 def told_of_ten(balancers: int = 40) -> Balancer:
     """Return a balancer that knows a kind of ten slots."""
     made = Balancer(settings(balancers=balancers, held_field="active"), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0), entry(2)])])
+    made.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
     heard(made, SECOND, [0.1] * 8)
     made.heard.clear()
     made.mean_held, made.slots_total = 1.0, 20.0
@@ -337,18 +352,18 @@
 
 
 def test_a_few_long_queues_say_nothing_of_the_room_elsewhere() -> None:
-    """The mean of what reports show is one and a half times the slots; half of the workers hold a third."""
+    """The mean of what reports show is one and a half times the slots; half of the endpoints hold a third."""
     made = told_of_ten()
     heard(made, 2 * SECOND, [0.3] * 11 + [3.0] * 9)
     assert made.shown == pytest.approx(0.3)
 
 
 def test_whoever_has_most_of_the_traffic_does_not_scale_it_by_all() -> None:
-    """One of two hundred gets eight times the mean: it does not refuse while workers are half empty."""
+    """One of two hundred gets eight times the mean: it does not refuse while endpoints are half empty."""
     made = told_of_ten(200)
     made.rate.value, made.mean_run = 40 / SECOND, 250_000.0
     made.mean_held, made.slots_total = 10.0, 1000.0
-    job = api.JobArrived(1, "safe", 10**7)
+    job = RequestReceived(1, "safe", 10**7)
     heard(made, 2 * SECOND, [0.5] * 60)
     assert 0.5 * 1000 <= made.peers() * made.mean_held < 0.7 * 1000
     asked = Job(9, made.classes["safe"], 1.0, 0.0, "", 250_000.0, 5.0, 10**8)
@@ -372,69 +387,66 @@
     assert made.peers() == 39
 
 
-def swapping(**changes: object) -> tuple[Balancer, list[list[api.Action]]]:
+def swapping(**changes: object) -> tuple[Balancer, list[list[Action]]]:
     """Send a keyed job into a cell of four and let nothing start; return what came at each look."""
     made = Balancer(settings(balancers=2, **changes), 1, 0)
-    cell = [api.WorkerEntry(f"c{n}", "a", "k1", 7) for n in range(4)]
-    made.handle(0, [api.ListChanged("all", cell)])
+    cell = [EndpointEntry(f"c{n}", "a", "k1", 7) for n in range(4)]
+    made.handle(0, [EndpointsChanged("all", cell)])
     made.kinds["k1"].slots, made.kinds["k1"].told = 4.0, True
-    now, turns = SECOND, [made.handle(SECOND, [api.JobArrived(1, "keyed", 10**7)])]
+    now, turns = SECOND, [made.handle(SECOND, [RequestReceived(1, "keyed", 10**7)])]
     for _ in range(6):
-        waits = [action.in_us for action in turns[-1] if isinstance(action, api.SetTimer)]
+        waits = [action.in_us for action in turns[-1] if isinstance(action, SetTimer)]
         if not waits:
             break
         now += min(waits)
-        turns.append(made.handle(now, [api.TimerFired("watch")]))
+        turns.append(made.handle(now, [TimerFired("watch")]))
         for action in list(turns[-1]):
-            if isinstance(action, api.Cancel):
-                turns[-1] += made.handle(now, [api.AttemptEnded(1, action.attempt, api.Outcome.CANCELLED, 9)])
+            if isinstance(action, Cancel):
+                turns[-1] += made.handle(now, [AttemptEnded(1, action.attempt, Outcome.CANCELLED, 9)])
     return made, turns
 
 
 def test_a_copy_that_waits_as_well_is_given_up_for_another() -> None:
     """The first keeps its place; at most two are out at once, waits grow, and the sends are capped."""
     made, turns = swapping()
-    assert [action for turn in turns for action in turn if isinstance(action, api.Cancel)] == [
-        api.Cancel(1, 1),
-        api.Cancel(1, 2),
+    assert [action for turn in turns for action in turn if isinstance(action, Cancel)] == [
+        Cancel(1, 1),
+        Cancel(1, 2),
     ]
-    assert len({a.worker for turn in turns for a in turn if isinstance(a, api.Place)}) == 4
+    assert len({a.endpoint for turn in turns for a in turn if isinstance(a, Dispatch)}) == 4
     assert made.jobs[1].attempts[0].open and made.jobs[1].pending == 2
-    waits = [a.in_us for turn in turns for a in turn if isinstance(a, api.SetTimer)]
+    waits = [a.in_us for turn in turns for a in turn if isinstance(a, SetTimer)]
     assert waits[1] == 2 * waits[0]
 
 
 def test_without_cancels_nothing_is_given_up() -> None:
     """Two are out, and it stays at that."""
-    limits = api.Limits(cancelling=False, second_copies=True, send_cap=4)
+    limits = DispatchLimits(cancelling=False, second_copies=True, send_cap=4)
     made, turns = swapping(limits=limits)
     assert len(made.jobs[1].attempts) == 2
-    assert not [a for turn in turns for a in turn if isinstance(a, api.Cancel)]
+    assert not [a for turn in turns for a in turn if isinstance(a, Cancel)]
 
 
 @pytest.mark.parametrize("state", ["removed", "silent"])
 def test_jobs_stuck_at_a_lost_worker_do_not_count_as_held_at_the_others(state: str) -> None:
-    """One of 200 with three jobs out: they never end, and it goes on using the workers that are left."""
+    """One of 200 with three jobs out: they never end, and it goes on using the endpoints that are left."""
     made = Balancer(settings(balancers=200), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(n) for n in range(0, 40, 2)])])
+    made.handle(0, [EndpointsChanged("all", [entry(n) for n in range(0, 40, 2)])])
     made.kinds["k1"].slots, made.kinds["k1"].told = 4.0, True
     for number in range(3):
-        made.handle(SECOND + number, [api.JobArrived(number, "unsafe", 8 * SECOND, only=("w0",))])
-    assert made.workers["w0"].held == 3
+        made.handle(SECOND + number, [RequestReceived(number, "unsafe", 8 * SECOND, only=("w0",))])
+    assert made.endpoints["w0"].held == 3
     if state == "removed":
-        made.handle(SECOND + 9, [api.ListChanged("changes", [entry(0, state)])])
+        made.handle(SECOND + 9, [EndpointsChanged("changes", [entry(0, state)])])
     placed = 0
     for number in range(10, 60):
         now = SECOND + number * SECOND // 10
         sent = [
-            a for a in made.handle(now, [api.JobArrived(number, "safe", SECOND)]) if isinstance(a, api.Place)
+            a for a in made.handle(now, [RequestReceived(number, "safe", SECOND)]) if isinstance(a, Dispatch)
         ]
         placed += now > 4 * SECOND and bool(sent)
         made.handle(
             now + 50_000,
-            [
-                api.AttemptEnded(number, n, api.Outcome.OK, 50_000, True, None, a.worker)
-                for n, a in enumerate(sent)
-            ],
+            [AttemptEnded(number, n, Outcome.OK, 50_000, True, None, a.endpoint) for n, a in enumerate(sent)],
         )
     assert made.own_held == 3 and placed >= 20
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -10,9 +10,10 @@
 from click.testing import CliRunner
 
 from merlinbay.cli.main import main
-from merlinbay.decision import api
+from merlinbay.decision.actions import Action
 from merlinbay.decision.beliefs import Beliefs
 from merlinbay.decision.calls import Calls
+from merlinbay.decision.events import CallFailure
 from merlinbay.decision.list_lease import ListLease
 from merlinbay.emulator import gate
 from merlinbay.emulator.play import Result
@@ -40,13 +41,13 @@
     assert day.score > 0.5 and day.module.in_time > day.random.in_time
 
 
-def no_spread(self: Calls, now: int, width: float) -> list[api.Action]:
+def no_spread(self: Calls, now: int, width: float) -> list[Action]:
     """Call discovery at once, always."""
     self.due_at = now
     return self.due(now)
 
 
-def unbounded(self: Calls, now: int, width: float) -> list[api.Action]:
+def unbounded(self: Calls, now: int, width: float) -> list[Action]:
     """Spread the calls by their number alone, as it was before the rules' time to ask was kept to."""
     lease, self.lease = self.lease, ListLease(0, 0)
     actions = PLAN(self, now, width)
@@ -69,8 +70,8 @@
 
 
 def anew(
-    self: Calls, now: int, heard_at: int = -1, failure: api.CallFailure = api.CallFailure.BROKEN
-) -> list[api.Action]:
+    self: Calls, now: int, heard_at: int = -1, failure: CallFailure = CallFailure.BROKEN
+) -> list[Action]:
     """Give what failed four times the time to ask, ten seconds here, as the older pages do."""
     BROKEN(self, now)
     self.lease.runs_out_at, self.due_at = now + 40_000_000, -1
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -13,19 +13,19 @@
 from hypothesis import strategies as st
 
 from merlinbay.clock import Clock
-from merlinbay.core import ports
+from merlinbay.core.messages import EndpointViewsRequested, Message, RequestArrived, RequestWithdrawn
 from merlinbay.counters import Counters
-from merlinbay.decision.api import JobClass
+from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import schema
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.listening import Register
 from merlinbay.drmaa.settings import Drmaa, NamedSession
 from merlinbay.http.connection import Request, Response
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify.settings import Events
 
-CLASSES = [JobClass("admit", 1, 3_000_000), JobClass("print", 1, 9_000_000, effect="once")]
+CLASSES = [RequestClass("admit", 1, 3_000_000), RequestClass("print", 1, 9_000_000, effect="once")]
 SETTINGS = Drmaa(
     front=True,
     memory_unit_kib=1024,
@@ -185,8 +185,8 @@
     """2xx with JSON, or one of the standard's exceptions with its own status; never a fault of ours."""
 
     async def scene() -> None:
-        send, receive = trio.open_memory_channel[ports.Message](3)
-        front = DrmaaFront(send, Clock(), Limits(), Counters(), Log(1), CLASSES, SETTINGS, "n")
+        send, receive = trio.open_memory_channel[Message](3)
+        front = DrmaaFront(send, Clock(), ResourceLimits(), Counters(), Log(1), CLASSES, SETTINGS, "n")
         for method, path, body in calls:
             ids = [job_id for session in front.engine.sessions.values() for job_id in session.jobs]
             ids += [array_id for session in front.engine.sessions.values() for array_id in session.arrays]
@@ -209,7 +209,7 @@
                 front.gone(wait)
             assert len(front.engine.waits) == waits
         for message in list(front.outbox):
-            assert isinstance(message, ports.RequestArrived | ports.RequestWithdrawn | ports.FleetAsked)
+            assert isinstance(message, RequestArrived | RequestWithdrawn | EndpointViewsRequested)
         for session in front.engine.sessions.values():
             assert session.quota.jobs <= (50 if session.name == "q" else session.quota.allowance.jobs)
         assert front.engine.jobs >= sum(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,9 +13,12 @@
 import pytest
 import trio
 
-from merlinbay.core.ports import AttemptFinished
-from merlinbay.decision import Balancer, api
+from merlinbay.core.messages import AttemptFinished
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import AttemptEnded, EndpointsChanged, MaintenanceChanged, RequestReceived
 from merlinbay.decision.learned import adopt, learned
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.handover import messages
 from merlinbay.handover.control_socket import ControlSocket
 from merlinbay.http.client import ClientConnection
@@ -259,7 +262,7 @@
         with trio.fail_after(5):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ours.write)
-                ours.post(messages.Unclaimed(AttemptFinished("a", "s", api.Outcome.OK, b"x" * 4_000_000)))
+                ours.post(messages.Unclaimed(AttemptFinished("a", "s", Outcome.OK, b"x" * 4_000_000)))
                 ours.post(messages.EdgeGiven(True, False), os.dup(0))
                 heard = await theirs.read()
                 assert heard is not None and heard[0] == messages.EdgeGiven(True, False) and heard[1] >= 0
@@ -276,16 +279,16 @@
     conf = settings(balancers=1)
     one, two = Balancer(conf, 1, 1_000_000), Balancer(conf, 2, 1_000_000)
     rows = [entry(0), entry(2), entry(4, ready=900_000)]
-    one.handle(1_000_000, [api.ListChanged("all", rows)])
+    one.handle(1_000_000, [EndpointsChanged("all", rows)])
     for number in range(60):
-        for action in one.handle(1_000_000 + number * 50_000, [api.JobArrived(number, "safe", 5_000_000)]):
-            if isinstance(action, api.Place):
-                outcome = api.Outcome.CONNECT_FAILED if action.worker == "w2" else api.Outcome.OK
+        for action in one.handle(1_000_000 + number * 50_000, [RequestReceived(number, "safe", 5_000_000)]):
+            if isinstance(action, Dispatch):
+                outcome = Outcome.CONNECT_FAILED if action.endpoint == "w2" else Outcome.OK
                 one.handle(
-                    one.now, [api.AttemptEnded(number, 0, outcome, 30_000, False, [1.0, 7.0], action.worker)]
+                    one.now, [AttemptEnded(number, 0, outcome, 30_000, False, [1.0, 7.0], action.endpoint)]
                 )
-    one.handle(one.now, [api.Maintained("w4", True)])
-    assert one.workers["w2"].bench_until > one.now and one.kinds["k1"].slots > 4
+    one.handle(one.now, [MaintenanceChanged("w4", True)])
+    assert one.endpoints["w2"].bench_until > one.now and one.kinds["k1"].slots > 4
     parts = [
         messages.decode(messages.encode(word))
         for word in messages.told(5, [], learned(one, one.classes), False)
@@ -295,17 +298,17 @@
     whole.learned.workers = [
         w for part in parts[:-1] if isinstance(part, messages.Part) for w in part.workers
     ]
-    two.handle(one.now, [api.ListChanged("remembered", [entry(0, ready=3_000_000), *rows[1:]])])
+    two.handle(one.now, [EndpointsChanged("remembered", [entry(0, ready=3_000_000), *rows[1:]])])
     adopt(two, two.classes, whole.learned)
     assert learned(two, two.classes).load == learned(one, one.classes).load
     for name in ("w2", "w4"):
-        mine, theirs = two.workers[name], one.workers[name]
+        mine, theirs = two.endpoints[name], one.endpoints[name]
         assert (mine.bench_until, mine.cold_next, mine.pace, mine.state) == (
             theirs.bench_until,
             theirs.cold_next,
             theirs.pace,
             theirs.state,
         )
-    assert two.workers["w0"].ready_at == 3_000_000 and two.workers["w0"].pace == 1.0
-    assert two.workers["w4"].state == "draining" and two.kinds["k1"].slots == one.kinds["k1"].slots
+    assert two.endpoints["w0"].ready_at == 3_000_000 and two.endpoints["w0"].pace == 1.0
+    assert two.endpoints["w4"].state == "draining" and two.kinds["k1"].slots == one.kinds["k1"].slots
     assert {w.name for w in two.usable} == {"w0", "w2"}
--- a/tests/test_in_service.py
+++ b/tests/test_in_service.py
@@ -12,7 +12,10 @@
 import pytest
 import trio
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import AttemptEnded, EndpointsChanged, MaintenanceChanged, RequestReceived
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import ClientConnection
 from tests.net import LIMITS, ROOT, Stage, admission, free_port, play, stage
 from tests.support import entry, settings
@@ -121,22 +124,22 @@
     now, slots, rng = 1_000_000, 4.0, Random(5)
     conf = settings(balancers=1)
     balancer = Balancer(conf, 7, now)
-    balancer.handle(now, [api.ListChanged("all", [entry(0), entry(2)])])
-    balancer.handle(now, [api.Maintained("w0", True), api.Maintained("w0", True)])
+    balancer.handle(now, [EndpointsChanged("all", [entry(0), entry(2)])])
+    balancer.handle(now, [MaintenanceChanged("w0", True), MaintenanceChanged("w0", True)])
     now += 3_000_000
     if listed:
-        balancer.handle(now, [api.ListChanged("changes", [entry(0, ready=now - 1_000_000)])])
-    balancer.handle(now, [api.Maintained("w0", False)])
+        balancer.handle(now, [EndpointsChanged("changes", [entry(0, ready=now - 1_000_000)])])
+    balancer.handle(now, [MaintenanceChanged("w0", False)])
     back, sent = now, []
     for number in range(300):
         now += int(rng.expovariate(1 / 3_000))
-        for action in balancer.handle(now, [api.JobArrived(number, "safe", 5_000_000)]):
-            if isinstance(action, api.Place) and action.worker == "w0":
+        for action in balancer.handle(now, [RequestReceived(number, "safe", 5_000_000)]):
+            if isinstance(action, Dispatch) and action.endpoint == "w0":
                 sent.append(now)
-            if isinstance(action, api.Place):
+            if isinstance(action, Dispatch):
                 balancer.handle(
                     now,
-                    [api.AttemptEnded(number, 0, api.Outcome.OK, 50_000, False, [0.0, slots], action.worker)],
+                    [AttemptEnded(number, 0, Outcome.OK, 50_000, False, [0.0, slots], action.endpoint)],
                 )
     assert sent and sent[0] - back < 500_000
     most = conf.safety.tip_multiple * slots * (now - back) / 50_000  # the cold budget, all of it
@@ -146,8 +149,8 @@
 def test_a_ban_stands_above_every_list_and_is_lifted_by_one_call() -> None:
     """Full lists, changes, a removal and a return in between; nobody else's ban is touched."""
     balancer = Balancer(settings(balancers=1), 7, 0)
-    balancer.handle(0, [api.ListChanged("all", [entry(0), entry(2)])])
-    balancer.handle(0, [api.Maintained("w0", True)])
+    balancer.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
+    balancer.handle(0, [MaintenanceChanged("w0", True)])
     job = 0
     for scope, rows in [
         ("all", [entry(0), entry(2)]),
@@ -156,18 +159,18 @@
         ("all", [entry(0, "draining"), entry(2)]),
         ("changes", [entry(0)]),
     ]:
-        balancer.handle(0, [api.ListChanged(scope, rows)])
-        assert balancer.knows("w0") and balancer.workers["w2"].state == "up"
+        balancer.handle(0, [EndpointsChanged(scope, rows)])
+        assert balancer.knows("w0") and balancer.endpoints["w2"].state == "up"
         job += 1
         placed = [
-            a.worker
-            for a in balancer.handle(0, [api.JobArrived(job, "safe", 5_000_000)])
-            if isinstance(a, api.Place)
+            a.endpoint
+            for a in balancer.handle(0, [RequestReceived(job, "safe", 5_000_000)])
+            if isinstance(a, Dispatch)
         ]
         assert placed == ["w2"]
-        balancer.handle(0, [api.AttemptEnded(job, 0, api.Outcome.OK, 50_000, False, None, "w2")])
-    balancer.handle(0, [api.Maintained("w0", False)])
-    assert balancer.workers["w0"].state == "up"
+        balancer.handle(0, [AttemptEnded(job, 0, Outcome.OK, 50_000, False, None, "w2")])
+    balancer.handle(0, [MaintenanceChanged("w0", False)])
+    assert balancer.endpoints["w0"].state == "up"
 
 
 def test_clients_are_sent_away_without_a_request_lost_and_taken_back(tmp_path: Path) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,23 +15,28 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import (
-    AttemptFinished,
-    EntriesChanged,
-    JobSpec,
-    Message,
-    ServerAttempt,
-    ServiceEntry,
-)
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.messages import AttemptFinished, EndpointListReceived, Message
+from merlinbay.core.values import RequestSpec, ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch, LogNotice
 from merlinbay.decision.calls import Calls
+from merlinbay.decision.events import (
+    AttemptEnded,
+    CallFailure,
+    EndpointEntry,
+    EndpointsChanged,
+    RequestReceived,
+    TimerFired,
+)
 from merlinbay.decision.learned import learned
 from merlinbay.decision.list_lease import NOTIFIED_US, ListLease
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import SafetyMargins
 from merlinbay.handover import messages as handed
-from merlinbay.http.client import NotSent
+from merlinbay.http.client import RequestNotSentError
 from merlinbay.http.connection import Request, Response
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.log import Log
@@ -150,10 +155,10 @@
 @pytest.mark.parametrize(("at", "note"), [(5, []), (9, ["the list came 3.0 s after its deadline"])])
 def test_a_list_that_comes_late_is_noted(at: int, note: list[str]) -> None:
     """Operators see it, and how late."""
-    made = Balancer(settings(must_subscribe=True, safety=api.Safety(must_ask_in_us=10 * SECOND)), 1, 0)
-    made.handle(SECOND, [api.TimerFired("subscribe")])
-    out = made.handle(at * SECOND, [api.ListChanged("all", [entry(0)])])
-    assert [action.text for action in out if isinstance(action, api.Note)] == note
+    made = Balancer(settings(must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0)
+    made.handle(SECOND, [TimerFired("subscribe")])
+    out = made.handle(at * SECOND, [EndpointsChanged("all", [entry(0)])])
+    assert [action.text for action in out if isinstance(action, LogNotice)] == note
 
 
 def test_another_discovery_counts_whatever_calls_fail() -> None:
@@ -240,17 +245,17 @@
     """Whatever has them sent again: an outcome, or the look at a job that has not started."""
     for fails in (True, False):
         made = Balancer(settings(balancers=1), 1, 0)
-        made.handle(0, [api.ListChanged("all", [entry(0), entry(2)])])
-        first = made.handle(SECOND, [api.JobArrived(1, "safe", 5 * SECOND)])
-        at = next(a.worker for a in first if isinstance(a, api.Place))
+        made.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
+        first = made.handle(SECOND, [RequestReceived(1, "safe", 5 * SECOND)])
+        at = next(a.endpoint for a in first if isinstance(a, Dispatch))
         other = {"w0": 2, "w2": 0}[at]
-        made.handle(SECOND, [api.ListChanged("changes", [entry(other, state)])])
+        made.handle(SECOND, [EndpointsChanged("changes", [entry(other, state)])])
         then = (
-            made.handle(SECOND + 1, [api.AttemptEnded(1, 0, api.Outcome.FULL, 1, False, None, at)])
+            made.handle(SECOND + 1, [AttemptEnded(1, 0, Outcome.FULL, 1, False, None, at)])
             if fails
-            else made.handle(2 * SECOND, [api.TimerFired("watch")])
+            else made.handle(2 * SECOND, [TimerFired("watch")])
         )
-        assert f"w{other}" not in [a.worker for a in then if isinstance(a, api.Place)]
+        assert f"w{other}" not in [a.endpoint for a in then if isinstance(a, Dispatch)]
 
 
 def test_1024_entries_of_one_list_are_all_used() -> None:
@@ -275,9 +280,9 @@
     made.handle(
         0,
         [
-            api.ListChanged(
+            EndpointsChanged(
                 "all",
-                [api.WorkerEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, 0) for e in found],
+                [EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, 0) for e in found],
             )
         ],
     )
@@ -363,10 +368,10 @@
             ).encode(),
         )
 
-    async def news(self) -> EntriesChanged:
+    async def news(self) -> EndpointListReceived:
         """Return what the watch tells next."""
         message = await self.inbox.receive()
-        assert isinstance(message, EntriesChanged)
+        assert isinstance(message, EndpointListReceived)
         return message
 
 
@@ -580,7 +585,7 @@
             assert (await pool.exchange("s", "POST", "/", [], b"x", last_look=list)).status == 202
             await trio.sleep(1.2 * LIMITS.pool_rest)
             leaves = True
-            with pytest.raises(NotSent):
+            with pytest.raises(RequestNotSentError):
                 await pool.exchange("s", "POST", "/", [], b"x", last_look=list)
             assert (await pool.exchange("s", "DELETE", "/jobs/x", [])).status == 202
             assert server.targets() == ["/"] and len(server.connections) == 1
@@ -601,9 +606,9 @@
             send, inbox = trio.open_memory_channel[Message](9)
             servers = PlatformServers(at.nursery, pool, send, clock, LIMITS, counters, Log(9), False)
             now = clock.now_us()
-            servers.start(ServerAttempt(JobSpec("j", "admit", now, SECOND), 1, 0, "s", now, now + SECOND))
+            servers.start(ServerAttempt(RequestSpec("j", "admit", now, SECOND), 1, 0, "s", now, now + SECOND))
             ended = await inbox.receive()
-            assert isinstance(ended, AttemptFinished) and ended.outcome is api.Outcome.MOOT
+            assert isinstance(ended, AttemptFinished) and ended.outcome is Outcome.MOOT
             assert not server.seen
 
     play(scene)
@@ -626,7 +631,7 @@
                 return made
 
             pool._connection = moved  # type: ignore[method-assign,assignment]
-            with pytest.raises(NotSent):
+            with pytest.raises(RequestNotSentError):
                 await pool.exchange("s", "POST", "/", [], b"x", last_look=list)
             assert not server.targets()
 
@@ -636,14 +641,14 @@
 def test_the_module_takes_the_watch_s_last_answer() -> None:
     """What discovery's side tells of a watch that broke reaches the plan of the next call."""
     made = Balancer(
-        settings(balancers=1, must_subscribe=True, safety=api.Safety(must_ask_in_us=10 * SECOND)), 1, 0
+        settings(balancers=1, must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0
     )
     clock, servers = Mock(), Mock()
-    owner = Owner(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    owner = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
     for now, news in (
-        (0, EntriesChanged("remembered")),
-        (SECOND, EntriesChanged("all")),
-        (20 * SECOND, EntriesChanged("refused", [], 18 * SECOND)),
+        (0, EndpointListReceived("remembered")),
+        (SECOND, EndpointListReceived("all")),
+        (20 * SECOND, EndpointListReceived("refused", [], 18 * SECOND)),
     ):
         clock.now_us.return_value = now
         owner.turn([news])
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -6,63 +6,72 @@
 
 import pytest
 
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Dispatch, Reject, WatchEndpoints
 from merlinbay.decision.calls import PATIENCE_MOST_US, Calls
+from merlinbay.decision.events import (
+    CallFailure,
+    DiscoveryChanged,
+    EndpointsChanged,
+    Event,
+    RequestReceived,
+    TimerFired,
+)
 from merlinbay.decision.list_lease import HELD_UP_US, MARGIN_US, ListLease
+from merlinbay.decision.settings import SafetyMargins
 from tests.support import entry, settings
 
 SECOND = 1_000_000
 GRACE_US = 500_000
 SPARE_US = GRACE_US - HELD_UP_US - MARGIN_US
-SAFETY = api.Safety(must_ask_in_us=10 * SECOND, drain_grace_us=GRACE_US)
+SAFETY = SafetyMargins(must_ask_in_us=10 * SECOND, drain_grace_us=GRACE_US)
 
 
 def watched(balancers: int = 1) -> Balancer:
-    """Return a balancer with one worker that has watched the list since its start."""
+    """Return a balancer with one endpoint that has watched the list since its start."""
     made = Balancer(settings(balancers=balancers, must_subscribe=True, safety=SAFETY), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0)])])
+    made.handle(0, [EndpointsChanged("all", [entry(0)])])
     return made
 
 
-def ways(made: Balancer, now: int, job: int = 1) -> list[api.Action]:
+def ways(made: Balancer, now: int, job: int = 1) -> list[Action]:
     """Hand in a job; return what is done with it."""
-    actions = made.handle(now, [api.JobArrived(job, "safe", 10 * SECOND)])
-    return [action for action in actions if isinstance(action, api.Place | api.Refuse)]
+    actions = made.handle(now, [RequestReceived(job, "safe", 10 * SECOND)])
+    return [action for action in actions if isinstance(action, Dispatch | Reject)]
 
 
 @pytest.mark.parametrize(
     ("event", "at", "runs_out"),
     [
-        (api.ListMoved(4 * SECOND), 30, 34),
-        (api.ListMoved(4 * SECOND, moved=False), 30, 34),
-        (api.ListChanged("refused", [], 28 * SECOND, CallFailure.SILENT), 30, 34),
-        (api.ListChanged("refused", [], 29 * SECOND, CallFailure.BROKEN), 30, 35),
-        (api.ListChanged("refused", [], 29 * SECOND, CallFailure.UNAVAILABLE), 30, 36),
-        (api.ListChanged("refused", [], 29 * SECOND, CallFailure.UNREACHABLE), 30, 36),
+        (DiscoveryChanged(4 * SECOND), 30, 34),
+        (DiscoveryChanged(4 * SECOND, moved=False), 30, 34),
+        (EndpointsChanged("refused", [], 28 * SECOND, CallFailure.SILENT), 30, 34),
+        (EndpointsChanged("refused", [], 29 * SECOND, CallFailure.BROKEN), 30, 35),
+        (EndpointsChanged("refused", [], 29 * SECOND, CallFailure.UNAVAILABLE), 30, 36),
+        (EndpointsChanged("refused", [], 29 * SECOND, CallFailure.UNREACHABLE), 30, 36),
     ],
     ids=lambda value: type(value).__name__,
 )
-def test_no_job_is_placed_by_an_overdue_list(event: api.Event, at: int, runs_out: int) -> None:
+def test_no_job_is_placed_by_an_overdue_list(event: Event, at: int, runs_out: int) -> None:
     """Placed until shortly before the grace ends, then refused with the reason until an answer comes."""
     made = watched()
     made.handle(at * SECOND, [event])
     last = runs_out * SECOND + SPARE_US
-    assert isinstance(ways(made, last - 1, 1)[0], api.Place)
+    assert isinstance(ways(made, last - 1, 1)[0], Dispatch)
     assert made.may_begin(1, 0, last - 1) and not made.may_begin(1, 0, last)
     refused = ways(made, last, 2)[0]
-    assert isinstance(refused, api.Refuse) and refused.reason == "list_overdue"
-    made.handle(last + 1, [api.ListChanged("changes", [])])
-    assert isinstance(ways(made, last + 2, 3)[0], api.Place)
+    assert isinstance(refused, Reject) and refused.reason == "list_overdue"
+    made.handle(last + 1, [EndpointsChanged("changes", [])])
+    assert isinstance(ways(made, last + 2, 3)[0], Dispatch)
 
 
 @pytest.mark.parametrize("scope", ["all", "changes", "refused"])
 def test_a_former_discovery_says_nothing_of_what_the_new_one_has(scope: str) -> None:
     """Its answer, or its end, comes after the new configuration: lease and planned call stay."""
     made = watched(balancers=6)
-    made.handle(30 * SECOND, [api.ListMoved(4 * SECOND)])
+    made.handle(30 * SECOND, [DiscoveryChanged(4 * SECOND)])
     planned = made.calls.due_at
-    made.handle(30 * SECOND + 1, [api.ListChanged(scope, [entry(0)] * (scope != "refused"), former=True)])
+    made.handle(30 * SECOND + 1, [EndpointsChanged(scope, [entry(0)] * (scope != "refused"), former=True)])
     assert made.list_lease.due_at == 34 * SECOND and made.calls.due_at == planned > 0
 
 
@@ -70,19 +79,19 @@
 def test_what_crosses_the_call_to_the_new_discovery_leaves_that_call_alone(scope: str) -> None:
     """It is out: no other call is planned, and its own answer tells what it took."""
     made = watched(balancers=6)
-    made.handle(30 * SECOND, [api.ListMoved(4 * SECOND)])
+    made.handle(30 * SECOND, [DiscoveryChanged(4 * SECOND)])
     called_at = made.calls.due_at
-    assert subscribes(made.handle(called_at, [api.TimerFired("subscribe")]))
-    former = api.ListChanged(scope, [entry(0)] * (scope != "refused"), failure=CallFailure.UNAVAILABLE)
+    assert subscribes(made.handle(called_at, [TimerFired("subscribe")]))
+    former = EndpointsChanged(scope, [entry(0)] * (scope != "refused"), failure=CallFailure.UNAVAILABLE)
     former.former = True
     assert made.handle(called_at + 1, [former]) == [] and made.calls.out and not made.calls.outage
-    made.handle(called_at + SECOND // 4, [api.ListChanged("all", [entry(0)])])
+    made.handle(called_at + SECOND // 4, [EndpointsChanged("all", [entry(0)])])
     assert made.calls.cost_us == SECOND // 4 and not made.calls.out
 
 
-def subscribes(actions: list[api.Action]) -> bool:
+def subscribes(actions: list[Action]) -> bool:
     """Tell whether the list is asked for."""
-    return any(isinstance(action, api.Subscribe) for action in actions)
+    return any(isinstance(action, WatchEndpoints) for action in actions)
 
 
 def calls(fleet: int = 6, cost_us: float = 300_000.0) -> Calls:
@@ -187,7 +196,7 @@
     while made.due_at < 34 * SECOND:
         began.append(made.due_at)
         (call,) = made.due(made.due_at)
-        assert isinstance(call, api.Subscribe)
+        assert isinstance(call, WatchEndpoints)
         patience.append(call.patience_us)
         made.broken(began[-1] + call.patience_us, failure=CallFailure.SILENT)
     assert len(began) >= 2 and began[1] < 33 * SECOND
@@ -198,4 +207,4 @@
     """Two hundred calls of 30 ms: giving up early would only add to what it works on."""
     made = calls(fleet=200, cost_us=30_000.0)
     (call,) = made.due(made.due_at)
-    assert isinstance(call, api.Subscribe) and call.patience_us == PATIENCE_MOST_US
+    assert isinstance(call, WatchEndpoints) and call.patience_us == PATIENCE_MOST_US
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -78,7 +78,7 @@
 )
 def test_an_error_names_the_column(text: str, says: str) -> None:
     """And nothing of it is run."""
-    with pytest.raises(filters.BadFilter) as found:
+    with pytest.raises(filters.FilterError) as found:
         filters.compiled(text, KINDS)
     assert says in str(found.value)
 
@@ -125,7 +125,7 @@
     """``and``, ``or``, ``not`` and brackets, in every mixture that is short enough."""
     try:
         test = filters.compiled(text, KINDS)
-    except filters.BadFilter as error:
+    except filters.FilterError as error:
         assert "nested" in str(error)
         return
     assert test(JOB.get) is means(text)
@@ -137,7 +137,7 @@
     """It compiles, or it is refused with a column."""
     try:
         test = filters.compiled(text, {"a": str, "b": float, "x": list})
-    except filters.BadFilter as error:
+    except filters.FilterError as error:
         assert str(error).startswith("column ")
     else:
         assert test(lambda name: None) in (True, False)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,9 @@
 import pytest
 import trio
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action
+from merlinbay.decision.events import Event, RequestReceived
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Request, Response
 from merlinbay.platform.messages import load_from, named
@@ -483,8 +485,8 @@
     """Its exception is counted, the request fails at its deadline, and the node serves on."""
     handle = Balancer.handle
 
-    def failing(self: Balancer, now_us: int, events: list[api.Event]) -> list[api.Action]:
-        if any(isinstance(event, api.JobArrived) and event.budget_us < 400_000 for event in events):
+    def failing(self: Balancer, now_us: int, events: list[Event]) -> list[Action]:
+        if any(isinstance(event, RequestReceived) and event.budget_us < 400_000 for event in events):
             raise RuntimeError("a fault put in by the test")
         return handle(self, now_us, events)
 
--- a/tests/test_notify.py
+++ b/tests/test_notify.py
@@ -12,9 +12,9 @@
 from merlinbay.batch.timers import Timers
 from merlinbay.notify import signing
 from merlinbay.notify.hub import Answer, Hub, wanted_of
-from merlinbay.notify.journal import Gone, Journal, News, Wanted
+from merlinbay.notify.journal import Journal, JournalGapError, News, Wanted
 from merlinbay.notify.listeners import Batch, Bounds, Listener
-from merlinbay.notify.targets import Allowed, BadTarget
+from merlinbay.notify.targets import Allowed, TargetError
 
 ALL = Wanted()
 MS = 1000
@@ -96,7 +96,7 @@
     journal = Journal(9, 10**9, lambda: "s")
     journal.add("q", News.NEW_STATE, "j", "QUEUED", "", 0)
     assert journal.open("q").number("s.1") == 1
-    with pytest.raises(Gone):
+    with pytest.raises(JournalGapError):
         journal.open("q").number(cursor)
 
 
@@ -260,7 +260,7 @@
         if old_good:
             assert signing.Verifier([b"k" * 24]).verify(heads, b"body", 100)
         else:
-            with pytest.raises(signing.BadSignature):
+            with pytest.raises(signing.SignatureError):
                 signing.Verifier([b"k" * 24]).verify(heads, b"body", 100)
         hub.listeners.delivered(batch, 1, now)
 
@@ -293,9 +293,9 @@
     heads = dict(signing.headers([b"k" * 24], "id", 100, b"body"))
     assert verifier.verify(heads, b"body", 100)
     assert not verifier.verify(heads, b"body", 110)  # replayed
-    with pytest.raises(signing.BadSignature):
+    with pytest.raises(signing.SignatureError):
         verifier.verify(heads, b"body!", 100)
-    with pytest.raises(signing.BadSignature):
+    with pytest.raises(signing.SignatureError):
         verifier.verify({**heads, **change}, b"body", 100)
 
 
@@ -306,7 +306,7 @@
 )
 def test_no_header_breaks_the_verifier(heads: dict[str, str], body: bytes) -> None:
     """Whatever comes, nothing but the one exception is raised, and nothing is believed."""
-    with pytest.raises(signing.BadSignature):
+    with pytest.raises(signing.SignatureError):
         signing.Verifier([b"k" * 24]).verify(heads, body, 100)
 
 
@@ -349,5 +349,5 @@
     if addr:
         assert allowed.target(url).addr == addr
     else:
-        with pytest.raises(BadTarget):
+        with pytest.raises(TargetError):
             allowed.target(url)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -11,10 +11,12 @@
 import trio.testing
 
 from merlinbay.clock import Clock
-from merlinbay.core.ports import AttemptFinished, JobSpec, Message, ServerAttempt
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.messages import AttemptFinished, Message
+from merlinbay.core.values import RequestSpec
 from merlinbay.counters import Counters
-from merlinbay.decision.api import Outcome
-from merlinbay.http.client import ConnectionBroken, Headers, Reply, UnreadableAnswer
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, UnreadableResponseError
 from merlinbay.http.pool import ConnectionPool, LastLook
 from merlinbay.log import Log
 from merlinbay.platform.servers import PlatformServers
@@ -68,7 +70,7 @@
     def __post_init__(self) -> None:
         """Make the attempt."""
         now = self.clock.now_us()
-        spec = JobSpec("j", "admit", now, 3 * SECOND_US)
+        spec = RequestSpec("j", "admit", now, 3 * SECOND_US)
         self.attempt = ServerAttempt(spec, 1, 0, "s", now, now + 3 * SECOND_US)
 
     async def outcome(self) -> Outcome:
@@ -172,10 +174,10 @@
         async def answers(method: str) -> Reply:
             if method == "DELETE":
                 if not confirms:
-                    raise ConnectionBroken("lost")
+                    raise ConnectionBrokenError("lost")
                 return Reply(404, {}, b"")
             if name not in UNKNOWN:
-                raise UnreadableAnswer("no HTTP")
+                raise UnreadableResponseError("no HTTP")
             return UNKNOWN[name]
 
         async with servers_over(answers) as at:
@@ -195,7 +197,7 @@
 
     async def scene() -> None:
         async def answers(method: str) -> Reply:
-            raise ConnectionBroken("reset")
+            raise ConnectionBrokenError("reset")
 
         async with servers_over(answers) as at:
             at.servers.start(at.attempt)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,4 +13,4 @@
     found = re.search(r"```python\n(.*?)```", README.read_text(), re.S)
     assert found is not None
     exec(compile(found.group(1), "README.md", "exec"), {})
-    assert capsys.readouterr().out == "send job 1\n"
+    assert capsys.readouterr().out == "send request 1\n"
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -13,7 +13,9 @@
 
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.batch.timers import Timers
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import EndpointsChanged, RequestReceived, SlotsReserved
 from merlinbay.reserve.book import Bounds, Phase, Reservation, SlotBook, Wish
 from merlinbay.reserve.timeline import Timeline
 from tests import support
@@ -223,19 +225,19 @@
 def test_the_module_keeps_reserved_slots_for_those_who_reserved_them() -> None:
     """Others get the rest and no place in the queue there; it holds over a list that names it anew."""
     made = Balancer(support.settings(balancers=1), 1, 0)
-    made.handle(0, [api.ListChanged("all", [support.entry(0)])])
+    made.handle(0, [EndpointsChanged("all", [support.entry(0)])])
     made.kinds["k1"].slots, made.kinds["k1"].told = 4.0, True
-    made.handle(S, [api.SlotsKept("w0", 3.0)])
-    made.handle(S, [api.ListChanged("all", [])])
-    made.handle(S, [api.ListChanged("all", [support.entry(0)])])
+    made.handle(S, [SlotsReserved("w0", 3.0)])
+    made.handle(S, [EndpointsChanged("all", [])])
+    made.handle(S, [EndpointsChanged("all", [support.entry(0)])])
 
     def placed(number: int, reserved: bool) -> bool:
-        out = made.handle(S, [api.JobArrived(number, "safe", 10**7, reserved=reserved)])
-        return any(isinstance(action, api.Place) for action in out)
+        out = made.handle(S, [RequestReceived(number, "safe", 10**7, reserved=reserved)])
+        return any(isinstance(action, Dispatch) for action in out)
 
     assert [placed(number, False) for number in (1, 2)] == [True, False]
     assert [placed(number, True) for number in (3, 4, 5)] == [True] * 3
-    made.handle(S, [api.SlotsKept("w0", 0.0)])
+    made.handle(S, [SlotsReserved("w0", 0.0)])
     assert placed(7, False)  # behind the others, below the gate: as ever
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -136,7 +136,7 @@
 )
 def test_a_bad_script_is_one_line(text: str, says: str) -> None:
     """It names the file, the key and the cause."""
-    with pytest.raises(script.BadScript) as caught:
+    with pytest.raises(script.FaultScheduleError) as caught:
         script.read(text, "file.toml")
     assert str(caught.value).startswith("file.toml: ") and says in str(caught.value)
     assert "\n" not in str(caught.value)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,20 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Action, Dispatch, Fail, Reject
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsChanged,
+    Event,
+    ExecutionProgressed,
+    ExecutionStarted,
+    HealthCheckEnded,
+    RequestReceived,
+    TimerFired,
+)
+from merlinbay.decision.settings import DispatchLimits, Settings
 from tests.support import Checker, Decides, Seen, Sent, entry, settings
 
 WORKERS = 8
@@ -60,13 +73,13 @@
 
 def play(check: Checker, steps: list[tuple[str, int, int]]) -> None:
     """Turn drawn steps into legal events."""
-    check.give(api.ListChanged("remembered", [entry(n) for n in range(WORKERS)]))
+    check.give(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
     for what, pick, small in steps:
         if what == "job":
             cls = check.conf.classes[pick % len(check.conf.classes)]
             number = len(check.jobs) + 1
             check.give(
-                api.JobArrived(
+                RequestReceived(
                     number,
                     cls.name,
                     cls.deadline_us >> (small % 3),
@@ -80,20 +93,20 @@
                 continue
             number, job, i, sent = found
             if what == "start":
-                check.give(api.JobStarted(number, i))
+                check.give(ExecutionStarted(number, i))
             elif what == "progress":
-                check.give(api.JobProgress(number, i, 0.5))
+                check.give(ExecutionProgressed(number, i, 0.5))
             else:
                 outcome = (1, 1, 2, 3, 3, 5, 6, 7)[small]
                 check.give(
-                    api.AttemptEnded(
+                    AttemptEnded(
                         number,
                         i,
                         outcome,
                         check.now - sent.at,
                         job.over or outcome == 1,
                         REPORTS[pick % len(REPORTS)],
-                        sent.worker,
+                        sent.endpoint,
                     )
                 )
         elif what == "twice":  # several outcomes in one batch, with a withdrawal among them
@@ -101,30 +114,29 @@
             if found is not None:
                 number, job, i, sent = found
                 check.give(
-                    api.AttemptEnded(number, i, 3, 1000, job.over, None, sent.worker),
-                    *([] if job.over else [api.JobWithdrawn(number)]),
+                    AttemptEnded(number, i, 3, 1000, job.over, None, sent.endpoint),
+                    *([] if job.over else [ClientDisconnected(number)]),
                 )
         elif what == "probe":
             report: list[object] | None = REPORTS[small] if pick % 2 else [small, float(pick % 4)]
-            check.give(api.ProbeEnded(f"w{pick % WORKERS}", (1, 1, 1, 4)[small % 4], 900, report))
+            check.give(HealthCheckEnded(f"w{pick % WORKERS}", (1, 1, 1, 4)[small % 4], 900, report))
         elif what == "time":
             check.pass_time((small + 1) * (small + 1) * 20_000)
         elif what == "list":
             state = ("up", "up", "draining", "removed", "up", "up", "draining", "up")[small]
             ready = check.now - 100_000 if small >= 4 else 0
-            check.give(api.ListChanged("changes", [entry(pick % WORKERS, state, ready)]))
+            check.give(EndpointsChanged("changes", [entry(pick % WORKERS, state, ready)]))
         elif what == "full_list":
-            check.give(api.ListChanged("all", [entry(n) for n in range(WORKERS) if pick >> n & 1]))
+            check.give(EndpointsChanged("all", [entry(n) for n in range(WORKERS) if pick >> n & 1]))
         elif what == "gone":
             live = [n for n, job in check.jobs.items() if not job.over]
             check.give(
-                *([api.JobWithdrawn(live[pick % len(live)])] if live else []),
-                api.JobWithdrawn(10**6),
-                api.JobStarted(10**6, 0),
-                api.AttemptEnded(10**6, 3, 1, 5),
-                api.TimerFired("unknown"),
-                api.PeerMessage(1, b"?"),
-                api.ProbeEnded("nobody", 1, 5),
+                *([ClientDisconnected(live[pick % len(live)])] if live else []),
+                ClientDisconnected(10**6),
+                ExecutionStarted(10**6, 0),
+                AttemptEnded(10**6, 3, 1, 5),
+                TimerFired("unknown"),
+                HealthCheckEnded("nobody", 1, 5),
             )
     check.finish()
 
@@ -132,9 +144,9 @@
 @pytest.mark.parametrize(
     "limits",
     [
-        api.Limits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
-        api.Limits(cancelling=False, second_copies=False, send_cap=2),
-        api.Limits(cancelling=True, second_copies=True, send_cap=3, probes=True),
+        DispatchLimits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
+        DispatchLimits(cancelling=False, second_copies=False, send_cap=2),
+        DispatchLimits(cancelling=True, second_copies=True, send_cap=3, probes=True),
     ],
 )
 @pytest.mark.parametrize("group", ["all", "zone", "cell"])
@@ -142,7 +154,7 @@
     derandomize=True, deadline=None, max_examples=60, database=None, suppress_health_check=list(HealthCheck)
 )
 @given(steps=st.lists(STEP, max_size=60))
-def test_rules_hold(limits: api.Limits, group: str, steps: list[tuple[str, int, int]]) -> None:
+def test_rules_hold(limits: DispatchLimits, group: str, steps: list[tuple[str, int, int]]) -> None:
     """No drawn sequence of events makes the module break a rule."""
     conf = settings(limits=limits, asks_first=limits.probes, tells_start=not limits.probes)
     conf.classes[1].group = group
@@ -154,30 +166,30 @@
 class Wrong:
     """A balancer with a fault put in: rewrites what the real one answers."""
 
-    def __init__(self, conf: api.Settings, change: Callable[[api.Action], list[api.Action]]) -> None:
+    def __init__(self, conf: Settings, change: Callable[[Action], list[Action]]) -> None:
         self.real, self.change = Balancer(conf, 1, 1_000_000), change
 
-    def handle(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Answer wrongly."""
         return [new for action in self.real.handle(now_us, events) for new in self.change(action)]
 
 
-def started(conf: api.Settings, balancer: Decides) -> Checker:
-    """Return a checker whose balancer knows the workers."""
+def started(conf: Settings, balancer: Decides) -> Checker:
+    """Return a checker whose balancer knows the endpoints."""
     check = Checker(conf, balancer)
-    check.give(api.ListChanged("remembered", [entry(n) for n in range(WORKERS)]))
+    check.give(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
     return check
 
 
 def test_checker_sees_lost_requests() -> None:
     """Rule 1: a request that is refused to nobody is noticed, and so is a second answer."""
     conf = settings()
-    check = started(conf, Wrong(conf, lambda a: [] if isinstance(a, (api.Fail, api.Refuse)) else [a]))
-    check.give(api.JobArrived(1, "unsafe", 1_000_000))
+    check = started(conf, Wrong(conf, lambda a: [] if isinstance(a, (Fail, Reject)) else [a]))
+    check.give(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
     assert any(text.startswith("1: 0 answers") for text in check.broken)
-    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, (api.Fail, api.Refuse)) else [a]))
-    check.give(api.JobArrived(1, "unsafe", 1_000_000))
+    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, (Fail, Reject)) else [a]))
+    check.give(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
     assert "1: answered twice" in check.broken
 
@@ -185,47 +197,47 @@
 def test_checker_sees_repeated_effects() -> None:
     """Rule 2: an unsafe job refused, or sent again, after it may have run is noticed."""
     conf = settings()
-    check = started(conf, Wrong(conf, lambda a: [api.Refuse(a.id)] if isinstance(a, api.Fail) else [a]))
-    check.give(api.JobArrived(1, "unsafe", 1_000_000))
+    check = started(conf, Wrong(conf, lambda a: [Reject(a.id)] if isinstance(a, Fail) else [a]))
+    check.give(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
     assert "2: refused though it may have run" in check.broken
-    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, api.Place) else [a]))
-    check.give(api.JobArrived(1, "unsafe", 1_000_000))
+    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, Dispatch) else [a]))
+    check.give(RequestReceived(1, "unsafe", 1_000_000))
     assert "2: once sent again" in check.broken
 
 
 def test_checker_sees_broken_drains() -> None:
-    """Rule 3: a send to a worker long after its drain was told is noticed."""
+    """Rule 3: a send to an endpoint long after its drain was told is noticed."""
     conf = settings()
-    wrong = Wrong(conf, lambda a: [api.Place(a.id, "w0")] if isinstance(a, api.Place) else [a])
+    wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Dispatch) else [a])
     check = started(conf, wrong)
-    check.give(api.ListChanged("changes", [entry(0, "draining")]))
+    check.give(EndpointsChanged("changes", [entry(0, "draining")]))
     check.pass_time(300_000)
-    check.give(api.JobArrived(1, "safe", 1_000_000))
+    check.give(RequestReceived(1, "safe", 1_000_000))
     assert "3: sent to a drained worker" in check.broken
 
 
-def cold_burst(balancer: Decides, conf: api.Settings) -> Checker:
-    """Send many jobs while every worker has just started."""
+def cold_burst(balancer: Decides, conf: Settings) -> Checker:
+    """Send many jobs while every endpoint has just started."""
     check = Checker(conf, balancer)
-    check.give(api.ListChanged("all", [entry(n, "up", check.now) for n in range(2)]))
+    check.give(EndpointsChanged("all", [entry(n, "up", check.now) for n in range(2)]))
     for number in range(300):
         check.pass_time(20_000)
-        check.give(api.JobArrived(number, "safe", 5_000_000))
+        check.give(RequestReceived(number, "safe", 5_000_000))
         found = choose_open(check, 0)
         if found is not None:
-            check.give(api.AttemptEnded(found[0], found[2], 1, 100_000, True, [1, 3], found[3].worker))
+            check.give(AttemptEnded(found[0], found[2], 1, 100_000, True, [1, 3], found[3].endpoint))
     return check
 
 
 def test_cold_budget() -> None:
-    """Rule 4: all workers restart at once under load; the sliding budget is kept, and yet they are used."""
+    """Rule 4: all endpoints restart at once under load; the sliding budget is kept, and yet they are used."""
     conf = settings(balancers=40)
     check = cold_burst(Balancer(conf, 1, 1_000_000), conf)
     check.check_cold(slots=3, run_us=100_000)
     assert check.broken == []
     assert sum(len(sends) for sends in check.cold_sends.values()) >= 2
-    wrong = Wrong(conf, lambda a: [api.Place(a.id, "w0")] if isinstance(a, api.Refuse) else [a])
+    wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Reject) else [a])
     check = cold_burst(wrong, conf)
     check.check_cold(slots=3, run_us=100_000)
     assert "4: cold budget passed" in check.broken
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -55,7 +55,7 @@
 )
 def test_a_bad_plan_is_one_line_with_file_key_and_cause(text: str, cause: str) -> None:
     """Whatever is wrong with it."""
-    with pytest.raises(plan.BadPlan) as caught:
+    with pytest.raises(plan.ScalePlanError) as caught:
         plan.read(text, "some.toml", NAMES)
     said = str(caught.value)
     assert said.startswith("some.toml: ") and cause in said and len(said.splitlines()) == 1
@@ -64,7 +64,9 @@
 def test_the_librarys_plans_can_be_read_and_a_missing_one_is_named() -> None:
     """Those that come with the program."""
     assert {plan.load(name, NAMES).name for name in plan.library()} == set(plan.library())
-    with pytest.raises(plan.BadPlan, match="nowhere.toml: No such file or directory; in the library: "):
+    with pytest.raises(
+        plan.ScalePlanError, match="nowhere.toml: No such file or directory; in the library: "
+    ):
         plan.load("nowhere.toml", NAMES)
 
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,17 @@
 
 import pytest
 
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import LogNotice
+from merlinbay.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointsChanged,
+    ExecutionStarted,
+    RequestReceived,
+)
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.site_settings import settings_from
 from tests.support import Checker
 
@@ -77,33 +87,33 @@
     """Jobs of all classes, any outcome in any order, lists that change, clients that leave."""
     conf, rng = settings_from(conf_of(path, ask)), Random(seed)
     check = Checker(conf, Balancer(conf, seed, 1_000_000))
-    rows = [api.WorkerEntry(f"w{n}", conf.zone, conf.kinds[n % len(conf.kinds)], n // 3) for n in range(9)]
-    check.give(api.ListChanged("all", rows))
-    outcomes = [outcome for outcome in api.Outcome if outcome is not api.Outcome.MOOT]
+    rows = [EndpointEntry(f"w{n}", conf.zone, conf.kinds[n % len(conf.kinds)], n // 3) for n in range(9)]
+    check.give(EndpointsChanged("all", rows))
+    outcomes = [outcome for outcome in Outcome if outcome is not Outcome.MOOT]
     quick = (0.2, 0.01)[seed % 2]  # what is slow outlasts the windows of repeats
     for number in range(400):
         check.pass_time(rng.randrange(1, 60_000))
         cls = rng.choice(conf.classes)
-        check.give(api.JobArrived(number, cls.name, rng.randrange(cls.deadline_us // 4, cls.deadline_us)))
+        check.give(RequestReceived(number, cls.name, rng.randrange(cls.deadline_us // 4, cls.deadline_us)))
         for job, seen in list(check.jobs.items()):
             for at, sent in enumerate(seen.attempts):
                 if not sent.outcome and rng.random() < quick:
                     if rng.random() < 0.4:
-                        check.give(api.JobStarted(job, at))
+                        check.give(ExecutionStarted(job, at))
                     else:
-                        outcome = api.Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
-                        final = seen.over or outcome == api.Outcome.OK
-                        check.give(api.AttemptEnded(job, at, outcome, 1000, final, None, sent.worker))
+                        outcome = Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
+                        final = seen.over or outcome == Outcome.OK
+                        check.give(AttemptEnded(job, at, outcome, 1000, final, None, sent.endpoint))
             if not seen.over and rng.random() < 0.01:
-                check.give(api.JobWithdrawn(job))
+                check.give(ClientDisconnected(job))
         if rng.random() < 0.1:
             row = rng.choice(rows)
             check.give(
-                api.ListChanged(
+                EndpointsChanged(
                     "changes",
                     [
-                        api.WorkerEntry(
-                            row.worker,
+                        EndpointEntry(
+                            row.endpoint,
                             row.zone,
                             row.kind,
                             row.cell,
@@ -115,7 +125,7 @@
                 )
             )
         if rng.random() < 0.05:
-            check.give(api.ListChanged("refused", [], check.now - 1_000_000))
+            check.give(EndpointsChanged("refused", [], check.now - 1_000_000))
     check.finish()
     assert check.broken == []
 
@@ -143,4 +153,4 @@
     doubts = [doubt] if doubt else []
     assert (found.classes[0].effect, found.doubts) == (effect, doubts)
     noted = Balancer(found, 1, 0).handle(0, [])
-    assert [action.text for action in noted if isinstance(action, api.Note)] == doubts
+    assert [action.text for action in noted if isinstance(action, LogNotice)] == doubts
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,10 +17,10 @@
 import trio
 
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine, Unstored
+from merlinbay.store.engine import Engine, StoreWriteError
 from merlinbay.store.health import FIRST_US, MOST_US, MOVES, Event, Health, State
-from merlinbay.store.log import Refused, StoreLog
-from merlinbay.store.records import START, Corrupt, Record, chain, verify
+from merlinbay.store.log import AppendRefusedError, StoreLog
+from merlinbay.store.records import START, CorruptLogError, Record, chain, verify
 
 ROOT = Path(__file__).parent.parent
 LOG = list(chain(START, 1, [b"one", b"two", b"two", b"four"]))
@@ -41,7 +41,7 @@
 def test_what_does_not_fit_is_found_at_its_record(records: list[Record], says: str) -> None:
     """Missing, doubled, altered, moved, of another log with the same bodies, of a version to come."""
     assert list(verify(START, 1, LOG)) == LOG
-    with pytest.raises(Corrupt, match=says):
+    with pytest.raises(CorruptLogError, match=says):
         list(verify(START, 1, records))
 
 
@@ -137,14 +137,14 @@
     places = [at for at in range(len(whole)) if whole[at : at + 6].isdigit()]
     for at in rng.sample(places, 10):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 64]) + whole[at + 1 :])
-        with pytest.raises(Corrupt):
+        with pytest.raises(CorruptLogError):
             found = Engine(path)
             try:
                 found.check()
             finally:
                 found.close()
     path.write_bytes(b"not a database, but long enough to be read as one" * 100)
-    with pytest.raises(Corrupt):
+    with pytest.raises(CorruptLogError):
         Engine(path)
 
 
@@ -154,7 +154,7 @@
     engine = Engine(tmp_path / "store")
     engine.append([b"before"])
     engine.db.execute(f"PRAGMA {pragma}")
-    with pytest.raises(Unstored):
+    with pytest.raises(StoreWriteError):
         engine.append([b"y" * 3000] * 30)
     assert engine.last == 1 and bodies(engine) == [b"before"]
     engine.db.execute("PRAGMA max_page_count = 100000")
@@ -168,7 +168,7 @@
     engine = Engine(tmp_path / "store")
     engine.append([b"a"] * 3)
     alter(tmp_path / "store", "INSERT INTO records VALUES (5, 1, x'00', x'00')")
-    with pytest.raises(Unstored, match="UNIQUE"):
+    with pytest.raises(StoreWriteError, match="UNIQUE"):
         engine.append([b"b"] * 3)
     assert engine.db.execute("SELECT number FROM records").fetchall() == [(1,), (2,), (3,), (5,)]
     assert engine.db.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL: what no kill can show
@@ -197,14 +197,14 @@
         await trio.sleep(0.05)
 
 
-async def many(log: StoreLog, count: int, size: int = 20) -> list[int | Refused]:
+async def many(log: StoreLog, count: int, size: int = 20) -> list[int | AppendRefusedError]:
     """Append side by side; return each one's number, or why not."""
-    found: list[int | Refused] = []
+    found: list[int | AppendRefusedError] = []
 
     async def one() -> None:
         try:
             found.append(await log.append(b"r" * size))
-        except Refused as error:
+        except AppendRefusedError as error:
             found.append(error)
 
     async with trio.open_nursery() as nursery:
@@ -237,8 +237,8 @@
         taken = [one for one in await many(log, 5, 3000) if isinstance(one, int)]
         refused = await many(log, 200, 3000)
         assert len(taken) == 5
-        assert all(isinstance(one, Refused) and one.retry_after_us >= FIRST_US for one in refused)
-        with pytest.raises(Refused, match="the store is (failed|looking)"):
+        assert all(isinstance(one, AppendRefusedError) and one.retry_after_us >= FIRST_US for one in refused)
+        with pytest.raises(AppendRefusedError, match="the store is (failed|looking)"):
             await log.append(b"meanwhile")
         await trio.sleep(FIRST_US / 1e6 + 0.2)
         assert log.health.state is not State.OPEN  # it was looked at, and there is no room yet
@@ -258,15 +258,15 @@
         def append(self, bodies: list[bytes]) -> int:
             if broken[0]:
                 alter(path, "DELETE FROM records WHERE number = 3")
-                raise Unstored("disk I/O error")
+                raise StoreWriteError("disk I/O error")
             return super().append(bodies)
 
     async def scene(log: StoreLog) -> None:
         await many(log, 3)
         broken[0] = True
-        assert isinstance((await many(log, 1))[0], Refused)
+        assert isinstance((await many(log, 1))[0], AppendRefusedError)
         await until(log, State.CORRUPT)
-        with pytest.raises(Refused, match="corrupt: it ends at record 2; 3 were promised"):
+        with pytest.raises(AppendRefusedError, match="corrupt: it ends at record 2; 3 were promised"):
             await log.append(b"more")
 
     with_log(path, scene, Failing)
@@ -284,14 +284,14 @@
             if broken[0]:
                 broken[0] = False
                 self.last, self.checksum = LOG[0].number, self.first
-                raise Unstored("disk I/O error")
+                raise StoreWriteError("disk I/O error")
             self.first = self.checksum
             return number
 
     async def scene(log: StoreLog) -> None:
         assert await log.append(b"one") == 1
         broken[0] = True
-        assert all(isinstance(one, Refused) for one in await many(log, 4))
+        assert all(isinstance(one, AppendRefusedError) for one in await many(log, 4))
         await until(log, State.OPEN)
         assert await log.append(b"two") == 2
         assert bodies(log.engine) == [b"one", b"two"]
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -47,4 +47,4 @@
 
 def test_interface_is_named_at_the_top() -> None:
     """A reader finds the interface at once."""
-    assert "merlinbay/decision/api.py" in RULES.read_text().splitlines()[0]
+    assert "``settings.py``, ``events.py`` and ``actions.py``" in RULES.read_text().splitlines()[0]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,21 +12,23 @@
 import trio
 
 from merlinbay.clock import Clock
-from merlinbay.core.ports import ServiceEntry
+from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.api import CallFailure
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import CallFailure, EndpointsChanged, RequestReceived
+from merlinbay.decision.settings import SafetyMargins
 from merlinbay.handover.takeover import Takeover
 from merlinbay.http.client import (
     ClientConnection,
-    ConnectionBroken,
-    ConnectionRefused,
-    LocalShortage,
-    NotSent,
+    ConnectionBrokenError,
+    ConnectRefusedError,
+    LocalResourceError,
+    RequestNotSentError,
 )
 from merlinbay.http.sockets import TRIO_SOCKET
 from merlinbay.log import Log
-from merlinbay.platform.discovery import Unexpected, failure_of
+from merlinbay.platform.discovery import UnexpectedStatusError, failure_of
 from merlinbay.platform.start_times import StartTimes
 from tests.net import LIMITS, play, stage
 from tests.support import entry, settings
@@ -89,7 +91,7 @@
                 setsockopt(sock, *args)
 
             with patch.object(TRIO_SOCKET, "setsockopt", shim):
-                with pytest.raises(ConnectionBroken):
+                with pytest.raises(ConnectionBrokenError):
                     await at.call("GET", "/-/ready")
                 assert ended and (await at.admit("j")).status == 200
 
@@ -116,23 +118,25 @@
 @pytest.mark.parametrize(
     ("number", "kind", "failure"),
     [
-        (errno.EADDRNOTAVAIL, LocalShortage, CallFailure.BROKEN),
-        (errno.ENOBUFS, LocalShortage, CallFailure.BROKEN),
-        (errno.ENFILE, LocalShortage, CallFailure.BROKEN),
-        (errno.ECONNREFUSED, ConnectionRefused, CallFailure.UNREACHABLE),
-        (errno.ENETUNREACH, ConnectionRefused, CallFailure.UNREACHABLE),
-        (errno.EHOSTUNREACH, ConnectionRefused, CallFailure.UNREACHABLE),
-        (errno.ETIMEDOUT, ConnectionRefused, CallFailure.UNREACHABLE),
-        (errno.EACCES, NotSent, CallFailure.BROKEN),
+        (errno.EADDRNOTAVAIL, LocalResourceError, CallFailure.BROKEN),
+        (errno.ENOBUFS, LocalResourceError, CallFailure.BROKEN),
+        (errno.ENFILE, LocalResourceError, CallFailure.BROKEN),
+        (errno.ECONNREFUSED, ConnectRefusedError, CallFailure.UNREACHABLE),
+        (errno.ENETUNREACH, ConnectRefusedError, CallFailure.UNREACHABLE),
+        (errno.EHOSTUNREACH, ConnectRefusedError, CallFailure.UNREACHABLE),
+        (errno.ETIMEDOUT, ConnectRefusedError, CallFailure.UNREACHABLE),
+        (errno.EACCES, RequestNotSentError, CallFailure.BROKEN),
     ],
 )
-def test_what_a_failed_connect_says(number: int, kind: type[NotSent], failure: CallFailure) -> None:
+def test_what_a_failed_connect_says(
+    number: int, kind: type[RequestNotSentError], failure: CallFailure
+) -> None:
     """Only what lies with the other side, or the way to it, proves that it cannot be reached."""
 
     async def scene() -> None:
         with (
             patch.object(TRIO_SOCKET, "connect", failing(TRIO_SOCKET.connect, [number])),
-            pytest.raises(NotSent) as raised,
+            pytest.raises(RequestNotSentError) as raised,
         ):
             await ClientConnection.dial("127.0.0.2:9", LIMITS)
         assert type(raised.value) is kind and failure_of(raised.value) is failure
@@ -146,7 +150,7 @@
 )
 def test_only_discovery_s_own_word_says_that_it_is_down(status: int, failure: CallFailure) -> None:
     """Any other status may come from something else on the way."""
-    assert failure_of(Unexpected(status)) is failure
+    assert failure_of(UnexpectedStatusError(status)) is failure
 
 
 def test_a_server_is_not_left_out_for_what_this_machine_lacks(tmp_path: Path) -> None:
@@ -230,12 +234,12 @@
     failure: CallFailure, placed: bool
 ) -> None:
     """An agent that is silent has learned nothing; one that answers may have news."""
-    made = Balancer(settings(must_subscribe=False, safety=api.Safety(drain_grace_us=SECOND // 2)), 1, 0)
-    made.handle(0, [api.ListChanged("all", [entry(0)])])
+    made = Balancer(settings(must_subscribe=False, safety=SafetyMargins(drain_grace_us=SECOND // 2)), 1, 0)
+    made.handle(0, [EndpointsChanged("all", [entry(0)])])
     for now in range(10 * SECOND, 18 * SECOND, SECOND // 2):
-        made.handle(now, [api.ListChanged("refused", [], 9 * SECOND if now == 10 * SECOND else -1, failure)])
-    actions = made.handle(18 * SECOND, [api.JobArrived(1, "safe", 10 * SECOND)])
-    assert any(isinstance(action, api.Place) for action in actions) == placed
-    made.handle(18 * SECOND, [api.ListChanged("changes", [])])
-    actions = made.handle(18 * SECOND, [api.JobArrived(2, "safe", 10 * SECOND)])
-    assert any(isinstance(action, api.Place) for action in actions)
+        made.handle(now, [EndpointsChanged("refused", [], 9 * SECOND if now == 10 * SECOND else -1, failure)])
+    actions = made.handle(18 * SECOND, [RequestReceived(1, "safe", 10 * SECOND)])
+    assert any(isinstance(action, Dispatch) for action in actions) == placed
+    made.handle(18 * SECOND, [EndpointsChanged("changes", [])])
+    actions = made.handle(18 * SECOND, [RequestReceived(2, "safe", 10 * SECOND)])
+    assert any(isinstance(action, Dispatch) for action in actions)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -11,9 +11,11 @@
 from hypothesis import strategies as st
 
 from bench import view as bench
-from merlinbay.core import ports
+from merlinbay.core.messages import BalancersChanged, Message
+from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
+from merlinbay.decision import Balancer
+from merlinbay.decision.events import BalancerCountChanged, EndpointsChanged
 from merlinbay.fleet import simulate, stories, walk, wire, wiring
 from merlinbay.fleet.effects import Event, Send
 from merlinbay.fleet.epochs import Epoch, Epochs, Kept
@@ -22,7 +24,7 @@
 from merlinbay.fleet.settings import Fleet, times
 from merlinbay.fleet.simulate import KEYS, Node, Simulation
 from merlinbay.fleet.view import View, fresh
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from tests import support
 
@@ -84,7 +86,7 @@
 )
 def test_what_is_not_ours_is_refused_and_named(data: bytes, why: str) -> None:
     """Garbage, another fleet's, another key's, an altered one, one of a version that is too old."""
-    with pytest.raises(wire.Refused, match=why):
+    with pytest.raises(wire.MessageRejectedError, match=why):
         wire.open_sealed(KEYS, "sim", data)
 
 
@@ -93,7 +95,7 @@
     old, new = wire.Keys((b"o" * 32, b"n" * 32)), wire.Keys((b"n" * 32, b"o" * 32))
     for ours, theirs in ((old, new), (new, old)):
         assert wire.open_sealed(theirs, "f", wire.seal(ours, "f", {"k": "news"})) == {"k": "news"}
-    with pytest.raises(wire.Refused, match="key"):
+    with pytest.raises(wire.MessageRejectedError, match="key"):
         wire.open_sealed(wire.Keys((b"n" * 32,)), "f", wire.seal(old, "f", {"k": "news"}))
 
 
@@ -131,7 +133,7 @@
     view.datagram(1.0, "10.0.0.2:1", data)
     try:
         view.frame(1.0, "10.0.0.2:1", data)
-    except wire.Refused as error:
+    except wire.MessageRejectedError as error:
         assert kind != "state" and str(error)
     view.exchanged(1.0, 1, data)
     view.tick(3.0)
@@ -325,9 +327,9 @@
     watch(accuser, Event(1.0, "died", "n2"))
     watch.harm(["n3"], sim.now, sim.now)
     watch(accuser, Event(1.0, "died", "n3"))
-    with pytest.raises(simulate.InvariantViolation, match="n0 was told that n1 died"):
+    with pytest.raises(simulate.InvariantViolationError, match="n0 was told that n1 died"):
         watch(accuser, harmless)
-    with pytest.raises(simulate.InvariantViolation, match="n1 suspected"):
+    with pytest.raises(simulate.InvariantViolationError, match="n1 suspected"):
         watch(accuser, Event(1.0, "suspected", "n1"))
 
 
@@ -481,10 +483,10 @@
 def test_the_module_scales_by_the_count_that_the_view_tells() -> None:
     """Told 40 at the start, and 10 by the view: what it holds counts for ten."""
     made = Balancer(support.settings(balancers=40), 1, 0)
-    made.handle(0, [api.ListChanged("all", [support.entry(0)])])
+    made.handle(0, [EndpointsChanged("all", [support.entry(0)])])
     made.mean_held = 1.0
     assert made.peers() == 39
-    made.handle(1, [api.BalancersCounted(10, 3)])
+    made.handle(1, [BalancerCountChanged(10, 3)])
     assert made.peers() == 9
     assert (made.calls.me, made.calls.fleet, made.settings.me) == (3, 10, 3)
 
@@ -493,10 +495,10 @@
     """Itself, two that came, one less when it drains, one less when it is dead; each change once."""
     (tmp_path / "keys").write_text("a2V5a2V5a2V5a2V5a2V5a2V5a2V5\n")
     section = Fleet(name="f", listen="127.0.0.1:1", keys=str(tmp_path / "keys"), data=str(tmp_path / "data"))
-    facts = ports.NodeFacts("a", ("127.0.0.1", 2), support.settings(), Limits())
+    facts = NodeIdentity("a", ("127.0.0.1", 2), support.settings(), ResourceLimits())
 
     async def scene() -> list[tuple[int, int]]:
-        send, receive = trio.open_memory_channel[ports.Message](9)
+        send, receive = trio.open_memory_channel[Message](9)
         parts = wiring.wire(section, facts, send, Counters(), Log(1))
         assert parts is not None and parts.view.me.incarnation == 1 << 16 and parts.view.me.disk
         news = [claim(), claim(draining=True, revision=1), Claim("c", ALIVE, 1), Claim("c", DEAD, 1)]
@@ -510,7 +512,7 @@
         counts = []
         while receive.statistics().current_buffer_used:
             message = receive.receive_nowait()
-            assert isinstance(message, ports.BalancersCounted)
+            assert isinstance(message, BalancersChanged)
             counts.append((message.count, message.me))
         again = wiring.FleetParts(section, facts, send, Counters(), Log(1))
         assert again.view.me.incarnation == 2 << 16 and again.view.me.disk == parts.view.me.disk
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -10,15 +10,16 @@
 
 from merlinbay.access.settings import Access
 from merlinbay.config import operator_file
-from merlinbay.core.ports import ServiceEntry
-from merlinbay.decision.api import JobClass, Outcome, Safety, Settings
+from merlinbay.core.values import ServiceEntry
+from merlinbay.decision.outcomes import Outcome
+from merlinbay.decision.settings import RequestClass, SafetyMargins, Settings
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
+from merlinbay.errors import ConfigurationError, address
 from merlinbay.http.client import Reply
 from merlinbay.limits import limits_from
 from merlinbay.platform import messages
 from merlinbay.platform.replies import OUTCOMES, JobReply, classify, settles
-from merlinbay.problems import BadConfig, address
 from tests.net import ROOT
 
 HEADERS = {
@@ -72,7 +73,7 @@
 def test_a_request_becomes_a_job(target: str, more: dict[str, str], expected: dict[str, Any] | None) -> None:
     """None: it is answered 400."""
     if expected is None:
-        with pytest.raises(messages.BadRequest):
+        with pytest.raises(messages.BadRequestError):
             messages.job_spec(target, {**HEADERS, **more}, b"", 7)
     else:
         spec = messages.job_spec(target, {**HEADERS, **more}, b"", 7)
@@ -175,7 +176,9 @@
 @pytest.mark.parametrize("sockets", [64, 256, 1024, 65536])
 def test_descriptors_are_divided(sockets: int) -> None:
     """Edge and servers leave some to the rest, and requests leave room for call-backs."""
-    settings = Settings([JobClass("admit", 1, 5_000_000)], safety=Safety(must_ask_in_us=10_000_000))
+    settings = Settings(
+        [RequestClass("admit", 1, 5_000_000)], safety=SafetyMargins(must_ask_in_us=10_000_000)
+    )
     limits = limits_from(sockets, 192, settings, 120_000, 10_000_000, 20_000)
     assert limits.edge_connections + limits.server_connections + 32 <= sockets
     assert 0 < limits.most_held < limits.edge_connections
@@ -212,6 +215,6 @@
     path = tmp_path / "operator.toml"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         operator_file(str(path))
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -11,16 +11,28 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from merlinbay.core import ports
-from merlinbay.core.owner import Owner
-from merlinbay.core.ports import Ending, ServerAttempt, ServiceEntry
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.dispatcher import Dispatcher
+from merlinbay.core.interfaces import ServerTransport
+from merlinbay.core.messages import (
+    AttemptControlled,
+    AttemptFinished,
+    AttemptRecalled,
+    AttemptStarted,
+    AttemptStatusUnknown,
+    AttemptSuspended,
+    EndpointListReceived,
+    Message,
+)
+from merlinbay.core.values import ExitDetails, ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision import Balancer, api
-from merlinbay.decision.api import NEVER_RAN, Outcome
+from merlinbay.decision import Balancer
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome
+from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.settings import Drmaa, NamedSession
 from merlinbay.http.connection import Request, Response
-from merlinbay.limits import Limits
+from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from tests.test_fuzz import FakeConnection, documented
 
@@ -58,7 +70,7 @@
         return at_us / 1e6
 
 
-class Servers(ports.ServerSide):
+class Servers(ServerTransport):
     """Schedulers that do nothing by themselves."""
 
     def __init__(self) -> None:
@@ -103,9 +115,9 @@
     """The owner's inbox: so much fits, and the rest waits in the front's outbox."""
 
     def __init__(self) -> None:
-        self.messages: list[ports.Message] = []
+        self.messages: list[Message] = []
 
-    def send_nowait(self, message: ports.Message) -> None:
+    def send_nowait(self, message: Message) -> None:
         """Take a message."""
         self.messages.append(message)
 
@@ -117,14 +129,14 @@
         super().__init__()
         self.clock, self.inbox, self.servers, counters = FakeClock(), Inbox(), Servers(), Counters()
         classes = [
-            api.JobClass("keyed", 300_000, 4 * SECOND, effect="by_key", group="cell", window_us=3 * SECOND),
-            api.JobClass("once", 300_000, 4 * SECOND, effect="once"),
+            RequestClass("keyed", 300_000, 4 * SECOND, effect="by_key", group="cell", window_us=3 * SECOND),
+            RequestClass("once", 300_000, 4 * SECOND, effect="once"),
         ]
-        conf = api.Settings(
+        conf = Settings(
             classes=classes,
             kinds=["k"],
             tells_start=True,
-            limits=api.Limits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
+            limits=DispatchLimits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
         )
         drmaa = Drmaa(
             front=True,
@@ -132,13 +144,13 @@
             finished=500,
             finished_keep=1000,
         )
-        limits = Limits(most_held=12)
+        limits = ResourceLimits(most_held=12)
         clock: Any = self.clock
         inbox: Any = self.inbox
         self.front = DrmaaFront(inbox, clock, limits, counters, Log(1), classes, drmaa, "n")
-        self.owner = Owner(Balancer(conf, 7, T0), clock, limits, counters, Log(1), self.servers, self)
+        self.owner = Dispatcher(Balancer(conf, 7, T0), clock, limits, counters, Log(1), self.servers, self)
         self.rows = [ServiceEntry(f"s-{n}", "", "", "k", n // 2) for n in range(4)]
-        self.owner.turn([ports.EntriesChanged("all", self.rows)])
+        self.owner.turn([EndpointListReceived("all", self.rows)])
         self.answers: list[tuple[FakeConnection, str]] = []  # of calls that wait
         self.finals: dict[str, str] = {}
         self.parallel: dict[str, int] = {}
@@ -250,7 +262,7 @@
 
     # Schedulers.
 
-    def tell(self, message: ports.Message) -> None:
+    def tell(self, message: Message) -> None:
         """Put a scheduler's news into the inbox."""
         self.inbox.send_nowait(message)
         self.turn()
@@ -267,12 +279,10 @@
                     if (name, server) in self.servers.open:
                         self.ran(attempt)
                     self.tell(
-                        ports.AttemptStarted(name, server)
-                        if news == "started"
-                        else ports.AttemptSuspended(name, server)
+                        AttemptStarted(name, server) if news == "started" else AttemptSuspended(name, server)
                     )
                 case "unseen" | "found":
-                    self.tell(ports.AttemptUnseen(name, server, news == "found"))
+                    self.tell(AttemptStatusUnknown(name, server, news == "found"))
                 case _:
                     outcome = {
                         "done": Outcome.OK,
@@ -284,12 +294,12 @@
                     if outcome not in NEVER_RAN and (name, server) in self.servers.open:
                         self.ran(attempt)
                     self.tell(
-                        ports.AttemptFinished(
+                        AttemptFinished(
                             name,
                             server,
                             outcome,
                             unfit=news == "exit",
-                            ending=Ending(3) if news == "exit" else None,
+                            ending=ExitDetails(3) if news == "exit" else None,
                         )
                     )
 
@@ -309,11 +319,11 @@
         if self.servers.recalls:
             attempt = self.servers.recalls.pop(0)
             done = yes and not attempt.started
-            self.tell(ports.AttemptRecalled(attempt.spec.name, attempt.server, done))
+            self.tell(AttemptRecalled(attempt.spec.name, attempt.server, done))
         else:
             attempt, action = self.servers.controls.pop(0)
             self.tell(
-                ports.AttemptControlled(
+                AttemptControlled(
                     attempt.spec.name,
                     attempt.server,
                     action,
@@ -326,7 +336,7 @@
     def change_list(self, data: st.DataObject, state: str) -> None:
         """Let a scheduler drain, or come back."""
         row = data.draw(st.sampled_from(self.rows))
-        self.tell(ports.EntriesChanged("changes", [ServiceEntry(row.server, "", "", "k", row.cell, state)]))
+        self.tell(EndpointListReceived("changes", [ServiceEntry(row.server, "", "", "k", row.cell, state)]))
 
     @rule(by=st.integers(1, 3 * SECOND))
     def pass_time(self, by: int) -> None:
@@ -358,9 +368,9 @@
                 has_request = job.stage.value in ("offered", "placed")
                 assert has_request == (job in self.front.edges)
                 if has_request:
-                    edge = self.front.edges[job]
-                    request = self.owner.requests.by_name.get(edge.name)
-                    assert request is not None and request.edge is edge and not request.done
+                    responder = self.front.edges[job]
+                    request = self.owner.requests.by_name.get(responder.name)
+                    assert request is not None and request.responder is responder and not request.done
                     if job.array is not None:
                         out[job.array.id] += 1
         for array_id, most in self.parallel.items():
