--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -30,10 +30,10 @@
 from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import listening, templates
 from merlinbay.drmaa.answers import Call, failure
-from merlinbay.drmaa.calls import DEFAULT, Calls
 from merlinbay.drmaa.incoming_call import IncomingCall
 from merlinbay.drmaa.job_client import JobClient
 from merlinbay.drmaa.reserving import Reserving
+from merlinbay.drmaa.session_calls import DEFAULT, SessionCalls
 from merlinbay.drmaa.settings import Drmaa
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.limits import ResourceLimits
@@ -83,7 +83,7 @@
                 settings.reservations, self.engine.timers, self.post, self._reservation, clock.now_us
             )
             self.engine.watcher = self
-        self.calls = Calls(self)
+        self.calls = SessionCalls(self)
         now = clock.now_us()
         self.engine.create(DEFAULT, "", settings.default.allowance(), settings.default.waits(), now)
         for session in settings.session:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Every file and folder that a page names exists, so that a reader at night is not sent to one that is gone."""
+"""Every file and folder that a page names exists: a reader at night is not sent to one that is gone."""
 
 from __future__ import annotations
 
