--- a/merlinbay/batch/queue.py
+++ b/merlinbay/batch/queue.py
@@ -245,51 +245,67 @@
         retry_after_us: int = 0,
         output: bytes = b"",
     ) -> None:
-        """Reach the final state. The table has no way on from it, so this is done once."""
-        if job.timer is not None:
-            self.timers.cancel(job.timer)
-            job.timer = None
-        self._unqueue(job)
-        array, session = job.array, job.session
-        if job.stage in (Stage.OFFERED, Stage.PLACED) and session.backlog is not None:
-            used = max(now_us - job.running_us, 0) / 1e6 if job.running_us else 0.0
-            if event is Event.FINISH and job.running_us:
-                self.pace.learn(job.job_class, used)
-            self._lane(job).charge(used * job.what.slots - job.booked)
-            if job.stage is Stage.OFFERED:
-                self.pace.settled(job.job_class)
-            if array is not None:
-                array.out -= 1
+        """Bring a job to its final state. The table has no transition from there, so this is done once."""
+        self._stop_waiting(job)
+        self._settle_offer(job, event, now_us)
         job.booked, job.stage, job.finished_us = 0.0, Stage.ENDED, now_us
         job.output, job.exception, job.annotation = output, exception, annotation
         job.retry_after_us = retry_after_us
         calls, submit_call = self._calls(job), job.submit_call
         job.submit_call = None
         self._move(job, event)
-        self.jobs -= 1
-        self.ends[job.state] += 1
-        self.ended += 1
-        if array is not None:
-            array.note_end(job.index, job.state)
-        last = array is None or not array.left
-        session.quota.give_back(1, job.what.size if last else 0, job.what.account, now_us)
+        is_last = self._count_end(job, now_us)
         for call in calls:
             self.reply(call, error=invalid_state(f"the job is {job.state.value}"))
-        if submit_call is not None:  # runJob itself raises; there is no job to ask for
-            del session.jobs[job.id]
-            self.reply(
-                submit_call, error=DrmaaError(exception or "InternalException", annotation, retry_after_us)
-            )
-        elif session.destroyed:
+        if submit_call is not None:
+            self._reject_submission(job, submit_call)
+        elif job.session.destroyed:
             self._drop(job)
         else:
             self._keep(job, now_us)
-        if array is not None:
-            array.back.pop(job, None)
-            if last:
-                self._array_ended(array, now_us)
+        if job.array is not None:
+            job.array.back.pop(job, None)
+            if is_last:
+                self._array_ended(job.array, now_us)
             else:
-                self._feed(array, now_us)
+                self._feed(job.array, now_us)
+
+    def _stop_waiting(self, job: Job) -> None:
+        """Cancel the job's timer and take it out of its lane."""
+        if job.timer is not None:
+            self.timers.cancel(job.timer)
+            job.timer = None
+        self._unqueue(job)
+
+    def _settle_offer(self, job: Job, event: Event, now_us: int) -> None:
+        """Charge the work of a job of the backlog that was offered or placed, in place of what was booked."""
+        if job.stage not in (Stage.OFFERED, Stage.PLACED) or job.session.backlog is None:
+            return
+        used_s = max(now_us - job.running_us, 0) / 1e6 if job.running_us else 0.0
+        if event is Event.FINISH and job.running_us:
+            self.pace.learn(job.job_class, used_s)
+        self._lane(job).charge(used_s * job.what.slots - job.booked)
+        if job.stage is Stage.OFFERED:
+            self.pace.settled(job.job_class)
+        if job.array is not None:
+            job.array.out -= 1
+
+    def _count_end(self, job: Job, now_us: int) -> bool:
+        """Count a job that has ended; return whether it was alone, or the last member of its array."""
+        self.jobs -= 1
+        self.ends[job.state] += 1
+        self.ended += 1
+        if job.array is not None:
+            job.array.note_end(job.index, job.state)
+        is_last = job.array is None or not job.array.left
+        job.session.quota.give_back(1, job.what.size if is_last else 0, job.what.account, now_us)
+        return is_last
+
+    def _reject_submission(self, job: Job, submit_call: object) -> None:
+        """Have ``runJob`` itself raise: there is no job to ask for."""
+        del job.session.jobs[job.id]
+        exception = job.exception or "InternalException"
+        self.reply(submit_call, error=DrmaaError(exception, job.annotation, job.retry_after_us))
 
     def _calls(self, job: Job) -> list[object]:
         """Take the calls that wait for something to come of the job."""
--- a/merlinbay/executor/child.py
+++ b/merlinbay/executor/child.py
@@ -60,50 +60,18 @@
 
     async def run(self) -> int:
         """Run to the end; return the status as ``subprocess`` has it. Raises ``ProcessStartError``."""
-        template = self.template
-        if template.workingDirectory:
-            self.folder = self._path(template.workingDirectory)
         with ExitStack() as files:
             try:
-                stdin = self._open(files, template.inputPath, "rb")
-                stdout = self._open(files, template.outputPath, "ab")
-                stderr = self._open(files, template.errorPath, "ab")
-                limits = [
-                    (RLIMITS[name], value)
-                    for name, value in template.resourceLimits.items()
-                    if name in RLIMITS
-                ]
-                self.process = process = await trio.lowlevel.open_process(
-                    [template.remoteCommand, *template.args],
-                    cwd=self.folder,
-                    start_new_session=True,
-                    env={
-                        **{name: os.environ[name] for name in PASSED_ON if name in os.environ},
-                        **template.jobEnvironment,
-                    },
-                    stdin=stdin or (subprocess.PIPE if template.payload else subprocess.DEVNULL),
-                    stdout=stdout or subprocess.PIPE,
-                    stderr=subprocess.STDOUT if template.joinFiles else stderr or subprocess.PIPE,
-                    preexec_fn=(lambda: set_limits(limits)) if limits else None,
-                )
+                self.process = process = await self._start(files)
             except (OSError, ValueError, subprocess.SubprocessError) as error:
                 raise ProcessStartError(str(error)) from None
             finally:
                 self.process_made.set()
         for number in self.early_signals:
             self.signal(number)
-        wall = template.resourceLimits.get("WALLCLOCK_TIME")
         async with trio.open_nursery() as nursery:
-            if process.stdin is not None:
-                nursery.start_soon(self._feed, process.stdin)
-            for stream, kept in ((process.stdout, self.output), (process.stderr, self.error)):
-                if stream is not None:
-                    nursery.start_soon(self._collect, stream, kept)
-            with trio.move_on_after(wall if wall is not None else float("inf")):
-                await process.wait()
-            if process.returncode is None:
-                self.signal(signal.SIGKILL)
-                await process.wait()
+            self._connect_pipes(process, nursery)
+            await self._wait_or_kill(process)
             # Guards against children of the child that hold the pipes open: the job has ended with it.
             self.signal(signal.SIGKILL)
             with trio.move_on_after(GRACE):
@@ -113,6 +81,46 @@
         assert process.returncode is not None
         return process.returncode
 
+    async def _start(self, files: ExitStack) -> trio.Process:
+        """Start the command in a session of its own, with its files, environment and limits."""
+        template = self.template
+        if template.workingDirectory:
+            self.folder = self._path(template.workingDirectory)
+        stdin = self._open(files, template.inputPath, "rb")
+        stdout = self._open(files, template.outputPath, "ab")
+        stderr = self._open(files, template.errorPath, "ab")
+        limits = [
+            (RLIMITS[name], value) for name, value in template.resourceLimits.items() if name in RLIMITS
+        ]
+        inherited = {name: os.environ[name] for name in PASSED_ON if name in os.environ}
+        return await trio.lowlevel.open_process(
+            [template.remoteCommand, *template.args],
+            cwd=self.folder,
+            start_new_session=True,
+            env={**inherited, **template.jobEnvironment},
+            stdin=stdin or (subprocess.PIPE if template.payload else subprocess.DEVNULL),
+            stdout=stdout or subprocess.PIPE,
+            stderr=subprocess.STDOUT if template.joinFiles else stderr or subprocess.PIPE,
+            preexec_fn=(lambda: set_limits(limits)) if limits else None,
+        )
+
+    def _connect_pipes(self, process: trio.Process, nursery: trio.Nursery) -> None:
+        """Feed the command's input and collect its output in tasks of their own."""
+        if process.stdin is not None:
+            nursery.start_soon(self._feed, process.stdin)
+        for stream, kept in ((process.stdout, self.output), (process.stderr, self.error)):
+            if stream is not None:
+                nursery.start_soon(self._collect, stream, kept)
+
+    async def _wait_or_kill(self, process: trio.Process) -> None:
+        """Wait for the command, for as long as its wall-clock limit allows."""
+        limit_s = self.template.resourceLimits.get("WALLCLOCK_TIME")
+        with trio.move_on_after(limit_s if limit_s is not None else float("inf")):
+            await process.wait()
+        if process.returncode is None:
+            self.signal(signal.SIGKILL)
+            await process.wait()
+
     def signal(self, number: int) -> None:
         """Send a signal to all of the job's processes, or keep it for them until they are there."""
         # Guards against a job that was suspended or ended while its process was being made, and ran on.
--- a/merlinbay/rig/run.py
+++ b/merlinbay/rig/run.py
@@ -172,48 +172,64 @@
                 await trio.sleep(STARVE_S)
 
     async def _do(self, step: Step) -> None:
+        """Carry out a step of the schedule. Raises ``StepFailedError`` where what must hold does not."""
         chosen = [self.processes[number] for number in step.nodes]
+        names = {process.name for process in chosen}
+        if step.do in ("kill", "leave", "term", "stop"):
+            await self._end(step.do, chosen)
+            self.wanted -= names
+        elif step.do in ("start", "restart"):
+            await self._restart(step, chosen)
+            self.wanted |= names
+        elif step.do == "cont":
+            for process in chosen:
+                process.signal(signal.SIGCONT)
+            self.wanted |= names
+        elif step.do in ("settled", "agree", "epoch", "force"):
+            await self._expect(step, chosen)
+        elif step.do in ("cut", "heal", "net", "reset", "replay"):
+            await self._disturb_links(step)
+        else:
+            self._disturb_processes(step, chosen)
+
+    async def _end(self, how: str, chosen: list[Process]) -> None:
+        """End processes, or stop them, one way or another."""
+        for process in chosen:
+            if how == "kill":
+                process.kill()
+            elif how == "leave":
+                await self.call(process, "POST", "leave")
+            else:
+                process.signal(signal.SIGTERM if how == "term" else signal.SIGSTOP)
+
+    async def _restart(self, step: Step, chosen: list[Process]) -> None:
+        """Kill and start processes, so many times with a pause between."""
+        for number in range(step.times):
+            await trio.sleep(step.every if number else 0)
+            for process in chosen:
+                process.kill()
+                process.start()
+
+    async def _expect(self, step: Step, chosen: list[Process]) -> None:
+        """Wait for what must come to hold."""
+        match step.do:
+            case "settled":
+                await self._settled(step)
+            case "agree":
+                await self._agree(step)
+            case "epoch":
+                await self._epoch(step)
+            case _:
+                await self._force_epoch(step, chosen[0])
+
+    async def _force_epoch(self, step: Step, process: Process) -> None:
+        lost = ",".join(f"n{number}" for number in step.to)
+        if await self.call(process, "POST", f"epoch?lose={lost}") is None:
+            raise StepFailedError(f"at {step.at:g} s, {process.name} does not force an epoch without {lost}")
+
+    async def _disturb_links(self, step: Step) -> None:
+        """Cut, heal or worsen links between processes."""
         match step.do:
-            case "kill":
-                for process in chosen:
-                    process.kill()
-                self.wanted -= {process.name for process in chosen}
-            case "start" | "restart":
-                for turn in range(step.times):
-                    await trio.sleep(step.every if turn else 0)
-                    for process in chosen:
-                        process.kill()
-                        process.start()
-                self.wanted |= {process.name for process in chosen}
-            case "stop" | "cont":
-                for process in chosen:
-                    process.signal(signal.SIGSTOP if step.do == "stop" else signal.SIGCONT)
-                names = {process.name for process in chosen}
-                self.wanted = self.wanted - names if step.do == "stop" else self.wanted | names
-            case "wipe":
-                for process in chosen:
-                    process.wipe()
-            case "starve":
-                for process in chosen:
-                    process.starved = step.by
-                    process.signal(signal.SIGCONT)
-            case "clock":
-                for process in chosen:
-                    process.clock = step.by
-            case "leave":
-                for process in chosen:
-                    await self.call(process, "POST", "leave")
-                self.wanted -= {process.name for process in chosen}
-            case "term":
-                for process in chosen:
-                    process.signal(signal.SIGTERM)
-                self.wanted -= {process.name for process in chosen}
-            case "force":
-                lost = ",".join(f"n{number}" for number in step.to)
-                if await self.call(chosen[0], "POST", f"epoch?lose={lost}") is None:
-                    raise StepFailedError(
-                        f"at {step.at:g} s, {chosen[0].name} does not force an epoch without {lost}"
-                    )
             case "cut":
                 to = step.to or [number for number in range(self.script.nodes) if number not in step.nodes]
                 found = {(a, b) for a in step.nodes for b in to}
@@ -224,6 +240,22 @@
                 self.proxies.net = step.net or self.script.net
             case "reset":
                 self.proxies.reset()
+            case _:
+                await self.proxies.replay()
+
+    def _disturb_processes(self, step: Step, chosen: list[Process]) -> None:
+        """Disturb processes that go on, or what they are told."""
+        match step.do:
+            case "wipe":
+                for process in chosen:
+                    process.wipe()
+            case "starve":
+                for process in chosen:
+                    process.starved = step.by
+                    process.signal(signal.SIGCONT)
+            case "clock":
+                for process in chosen:
+                    process.clock = step.by
             case "keys":
                 self.secrets = [self._secret(), self.secrets[0]] if step.by >= 0 else self.secrets[:1]
                 self._write_keys()
@@ -233,14 +265,6 @@
                 self._garbage()
             case "lie":
                 self._lie([process.name for process in chosen])
-            case "replay":
-                await self.proxies.replay()
-            case "settled":
-                await self._settled(step)
-            case "agree":
-                await self._agree(step)
-            case "epoch":
-                await self._epoch(step)
 
     def _garbage(self) -> None:
         """Send every node what no member would: noise, too much, and an old packet's shape."""
