--- a/merlinbay/cli/caller.py
+++ b/merlinbay/cli/caller.py
@@ -11,7 +11,7 @@
 import click
 
 from merlinbay.client.operations import Operations
-from merlinbay.client.policy import DrmaaRemote, MayHaveRun
+from merlinbay.client.policy import DrmaaRemoteError, MayHaveRunError
 from merlinbay.client.sync import Client
 
 # Documented in docs/CLI.md: what a command exits with.
@@ -41,7 +41,7 @@
         return Operations(self.session).path(*parts)
 
     def call(self, method: str, path: str, value: object = None, harmless: bool | None = None) -> Any:
-        """Have one call; return the answer's body. Raises ``DrmaaRemote`` and ``OSError``."""
+        """Have one call; return the answer's body. Raises ``DrmaaRemoteError`` and ``OSError``."""
         with self.client() as client:
             return client.call(method, path, value, harmless)
 
@@ -54,9 +54,9 @@
         click.echo(json.dumps(value, indent=2) if self.as_json else text)
 
 
-def end_with(error: DrmaaRemote | OSError) -> NoReturn:
+def end_with(error: DrmaaRemoteError | OSError) -> NoReturn:
     """Say what went wrong in one line, and exit with its code."""
-    if isinstance(error, MayHaveRun):
+    if isinstance(error, MayHaveRunError):
         click.echo(f"merlinbay: no answer came; it may have been carried out: {error}", err=True)
         sys.exit(UNREACHABLE)
     if isinstance(error, OSError):
--- a/merlinbay/cli/jobs.py
+++ b/merlinbay/cli/jobs.py
@@ -14,7 +14,7 @@
 
 from merlinbay.batch.states import State
 from merlinbay.cli.caller import DONE, JOB_FAILED, Caller, table
-from merlinbay.client.policy import DrmaaRemote
+from merlinbay.client.policy import DrmaaRemoteError
 
 F = TypeVar("F", bound=Callable[..., Any])
 STATES = [state.value for state in State]
@@ -216,12 +216,14 @@
     @click.pass_obj
     def act(caller: Caller, job_ids: tuple[str, ...], as_json: bool) -> None:
         caller.as_json = as_json
-        failed: DrmaaRemote | None = None
+        failed: DrmaaRemoteError | None = None
         for job_id in job_ids:
             try:
                 info = caller.call("POST", caller.path("jobs", job_id, verb))
                 caller.show(info, line(info))
-            except DrmaaRemote as error:  # the others are still done; the last error decides the exit code
+            except (
+                DrmaaRemoteError
+            ) as error:  # the others are still done; the last error decides the exit code
                 click.echo(f"{job_id}: {error.name}: {error}", err=True)
                 failed = error
         if failed is not None:
--- a/merlinbay/cli/main.py
+++ b/merlinbay/cli/main.py
@@ -12,7 +12,7 @@
 from click.shell_completion import get_completion_class
 
 from merlinbay.cli.caller import DONE, Caller, end_with
-from merlinbay.client.policy import DrmaaRemote
+from merlinbay.client.policy import DrmaaRemoteError
 
 EARLIER_NAMES = {"rehearse": "simulate", "rig": "inject-faults"}  # of commands; taken for one release more
 LOCAL = "http://127.0.0.1:8181"
@@ -25,7 +25,7 @@
         """Run a command."""
         try:
             return super().invoke(ctx)
-        except (DrmaaRemote, OSError) as error:
+        except (DrmaaRemoteError, OSError) as error:
             end_with(error)
 
 
--- a/merlinbay/client/operations.py
+++ b/merlinbay/client/operations.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from merlinbay.client.policy import DrmaaRemote, Fault, Policy, Trial
+from merlinbay.client.policy import DrmaaRemoteError, Fault, Policy, Trial
 from merlinbay.drmaa.schema import JobInfo, JobTemplate
 
 T = TypeVar("T")
@@ -114,7 +114,7 @@
 
         ``harmless``: it may be carried out twice; GET by default. ``within``: seconds in which refused and
         failed tries are repeated; None: refusals are raised, and a few failures of the network repeated.
-        Raises ``DrmaaRemote``, ``Unreachable`` and ``MayHaveRun``.
+        Raises ``DrmaaRemoteError``, ``UnreachableError`` and ``MayHaveRunError``.
         """
         body = None if value is None else msgspec.json.encode(value)
         trial = Trial(
@@ -135,7 +135,7 @@
                 found = {"message": got.body[:200].decode(errors="replace")}
             if 200 <= got.status < 300:
                 return found
-            error = DrmaaRemote(got.status, found if isinstance(found, dict) else {})
+            error = DrmaaRemoteError(got.status, found if isinstance(found, dict) else {})
             yield Sleep(trial.refused(error, self.clock()))
 
     # Jobs.
@@ -188,7 +188,7 @@
     def wait(self, job: str, started: bool = False, timeout: float | None = None) -> Doing[JobInfo]:
         """Wait for a job's start or end; a node that restarts meanwhile is asked again.
 
-        Raises ``DrmaaRemote`` (TimeoutException) when the time is over.
+        Raises ``DrmaaRemoteError`` (TimeoutException) when the time is over.
         """
         verb = "waitStarted" if started else "waitTerminated"
         return (yield from self._wait("GET", self.path("jobs", job, verb), None, timeout))
@@ -211,7 +211,7 @@
                     method, target, value, True, None if until is None else left + 1, left + SLACK
                 )
                 return msgspec.convert(found, JobInfo, strict=False)
-            except DrmaaRemote as error:
+            except DrmaaRemoteError as error:
                 # The end of one call of a longer wait, or too many calls that wait there just now.
                 over = until is not None and self.clock() >= until
                 if over or error.name not in ("TimeoutException", "TryLaterException"):
--- a/merlinbay/client/policy.py
+++ b/merlinbay/client/policy.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 
-class DrmaaRemote(Exception):
+class DrmaaRemoteError(Exception):
     """The front answered with one of the standard's exceptions."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
@@ -25,11 +25,11 @@
         self.retry_after = float(after) if isinstance(after, int | float) and after >= 0 else None
 
 
-class Unreachable(OSError):
+class UnreachableError(OSError):
     """The front could not be reached: the call was never sent."""
 
 
-class MayHaveRun(OSError):
+class MayHaveRunError(OSError):
     """The call was sent and its answer lost: it may have been carried out, and was not sent again."""
 
 
@@ -58,18 +58,21 @@
         self.faults = 0
 
     def fault(self, fault: Fault, text: str, now: float) -> float:
-        """Return how long to wait before the call is sent again. Raises ``Unreachable`` or ``MayHaveRun``."""
+        """Return how long to wait before the call is sent again.
+
+        Raises ``UnreachableError`` or ``MayHaveRunError``.
+        """
         if fault is Fault.LOST and not self.harmless:
-            raise MayHaveRun(text)
+            raise MayHaveRunError(text)
         self.faults += 1
         wait: float = min(self.policy.first * 2 ** min(self.faults - 1, 20), self.policy.most)
         wait *= self.rng.uniform(0.5, 1.0)  # clients of a node that restarted must not return in step
         over = self.faults >= self.policy.tries if self.until is None else now + wait >= self.until
         if over:
-            raise (Unreachable if fault is Fault.NOT_SENT else MayHaveRun)(text)
+            raise (UnreachableError if fault is Fault.NOT_SENT else MayHaveRunError)(text)
         return wait
 
-    def refused(self, error: DrmaaRemote, now: float) -> float:
+    def refused(self, error: DrmaaRemoteError, now: float) -> float:
         """Return how long to wait before a refused call is sent again. Raises the error itself."""
         # Only what says that it never ran: 503 with when to come back. An earlier answer of this call that
         # was lost binds all the same, and a harmless call may be repeated anyway.
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -15,7 +15,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from merlinbay.client import AsyncClient, Client, DrmaaRemote, JobTemplate, MayHaveRun, Policy, Unreachable
+from merlinbay.client import (
+    AsyncClient,
+    Client,
+    DrmaaRemoteError,
+    JobTemplate,
+    MayHaveRunError,
+    Policy,
+    UnreachableError,
+)
 from merlinbay.client.operations import Ask, Failed, Operations, Reply, Sleep
 from merlinbay.client.policy import Fault
 
@@ -54,7 +62,7 @@
 def test_a_submission_whose_answer_is_lost_is_not_sent_again() -> None:
     """Unless its class allows; what was never sent is, and a refusal is waited out as it says."""
     world = World(UNSENT, LATER, LOST, TAKEN)
-    with pytest.raises(MayHaveRun):
+    with pytest.raises(MayHaveRunError):
         world(world.operations.run_job(JOB, within=60))
     assert len(world.asked) == 3 and 2.0 <= world.slept[1] < 2.2
     world = World(UNSENT, LATER, LOST, TAKEN)
@@ -84,7 +92,7 @@
     if tries == 0:
         assert world(world.operations.call("POST", "/x", within=within)) == {"message": "not json"}
         return
-    with pytest.raises(DrmaaRemote):
+    with pytest.raises(DrmaaRemoteError):
         world(world.operations.call("POST", "/x", within=within))
     assert len(world.asked) == tries
 
@@ -92,12 +100,12 @@
 def test_the_network_is_tried_a_few_times_ever_later() -> None:
     """Without a time, five tries; with one, for so long."""
     world = World()
-    with pytest.raises(Unreachable):
+    with pytest.raises(UnreachableError):
         world(world.operations.job_info("j"))
     assert len(world.asked) == Policy().tries
     assert all(a < b * 4 for a, b in zip(world.slept, world.slept[1:], strict=False))
     world = World()
-    with pytest.raises(Unreachable):
+    with pytest.raises(UnreachableError):
         world(world.operations.job_info("j", within=20))
     assert 17 < world.now < 20 and max(world.slept) <= Policy().most
 
@@ -114,7 +122,7 @@
     world = World(*script)
     try:
         assert world(world.operations.run_job(JOB, within)) == "j"
-    except (DrmaaRemote, MayHaveRun, Unreachable):
+    except (DrmaaRemoteError, MayHaveRunError, UnreachableError):
         pass
     sent = script[: len(world.asked)]
     assert LOST not in sent[:-1] and TAKEN not in sent[:-1]
@@ -129,12 +137,12 @@
     assert world(world.operations.wait("j")).exitStatus == 0
     assert [ask.path for ask in world.asked] == ["/drmaa2/jobs/j/waitTerminated?timeout=25.000"] * 6
     world = World(*[Reply(404, b'{"exception":"InvalidArgumentException"}')])
-    with pytest.raises(DrmaaRemote) as found:
+    with pytest.raises(DrmaaRemoteError) as found:
         world(world.operations.wait("j", timeout=5))
     assert found.value.missing
     world = World(timeout)
     world.operations.clock = iter([0.0, 0.0, 0.0, 6.0, 6.0]).__next__
-    with pytest.raises(DrmaaRemote):
+    with pytest.raises(DrmaaRemoteError):
         world(world.operations.wait_any(["j", "k"], timeout=5))
     assert json.loads(world.asked[0].body or b"") == {"jobIds": ["j", "k"], "timeout": 5.0}
 
@@ -171,14 +179,14 @@
     """A connection that ends without an answer, one cut in the middle, and none at all."""
     for cut in (b"", answer(201, TAKEN.body)[:40], b"nonsense\r\n\r\n"):
         with bad_front(cut, cut, answer(201, TAKEN.body)) as (url, seen), Client(url, token="t") as client:
-            with pytest.raises(MayHaveRun):
+            with pytest.raises(MayHaveRunError):
                 client.run_job(JOB, within=5)
             assert len(seen) == 1 and b"authorization: Bearer t" in seen[0]
             assert client.run_job(JOB, within=5, may_repeat=True) == "j"
 
     async def scene(url: str) -> None:
         async with AsyncClient(url) as client:
-            with pytest.raises(MayHaveRun):
+            with pytest.raises(MayHaveRunError):
                 await client.run_job(JOB, within=5)
             info = await client.job_info("j")  # looking again is harmless
             assert (info.jobId, info.exitStatus) == ("j", 3)
@@ -187,5 +195,5 @@
         trio.run(scene, url)
     with socket.create_server(("127.0.0.1", 0)) as server:
         gone = f"http://127.0.0.1:{server.getsockname()[1]}"
-    with Client(gone, policy=Policy(tries=2)) as client, pytest.raises(Unreachable):
+    with Client(gone, policy=Policy(tries=2)) as client, pytest.raises(UnreachableError):
         client.run_job(JOB)
