--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
+from merlinbay.cli import local
+
 ROOT = Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
 SETTINGS: dict[str, Any] = {
-    "balancers": 1,
-    "me": 0,
+    **local.SETTINGS,
     "az": "z",
     "kinds": ["k"],
-    "discovery": "subscribe",
     "classes": [
         {
             "name": "batch",
@@ -32,22 +32,6 @@
             "windowUs": 7_500_000,
         }
     ],
-    "limits": {
-        "cancelling": True,
-        "secondCopies": False,
-        "sendCap": 5,
-        "retryAfter": True,
-        "maxRetryAfterUs": 500_000,
-    },
-    "extra": {"tellsStart": True},
-    "safety": {
-        "drainGraceUs": 500_000,
-        "coldFrom": 1.0,
-        "coldUs": 0,
-        "tipMultiple": 100.0,
-        "overloadForUs": 2_000_000,
-        "mustAskInUs": 10_000_000,
-    },
 }
 PLAIN = "[drmaa]\nfront = true\naccess.open = true\nservers = true\n"
 
