--- a/bench/store.py
+++ b/bench/store.py
@@ -17,23 +17,23 @@
 import trio
 
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine
+from merlinbay.store.engine import StorageEngine
 from merlinbay.store.log import StoreLog
 
 SECONDS = 1.5
 BODY = b"x" * 300
 
 
-class Memory(Engine):
+class Memory(StorageEngine):
     """Keeps records and writes nothing."""
 
     def append(self, bodies: list[bytes]) -> int:
         """Count them."""
-        self.last += len(bodies)
-        return self.last
+        self.last_number += len(bodies)
+        return self.last_number
 
 
-class Plain(Engine):
+class Plain(StorageEngine):
     """Writes groups to a file of its own, one fsync each: the least that any store on a disk can do."""
 
     def __init__(self, path: Path) -> None:
@@ -44,11 +44,11 @@
         """Write them."""
         self.file.write(b"".join(bodies))
         os.fsync(self.file.fileno())
-        self.last += len(bodies)
-        return self.last
+        self.last_number += len(bodies)
+        return self.last_number
 
 
-async def play(make: type[Engine], path: Path, writers: int) -> tuple[float, float, float]:
+async def play(make: type[StorageEngine], path: Path, writers: int) -> tuple[float, float, float]:
     """Return records a second, and the 50th and 99th percentile in milliseconds."""
     log, took = StoreLog(path, Log(1), make), list[float]()
 
@@ -74,19 +74,19 @@
         rows: dict[tuple[str, int], list[tuple[float, float, float]]] = {}
         for turn in range(3):
             for writers in (1, 16, 256):
-                for make in (Memory, Engine, Plain):
+                for make in (Memory, StorageEngine, Plain):
                     path = Path(folder) / f"{make.__name__}-{writers}-{turn}"
                     rows.setdefault((make.__name__, writers), []).append(trio.run(play, make, path, writers))
         print("| | writers | records/s | 50 % ms | 99 % ms |\n| --- | --- | --- | --- | --- |")
         for (name, writers), found in rows.items():
             rate, half, most = (median(values) for values in zip(*found, strict=True))
             print(f"| {name} | {writers} | {rate:,.0f} | {half:.2f} | {most:.2f} |")
-        engine = Engine(Path(folder) / "large")
+        engine = StorageEngine(Path(folder) / "large")
         for _ in range(100):
             engine.append([BODY] * 1000)
         engine.close()
         began = time.perf_counter()
-        engine = Engine(Path(folder) / "large")
+        engine = StorageEngine(Path(folder) / "large")
         last = sum(1 for _ in engine.read())
         print(f"{last:,} records opened and read in {time.perf_counter() - began:.2f} s")
         engine.close()
--- a/merlinbay/cli/store.py
+++ b/merlinbay/cli/store.py
@@ -1,4 +1,4 @@
-"""``merlinbay store``: look at a store's file, copy it, put a copy in its place, make it smaller."""
+"""``merlinbay store``: verify, dump, back up, restore and compact a store's file."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from merlinbay.cli.caller import JOB_FAILED, OTHER, UNKNOWN
 
 if TYPE_CHECKING:
-    from merlinbay.store.engine import Engine
+    from merlinbay.store.engine import StorageEngine
 
 FILE = click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 
 
 @contextmanager
-def opened(file: Path) -> Iterator[Engine]:
-    """Open a file that is there; end with one line where that fails, or where it is not as written."""
-    from merlinbay.store.engine import Engine, StoreWriteError
+def opened(file: Path) -> Iterator[StorageEngine]:
+    """Open an existing file; exit with one line if that fails or the file is corrupt."""
+    from merlinbay.store.engine import StorageEngine, StoreWriteError
     from merlinbay.store.records import CorruptLogError
 
     if not file.exists():
         click.echo(f"merlinbay: {file}: no such file", err=True)
         sys.exit(UNKNOWN)
     try:
-        engine = Engine(file)
+        engine = StorageEngine(file)
         try:
             yield engine
         finally:
@@ -52,7 +52,7 @@
 def check(file: Path) -> None:
     """Read all of it: every record and snapshot as it was written, none missing. Exit 3: not so."""
     with opened(file) as engine:
-        first, last = engine.check()
+        first, last = engine.verify()
         click.echo(
             f"records {first} to {last}, snapshots at "
             f"{', '.join(str(one.number) for one in engine.snapshots()) or 'none'}: all as written"
@@ -65,7 +65,7 @@
 def dump(file: Path, after: int) -> None:
     """Print the records, a line of JSON each."""
     with opened(file) as engine:
-        first, _ = engine.check()
+        first, _ = engine.verify()
         base = {one.number: one.checksum for one in engine.snapshots()}
         for record in engine.read(first - 1, base.get(first - 1, 0)):
             if record.number > after:
@@ -88,7 +88,7 @@
     with opened(file) as engine:
         engine.backup(to)
     with opened(to) as copy:
-        click.echo(f"{to}: records to {copy.check()[1]}")
+        click.echo(f"{to}: records to {copy.verify()[1]}")
 
 
 @store.command()
@@ -100,7 +100,7 @@
         click.echo(f"merlinbay: {file} is there; move it away first", err=True)
         sys.exit(OTHER)
     with opened(copy) as engine:
-        last = engine.check()[1]
+        last = engine.verify()[1]
         engine.backup(file)
     click.echo(f"{file}: records to {last}")
 
@@ -110,7 +110,7 @@
 def compact(file: Path) -> None:
     """Drop the records that two snapshots hold."""
     with opened(file) as engine:
-        engine.check()
+        engine.verify()
         before = file.stat().st_size
         dropped = engine.compact()
     click.echo(f"{dropped} records dropped, {before - file.stat().st_size:,} bytes")
--- a/merlinbay/control_service/durable_log.py
+++ b/merlinbay/control_service/durable_log.py
@@ -15,11 +15,10 @@
 
 from merlinbay.control.effects import Persist
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine, StoreWriteError
-from merlinbay.store.health import State
-from merlinbay.store.log import AppendRefusedError, StoreLog
-from merlinbay.store.records import START as FIRST_CHECKSUM
-from merlinbay.store.records import CorruptLogError
+from merlinbay.store.engine import StorageEngine, StoreWriteError
+from merlinbay.store.health import StoreState
+from merlinbay.store.log import AppendRejectedError, StoreLog
+from merlinbay.store.records import INITIAL_CHECKSUM, CorruptLogError
 
 RECOVERY_LOOK_S = 0.05  # between looks whether the store has recovered
 
@@ -42,7 +41,9 @@
 class DurableLog:
     """The log of one voter. ``run`` has to be running for ``append`` to return."""
 
-    def __init__(self, path: Path, log: Log, make_engine: Callable[[Path], Engine] = Engine) -> None:
+    def __init__(
+        self, path: Path, log: Log, make_engine: Callable[[Path], StorageEngine] = StorageEngine
+    ) -> None:
         """Open or create the file. Raises ``NotDurableError``, ``CorruptLogError``."""
         try:
             self._store = StoreLog(path, log, make_engine)
@@ -54,7 +55,7 @@
     def failure(self) -> str:
         """Return why the store takes nothing at present; empty: it does."""
         health = self._store.health
-        return "" if health.state is State.OPEN else f"{health.state.value}: {health.why}"
+        return "" if health.state is StoreState.OPEN else f"{health.state.value}: {health.cause}"
 
     async def run(self) -> None:
         """Write until cancelled."""
@@ -64,7 +65,7 @@
         """Return the voter's records in order, from the last one that replaced all before it."""
         snapshots = self._store.engine.snapshots()
         entries: list[Entry] = []
-        after, checksum = 0, FIRST_CHECKSUM
+        after, checksum = 0, INITIAL_CHECKSUM
         if snapshots:
             entries = _decode(snapshots[0].body)
             after, checksum = snapshots[0].number, snapshots[0].checksum
@@ -77,7 +78,7 @@
         entries = [Entry(one.record, one.replaces_all) for one in records]
         try:
             await self._store.append(_encode(entries))
-        except AppendRefusedError as error:
+        except AppendRejectedError as error:
             raise NotDurableError(str(error)) from None
         if any(entry.replaces_all for entry in entries):
             await self._compact(_without_replaced(entries))
@@ -86,7 +87,7 @@
         engine = self._store.engine
         try:
             with trio.CancelScope(shield=True):
-                await trio.to_thread.run_sync(partial(engine.snapshot, _encode(entries)))
+                await trio.to_thread.run_sync(partial(engine.write_snapshot, _encode(entries)))
                 await trio.to_thread.run_sync(engine.compact)
         except StoreWriteError as error:
             # The records themselves are stored: compaction is tried again with the next snapshot.
@@ -94,8 +95,8 @@
 
     async def recovered(self) -> bool:
         """Wait until the store takes records again; False: it never will, operators have to act."""
-        while self._store.health.state is not State.OPEN:
-            if self._store.health.state in (State.CORRUPT, State.CLOSED):
+        while self._store.health.state is not StoreState.OPEN:
+            if self._store.health.state in (StoreState.CORRUPT, StoreState.CLOSED):
                 return False
             await trio.sleep(RECOVERY_LOOK_S)
         return True
--- a/merlinbay/store/__init__.py
+++ b/merlinbay/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a node must not forget: a log of records with snapshots, on its disk."""
+"""A durable log of records with snapshots, in one SQLite file."""
--- a/merlinbay/store/engine.py
+++ b/merlinbay/store/engine.py
@@ -1,7 +1,7 @@
-"""The file: a log and its snapshots in SQLite. Blocking; ``log`` calls it in a thread of its own.
+"""A log and its snapshots in one SQLite file. Blocking: ``log`` calls it in a thread.
 
-One table of records, one of snapshots. Write-ahead log with ``synchronous=FULL``: a commit that returns is on
-the disk. Nothing is ever changed in place but by ``compact``, which drops what a snapshot holds.
+One table holds records, one snapshots. With a write-ahead log and ``synchronous=FULL``, a commit that
+returned is on the disk. Rows are never updated; ``compact`` deletes records that a snapshot covers.
 """
 
 from __future__ import annotations
@@ -13,8 +13,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from merlinbay.store.records import START, CorruptLogError, Record, chain, verify
-from merlinbay.store.records import checksum as own_of
+from merlinbay.store.records import (
+    INITIAL_CHECKSUM,
+    CorruptLogError,
+    LogRecord,
+    chain_records,
+    record_checksum,
+    verify_records,
+)
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS records (number INTEGER PRIMARY KEY, version INTEGER NOT NULL, body BLOB NOT NULL,
@@ -23,21 +29,21 @@
                                       own BLOB NOT NULL) STRICT;
 CREATE TABLE IF NOT EXISTS probe (body BLOB NOT NULL) STRICT;
 """
-FORMAT = 0x6D620001  # SQLite's user_version: another program's file, or a later format, is refused
-PART = 1000  # records read at a time
-PROBE = 256 * 1024  # bytes written to see whether there is room again
-KEPT = 2  # snapshots: the one before the last is there if the last cannot be read
+FILE_FORMAT = 0x6D620001  # SQLite's user_version; a file with another value is not opened
+READ_BATCH_RECORDS = 1000
+PROBE_BYTES = 256 * 1024  # written to find out whether there is space
+KEPT_SNAPSHOTS = 2  # the older one is used if the last cannot be read
 
 
 class StoreWriteError(Exception):
-    """Nothing of it is promised: it could not be written. The text says why."""
+    """A write failed, and nothing of it was acknowledged; the text is SQLite's."""
 
 
 @dataclass(frozen=True, slots=True)
-class Snapshot:
-    """The state after so many records."""
+class StoreSnapshot:
+    """The state that a prefix of the log leads to."""
 
-    number: int
+    number: int  # of the last record that the state includes
     checksum: int  # of that record
     body: bytes
 
@@ -46,16 +52,16 @@
     return checksum.to_bytes(8, "big")
 
 
-class Engine:
-    """One open file."""
+class StorageEngine:
+    """One open file; ``last_number`` and ``last_checksum`` are those of its last record."""
 
     def __init__(self, path: Path) -> None:
-        """Open it, or make it.
+        """Open or create the file.
 
-        Raises ``StoreWriteError``, and ``CorruptLogError`` where it is not a log of ours.
+        Raises ``StoreWriteError``, and ``CorruptLogError`` if the file is not a log of this format.
         """
         self.path = path
-        self.last, self.checksum = 0, START
+        self.last_number, self.last_checksum = 0, INITIAL_CHECKSUM
         try:
             self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=1.0)
         except sqlite3.Error as error:
@@ -72,13 +78,13 @@
             raise
 
     def _begin(self) -> None:
-        known = self.db.execute("PRAGMA user_version").fetchone()[0]
-        if known not in (0, FORMAT):
-            raise CorruptLogError(f"format {known:#x}, this program reads {FORMAT:#x}")
-        if known == 0:
+        file_format = self.db.execute("PRAGMA user_version").fetchone()[0]
+        if file_format not in (0, FILE_FORMAT):
+            raise CorruptLogError(f"format {file_format:#x}, this program reads {FILE_FORMAT:#x}")
+        if file_format == 0:
             if self.db.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]:
                 raise CorruptLogError("another program's file")
-            # Guards against a file that is made but not yet found after a loss of power.
+            # Guards against a new file whose directory entry is lost with the power.
             folder = os.open(self.path.parent, os.O_RDONLY)
             try:
                 os.fsync(folder)
@@ -86,8 +92,11 @@
                 os.close(folder)
         self.db.execute("PRAGMA journal_mode=WAL")
         self.db.execute("PRAGMA synchronous=FULL")
-        if known == 0:
-            self.db.executescript(f"BEGIN; {SCHEMA} PRAGMA user_version={FORMAT}; COMMIT;")
+        if file_format == 0:
+            self.db.executescript(f"BEGIN; {SCHEMA} PRAGMA user_version={FILE_FORMAT}; COMMIT;")
+        self._load_last()
+
+    def _load_last(self) -> None:
         row = self.db.execute("SELECT number, checksum FROM records ORDER BY number DESC LIMIT 1").fetchone()
         found = (
             row
@@ -96,17 +105,23 @@
             ).fetchone()
         )
         if found is not None:
-            self.last, self.checksum = found[0], int.from_bytes(found[1], "big")
+            self.last_number, self.last_checksum = found[0], int.from_bytes(found[1], "big")
 
     def append(self, bodies: list[bytes]) -> int:
-        """Write records, all or none, and return the last one's number once they are on the disk."""
-        made = list(chain(self.checksum, self.last + 1, bodies))
+        """Write records, all or none; return the last one's number once they are on the disk.
+
+        Raises ``StoreWriteError``.
+        """
+        records = list(chain_records(self.last_checksum, self.last_number + 1, bodies))
         try:
             self.db.execute("BEGIN IMMEDIATE")
             try:
                 self.db.executemany(
                     "INSERT INTO records VALUES (?, ?, ?, ?)",
-                    [(one.number, one.version, one.body, _bytes(one.checksum)) for one in made],
+                    [
+                        (record.number, record.version, record.body, _bytes(record.checksum))
+                        for record in records
+                    ],
                 )
                 self.db.execute("COMMIT")
             except BaseException:
@@ -115,29 +130,27 @@
                 raise
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
-        if made:
-            self.last, self.checksum = made[-1].number, made[-1].checksum
-        return self.last
+        if records:
+            self.last_number, self.last_checksum = records[-1].number, records[-1].checksum
+        return self.last_number
 
     def probe(self) -> None:
-        """Write something and take it back. Raises ``StoreWriteError``."""
+        """Write ``PROBE_BYTES`` and delete them. Raises ``StoreWriteError``."""
         try:
-            self.db.execute("INSERT INTO probe VALUES (zeroblob(?))", (PROBE,))
+            self.db.execute("INSERT INTO probe VALUES (zeroblob(?))", (PROBE_BYTES,))
             self.db.execute("DELETE FROM probe")
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
 
-    def cut(self, number: int, checksum: int) -> int:
-        """Drop what follows on a record; return how many.
-
-        Raises ``CorruptLogError`` where that record is not there.
+    def truncate_after(self, number: int, checksum: int) -> int:
+        """Delete all records after the one of that number and checksum; return how many.
 
-        Guards against records whose commit was told as failed and is on the disk all the same: nobody was
-        promised them.
+        Raises ``CorruptLogError`` if that record is missing, ``StoreWriteError``.
         """
-        if self.last < number:
-            raise CorruptLogError(f"it ends at record {self.last}; {number} were promised")
-        known = {one.number: one.checksum for one in self.snapshots()} | {0: START}
+        # Guards against a commit that was reported as failed and took place: its writers were rejected.
+        if self.last_number < number:
+            raise CorruptLogError(f"it ends at record {self.last_number}; {number} were promised")
+        known = {snapshot.number: snapshot.checksum for snapshot in self.snapshots()} | {0: INITIAL_CHECKSUM}
         row = self.db.execute("SELECT checksum FROM records WHERE number = ?", (number,)).fetchone()
         if (int.from_bytes(row[0], "big") if row else known.get(number)) != checksum:
             raise CorruptLogError(f"record {number} is not the one that was promised")
@@ -145,61 +158,62 @@
             dropped = self.db.execute("DELETE FROM records WHERE number > ?", (number,)).rowcount
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
-        self.last, self.checksum = number, checksum
+        self.last_number, self.last_checksum = number, checksum
         return dropped
 
-    def read(self, after: int = 0, checksum: int = START) -> Iterator[Record]:
-        """Return the records after one of that checksum. Raises ``CorruptLogError``, ``StoreWriteError``."""
-        yield from verify(checksum, after + 1, self._rows(after))
+    def read(self, after: int = 0, checksum: int = INITIAL_CHECKSUM) -> Iterator[LogRecord]:
+        """Yield the records after one of that number and checksum, each verified.
+
+        Raises ``CorruptLogError``, ``StoreWriteError``.
+        """
+        yield from verify_records(checksum, after + 1, self._rows(after))
 
-    def _rows(self, after: int) -> Iterator[Record]:
+    def _rows(self, after: int) -> Iterator[LogRecord]:
         while True:
             try:
                 rows = self.db.execute(
                     "SELECT number, version, body, checksum FROM records WHERE number > ?"
                     " ORDER BY number LIMIT ?",
-                    (after, PART),
+                    (after, READ_BATCH_RECORDS),
                 ).fetchall()
             except sqlite3.OperationalError as error:
                 raise StoreWriteError(str(error)) from None
             except sqlite3.DatabaseError as error:
                 raise CorruptLogError(str(error)) from None
-            for number, version, body, own in rows:
-                yield Record(number, version, body, int.from_bytes(own, "big"))
-            if len(rows) < PART:
+            for number, version, body, checksum in rows:
+                yield LogRecord(number, version, body, int.from_bytes(checksum, "big"))
+            if len(rows) < READ_BATCH_RECORDS:
                 return
             after = rows[-1][0]
 
-    def snapshots(self) -> list[Snapshot]:
-        """Return the snapshots that are as they were written, the latest first."""
+    def snapshots(self) -> list[StoreSnapshot]:
+        """Return the snapshots whose checksum matches, the latest first."""
         rows = self.db.execute("SELECT number, checksum, body, own FROM snapshots ORDER BY number DESC")
         return [
-            Snapshot(number, int.from_bytes(before, "big"), body)
-            for number, before, body, own in rows
-            if own_of(int.from_bytes(before, "big"), number, 0, body) == int.from_bytes(own, "big")
+            StoreSnapshot(number, int.from_bytes(previous, "big"), body)
+            for number, previous, body, checksum in rows
+            if record_checksum(int.from_bytes(previous, "big"), number, 0, body)
+            == int.from_bytes(checksum, "big")
         ]
 
-    def snapshot(self, body: bytes) -> None:
-        """Keep the state after the last record; the one before the last stays too.
-
-        Raises ``StoreWriteError``.
-        """
-        own = own_of(self.checksum, self.last, 0, body)
+    def write_snapshot(self, body: bytes) -> None:
+        """Store the state after the last record; earlier snapshots stay. Raises ``StoreWriteError``."""
+        checksum = record_checksum(self.last_checksum, self.last_number, 0, body)
         try:
             self.db.execute(
                 "INSERT OR REPLACE INTO snapshots VALUES (?, ?, ?, ?)",
-                (self.last, _bytes(self.checksum), body, _bytes(own)),
+                (self.last_number, _bytes(self.last_checksum), body, _bytes(checksum)),
             )
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
 
     def compact(self) -> int:
-        """Drop the records that the older of two snapshots holds; return how many.
+        """Delete the records that the older of the two last snapshots covers; return how many.
 
         Raises ``StoreWriteError``.
         """
-        kept = self.snapshots()[:KEPT]
-        if len(kept) < KEPT:
+        kept = self.snapshots()[:KEPT_SNAPSHOTS]
+        if len(kept) < KEPT_SNAPSHOTS:
             return 0
         oldest = kept[-1].number
         try:
@@ -214,50 +228,52 @@
             raise StoreWriteError(str(error)) from None
         return dropped
 
-    def check(self) -> tuple[int, int]:
-        """Read all of it; return the first and the last record's number.
+    def verify(self) -> tuple[int, int]:
+        """Read the whole file; return the first and the last record's number.
 
         Raises ``CorruptLogError``, ``StoreWriteError``.
         """
         try:
-            told = self.db.execute("PRAGMA integrity_check").fetchone()[0]
+            result = self.db.execute("PRAGMA integrity_check").fetchone()[0]
         except sqlite3.DatabaseError as error:
             raise CorruptLogError(str(error)) from None
-        if told != "ok":
-            raise CorruptLogError(str(told).splitlines()[0])
+        if result != "ok":
+            raise CorruptLogError(str(result).splitlines()[0])
         first = self.db.execute("SELECT min(number) FROM records").fetchone()[0]
-        base = self.snapshots()
+        snapshots = self.snapshots()
         count = self.db.execute("SELECT count(*) FROM snapshots").fetchone()[0]
-        if len(base) < count:
-            raise CorruptLogError(f"{count - len(base)} of {count} snapshots are not as they were written")
+        if len(snapshots) < count:
+            raise CorruptLogError(
+                f"{count - len(snapshots)} of {count} snapshots are not as they were written"
+            )
         if first is None:
-            return self.last + 1, self.last
+            return self.last_number + 1, self.last_number
         if first == 1:
-            before = START
+            previous = INITIAL_CHECKSUM
         else:
-            fits = [one for one in base if one.number == first - 1]
-            if not fits:
+            adjacent = [snapshot for snapshot in snapshots if snapshot.number == first - 1]
+            if not adjacent:
                 raise CorruptLogError(f"records begin at {first}, and no snapshot holds those before")
-            before = fits[0].checksum
+            previous = adjacent[0].checksum
         last = first - 1
-        for record in self.read(first - 1, before):
+        for record in self.read(first - 1, previous):
             last = record.number
         return first, last
 
     def backup(self, path: Path) -> None:
-        """Copy the file as of one moment, while it is written to. Raises ``StoreWriteError``."""
-        fresh = path.with_name(f"{path.name}.part")
-        fresh.unlink(missing_ok=True)
+        """Copy a consistent state of the file, even while it is written. Raises ``StoreWriteError``."""
+        partial = path.with_name(f"{path.name}.part")
+        partial.unlink(missing_ok=True)
         try:
-            with closing(sqlite3.connect(fresh)) as other:
-                self.db.backup(other, pages=256)
-            with open(fresh, "rb") as file:
+            with closing(sqlite3.connect(partial)) as copy:
+                self.db.backup(copy, pages=256)
+            with open(partial, "rb") as file:
                 os.fsync(file.fileno())
-            fresh.replace(path)
+            partial.replace(path)
         except (sqlite3.Error, OSError) as error:
-            fresh.unlink(missing_ok=True)
+            partial.unlink(missing_ok=True)
             raise StoreWriteError(str(error)) from None
 
     def close(self) -> None:
-        """Close it."""
+        """Close the file."""
         self.db.close()
--- a/merlinbay/store/health.py
+++ b/merlinbay/store/health.py
@@ -1,8 +1,7 @@
-"""Whether new records are taken: a table of states, by what writing came to. No I/O, no clock.
+"""Whether the store accepts records: a table of states and events. No I/O, no clock.
 
-What could not be written was not promised. After a failure nothing more is taken: of a write that failed,
-nobody knows how much is on the disk (fsync tells it once, and then no more). The file is opened anew, its
-end is compared, and only then it is written again.
+After a failed write the store accepts nothing: nobody knows how much of that write is on the disk, and a
+failed fsync is reported only once. The file is reopened, and its last record compared, before the next write.
 """
 
 from __future__ import annotations
@@ -10,58 +9,58 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST_US = 250_000  # until the first look after a failure; twice as long after each that finds it no better,
-MOST_US = 10_000_000  # up to this
+FIRST_RETRY_US = 250_000  # before the first attempt to reopen; doubled after each that fails
+LONGEST_RETRY_US = 10_000_000
 
 
-class State(Enum):
-    """How the log is."""
+class StoreState(Enum):
+    """State of the store. Operators and callers see the values."""
 
-    OPEN = "open"  # records are taken
-    FAILED = "failed"  # none are; a look is due
-    LOOKING = "looking"  # the file is being read
-    CORRUPT = "corrupt"  # it is not as it was written: operators have to act
+    OPEN = "open"  # records are accepted
+    FAILED = "failed"  # a write failed; the file will be reopened
+    REOPENING = "looking"  # the file is being reopened and read
+    CORRUPT = "corrupt"  # the file differs from what was written: operators have to act
     CLOSED = "closed"
 
 
-class Event(Enum):
-    """What happens to it."""
+class StoreEvent(Enum):
+    """What changes the state."""
 
-    UNWRITTEN = "unwritten"  # no space, a read-only disk, a failed fsync
-    LOOK = "look"
-    WELL = "well"  # it was opened, and ends where it should
-    ILL = "ill"  # it could not be opened
-    ALTERED = "altered"
-    CLOSE = "close"
+    WRITE_FAILED = "write_failed"  # no space, a read-only disk, a failed fsync
+    REOPEN_STARTED = "reopen_started"
+    REOPENED = "reopened"  # the file ends with the last acknowledged record and can be written
+    REOPEN_FAILED = "reopen_failed"
+    CORRUPTION_FOUND = "corruption_found"
+    CLOSED = "closed"
 
 
-MOVES = {
-    (State.OPEN, Event.UNWRITTEN): State.FAILED,
-    (State.FAILED, Event.LOOK): State.LOOKING,
-    (State.LOOKING, Event.WELL): State.OPEN,
-    (State.LOOKING, Event.ILL): State.FAILED,
-    (State.LOOKING, Event.ALTERED): State.CORRUPT,
-    **{(state, Event.CLOSE): State.CLOSED for state in State},
+TRANSITIONS = {
+    (StoreState.OPEN, StoreEvent.WRITE_FAILED): StoreState.FAILED,
+    (StoreState.FAILED, StoreEvent.REOPEN_STARTED): StoreState.REOPENING,
+    (StoreState.REOPENING, StoreEvent.REOPENED): StoreState.OPEN,
+    (StoreState.REOPENING, StoreEvent.REOPEN_FAILED): StoreState.FAILED,
+    (StoreState.REOPENING, StoreEvent.CORRUPTION_FOUND): StoreState.CORRUPT,
+    **{(state, StoreEvent.CLOSED): StoreState.CLOSED for state in StoreState},
 }
 
 
 @dataclass(slots=True)
-class Health:
-    """The state, why, and when to look again."""
+class StoreHealth:
+    """The state, its cause, and when to retry."""
 
-    state: State = State.OPEN
-    why: str = ""
-    wait_us: int = FIRST_US
+    state: StoreState = StoreState.OPEN
+    cause: str = ""  # of the last failure; empty while the store is open
+    retry_after_us: int = FIRST_RETRY_US
 
-    def tell(self, event: Event, why: str = "") -> None:
-        """Take an event; one that the table does not have for the state changes nothing."""
-        after = MOVES.get((self.state, event))
+    def apply(self, event: StoreEvent, cause: str = "") -> None:
+        """Apply an event; one without a transition from the current state changes nothing."""
+        after = TRANSITIONS.get((self.state, event))
         if after is None:
             return
         self.state = after
-        if event is Event.WELL:
-            self.why, self.wait_us = "", FIRST_US
-        elif event is Event.ILL:
-            self.wait_us = min(self.wait_us * 2, MOST_US)
-        if why:
-            self.why = why
+        if event is StoreEvent.REOPENED:
+            self.cause, self.retry_after_us = "", FIRST_RETRY_US
+        elif event is StoreEvent.REOPEN_FAILED:
+            self.retry_after_us = min(self.retry_after_us * 2, LONGEST_RETRY_US)
+        if cause:
+            self.cause = cause
--- a/merlinbay/store/records.py
+++ b/merlinbay/store/records.py
@@ -1,8 +1,8 @@
 """Records of the log: versioned, checksummed, each bound to the one before it. No I/O.
 
 The checksum of a record covers its number, its version, its body and the checksum before it: a record that is
-missing, doubled, out of its place or altered does not fit. xxh3 finds accidents, not forgers: who can write
-the file can write any log.
+missing, duplicated, out of order or altered does not match. xxh3 detects accidents, not forgery: whoever can
+write the file can write any log.
 """
 
 from __future__ import annotations
@@ -13,48 +13,48 @@
 
 import xxhash
 
-VERSION = 1  # of the records that are written; older ones are read as long as they are named here
-READ = (1,)
-HEAD = struct.Struct("!QQB")  # the checksum before, number, version
-START = 0  # the checksum before the first record
+RECORD_VERSION = 1  # of the records that are written
+READABLE_VERSIONS = (1,)
+CHECKSUM_HEADER = struct.Struct("!QQB")  # previous checksum, number, version
+INITIAL_CHECKSUM = 0  # the previous checksum of the first record
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
-    """One entry of the log."""
+class LogRecord:
+    """One record of the log."""
 
-    number: int  # 1, 2, 3 ...
-    version: int
+    number: int  # position in the log, from 1
+    version: int  # format of the record
     body: bytes
-    checksum: int
+    checksum: int  # over this record and the previous checksum
 
 
 class CorruptLogError(Exception):
-    """The log is not as it was written; the text says from which record on."""
+    """The log differs from what was written; the text names the first record concerned."""
 
 
-def checksum(before: int, number: int, version: int, body: bytes) -> int:
-    """Return a record's checksum."""
-    return xxhash.xxh3_64_intdigest(HEAD.pack(before, number, version) + body)
+def record_checksum(previous: int, number: int, version: int, body: bytes) -> int:
+    """Return a record's checksum; ``previous`` is that of the record before it."""
+    return xxhash.xxh3_64_intdigest(CHECKSUM_HEADER.pack(previous, number, version) + body)
 
 
-def chain(before: int, first: int, bodies: Iterable[bytes]) -> Iterator[Record]:
-    """Make records of bodies, numbered from ``first`` on, that follow on a checksum."""
+def chain_records(previous: int, first: int, bodies: Iterable[bytes]) -> Iterator[LogRecord]:
+    """Make records from bodies, numbered from ``first``; ``previous`` is the checksum before them."""
     for number, body in enumerate(bodies, first):
-        before = checksum(before, number, VERSION, body)
-        yield Record(number, VERSION, body, before)
+        previous = record_checksum(previous, number, RECORD_VERSION, body)
+        yield LogRecord(number, RECORD_VERSION, body, previous)
 
 
-def verify(before: int, first: int, records: Iterable[Record]) -> Iterator[Record]:
-    """Pass records on as far as they fit. Raises ``CorruptLogError`` at the first that does not."""
+def verify_records(previous: int, first: int, records: Iterable[LogRecord]) -> Iterator[LogRecord]:
+    """Yield records while they match. Raises ``CorruptLogError`` at the first that does not."""
     for number, record in enumerate(records, first):
         if record.number != number:
             raise CorruptLogError(f"record {number} is missing; {record.number} comes next")
-        if record.version not in READ:
+        if record.version not in READABLE_VERSIONS:
             raise CorruptLogError(
                 f"record {number} has version {record.version}, which this program does not read"
             )
-        if record.checksum != checksum(before, number, record.version, record.body):
+        if record.checksum != record_checksum(previous, number, record.version, record.body):
             raise CorruptLogError(f"record {number} is not as it was written")
-        before = record.checksum
+        previous = record.checksum
         yield record
--- a/tests/control_scenarios.py
+++ b/tests/control_scenarios.py
@@ -19,7 +19,7 @@
 from merlinbay.fleet.wire import Keys
 from merlinbay.log import Log
 from merlinbay.rig.proxy import PORT
-from merlinbay.store.engine import Engine, StoreWriteError
+from merlinbay.store.engine import StorageEngine, StoreWriteError
 from tests.control_cluster import Cluster, Machine, cluster, reserve_net
 
 TEAM = {"tasks_running": 1}
@@ -301,7 +301,7 @@
     return {one.key: (one.value, one.revision) for one in follower.core.snapshot().entries}
 
 
-class RefusingEngine(Engine):
+class RefusingEngine(StorageEngine):
     """A store's file whose disk is full whenever its folder has a file ``full``."""
 
     def append(self, bodies: list[bytes]) -> int:
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -40,7 +40,7 @@
 from merlinbay.rig.script import Script as RigScript
 from merlinbay.scale.plan import Plan
 from merlinbay.scale.results import ScaleRun
-from merlinbay.store.engine import Engine
+from merlinbay.store.engine import StorageEngine
 
 GOLDEN = Path(__file__).parent / "golden"
 KEYS = wire.Keys((b"0123456789abcdef",))
@@ -243,9 +243,9 @@
 
 def make_store(path: Path) -> None:
     """Make a log with a snapshot."""
-    engine = Engine(path)
+    engine = StorageEngine(path)
     engine.append([b"first", b"second"])
-    engine.snapshot(b"state after two")
+    engine.write_snapshot(b"state after two")
     engine.append([b"third"])
     engine.close()
 
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -24,7 +24,7 @@
 from merlinbay.errors import ConfigurationError
 from merlinbay.fleet.wire import Keys, MessageRejectedError
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine
+from merlinbay.store.engine import StorageEngine
 from tests.control_cluster import run_side_by_side
 from tests.control_scenarios import SCENARIOS
 
@@ -233,7 +233,7 @@
     trio.run(run)
 
 
-class GatedEngine(Engine):
+class GatedEngine(StorageEngine):
     """A store's file whose writes wait for a gate."""
 
     gate = threading.Event()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,14 +17,27 @@
 import trio
 
 from merlinbay.log import Log
-from merlinbay.store.engine import Engine, StoreWriteError
-from merlinbay.store.health import FIRST_US, MOST_US, MOVES, Event, Health, State
-from merlinbay.store.log import AppendRefusedError, StoreLog
-from merlinbay.store.records import START, CorruptLogError, Record, chain, verify
+from merlinbay.store.engine import StorageEngine, StoreWriteError
+from merlinbay.store.health import (
+    FIRST_RETRY_US,
+    LONGEST_RETRY_US,
+    TRANSITIONS,
+    StoreEvent,
+    StoreHealth,
+    StoreState,
+)
+from merlinbay.store.log import AppendRejectedError, StoreLog
+from merlinbay.store.records import (
+    INITIAL_CHECKSUM,
+    CorruptLogError,
+    LogRecord,
+    chain_records,
+    verify_records,
+)
 
 ROOT = Path(__file__).parent.parent
-LOG = list(chain(START, 1, [b"one", b"two", b"two", b"four"]))
-OTHER = list(chain(START, 1, [b"else", b"two", b"two", b"four"]))
+LOG = list(chain_records(INITIAL_CHECKSUM, 1, [b"one", b"two", b"two", b"four"]))
+OTHER = list(chain_records(INITIAL_CHECKSUM, 1, [b"else", b"two", b"two", b"four"]))
 
 
 @pytest.mark.parametrize(
@@ -38,30 +51,38 @@
         ([*LOG[:1], dataclasses.replace(LOG[1], version=2)], "version 2, which this program does not read"),
     ],
 )
-def test_what_does_not_fit_is_found_at_its_record(records: list[Record], says: str) -> None:
+def test_what_does_not_fit_is_found_at_its_record(records: list[LogRecord], says: str) -> None:
     """Missing, doubled, altered, moved, of another log with the same bodies, of a version to come."""
-    assert list(verify(START, 1, LOG)) == LOG
+    assert list(verify_records(INITIAL_CHECKSUM, 1, LOG)) == LOG
     with pytest.raises(CorruptLogError, match=says):
-        list(verify(START, 1, records))
+        list(verify_records(INITIAL_CHECKSUM, 1, records))
 
 
 def test_after_a_failure_nothing_is_taken_until_the_file_was_looked_at() -> None:
     """By the table: one way back, and none from an altered file; looks become rarer, up to a bound."""
-    assert {after for (state, event), after in MOVES.items() if event is Event.WELL} == {State.OPEN}
-    assert all(after is State.CLOSED for (state, _), after in MOVES.items() if state is State.CORRUPT)
-    health = Health()
-    health.tell(Event.WELL)
-    health.tell(Event.UNWRITTEN, "full")
+    assert {after for (state, event), after in TRANSITIONS.items() if event is StoreEvent.REOPENED} == {
+        StoreState.OPEN
+    }
+    assert all(
+        after is StoreState.CLOSED for (state, _), after in TRANSITIONS.items() if state is StoreState.CORRUPT
+    )
+    health = StoreHealth()
+    health.apply(StoreEvent.REOPENED)
+    health.apply(StoreEvent.WRITE_FAILED, "full")
     for _ in range(20):
-        health.tell(Event.LOOK)
-        health.tell(Event.ILL)
-    assert (health.state, health.why, health.wait_us) == (State.FAILED, "full", MOST_US)
-    health.tell(Event.LOOK)
-    health.tell(Event.WELL)
-    assert (health.state, health.why, health.wait_us) == (State.OPEN, "", FIRST_US)
+        health.apply(StoreEvent.REOPEN_STARTED)
+        health.apply(StoreEvent.REOPEN_FAILED)
+    assert (health.state, health.cause, health.retry_after_us) == (
+        StoreState.FAILED,
+        "full",
+        LONGEST_RETRY_US,
+    )
+    health.apply(StoreEvent.REOPEN_STARTED)
+    health.apply(StoreEvent.REOPENED)
+    assert (health.state, health.cause, health.retry_after_us) == (StoreState.OPEN, "", FIRST_RETRY_US)
 
 
-def bodies(engine: Engine) -> list[bytes]:
+def bodies(engine: StorageEngine) -> list[bytes]:
     """Return all bodies of a log that begins at 1."""
     return [record.body for record in engine.read()]
 
@@ -70,15 +91,15 @@
     """Over openings; compacted only up to the older of two snapshots, and then still whole."""
     path = tmp_path / "store"
     written = [str(number).encode() * 50 for number in range(2500)]
-    engine = Engine(path)
+    engine = StorageEngine(path)
     assert engine.append(written[:1000]) == 1000 and engine.compact() == 0
-    engine.snapshot(b"state at 1000")
+    engine.write_snapshot(b"state at 1000")
     assert engine.compact() == 0
     engine.close()
-    engine = Engine(path)
+    engine = StorageEngine(path)
     assert engine.append(written[1000:]) == 2500 and bodies(engine) == written
-    engine.snapshot(b"state at 2500")
-    assert engine.compact() == 1000 and engine.check() == (1001, 2500)
+    engine.write_snapshot(b"state at 2500")
+    assert engine.compact() == 1000 and engine.verify() == (1001, 2500)
     assert [(one.number, one.body) for one in engine.snapshots()] == [
         (2500, b"state at 2500"),
         (1000, b"state at 1000"),
@@ -86,8 +107,8 @@
     base = engine.snapshots()[1]
     assert [one.body for one in engine.read(base.number, base.checksum)] == written[1000:]
     engine.close()
-    engine = Engine(path)
-    assert engine.append([b"next"]) == 2501 and engine.check() == (1001, 2501)
+    engine = StorageEngine(path)
+    assert engine.append([b"next"]) == 2501 and engine.verify() == (1001, 2501)
     engine.close()
 
 
@@ -112,9 +133,9 @@
 def test_a_check_finds_what_was_altered(tmp_path: Path, sql: str, says: str) -> None:
     """And the command says so in one line, with status 3."""
     path = tmp_path / "store"
-    engine = Engine(path)
+    engine = StorageEngine(path)
     engine.append([b"x" * 10] * 9)
-    engine.snapshot(b"state")
+    engine.write_snapshot(b"state")
     engine.close()
     alter(path, sql)
     done = subprocess.run(
@@ -130,7 +151,7 @@
 def test_bytes_that_flipped_on_the_disk_are_found(tmp_path: Path) -> None:
     """Anywhere in the body of a record; and a file that is none is refused."""
     path = tmp_path / "store"
-    engine = Engine(path)
+    engine = StorageEngine(path)
     engine.append([b"%06d" % number * 40 for number in range(200)])
     engine.close()
     whole, rng = path.read_bytes(), Random(3)
@@ -138,25 +159,25 @@
     for at in rng.sample(places, 10):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 64]) + whole[at + 1 :])
         with pytest.raises(CorruptLogError):
-            found = Engine(path)
+            found = StorageEngine(path)
             try:
-                found.check()
+                found.verify()
             finally:
                 found.close()
     path.write_bytes(b"not a database, but long enough to be read as one" * 100)
     with pytest.raises(CorruptLogError):
-        Engine(path)
+        StorageEngine(path)
 
 
 @pytest.mark.parametrize("pragma", ["max_page_count = 12", "query_only = ON"])
 def test_what_cannot_be_written_is_written_not_at_all(tmp_path: Path, pragma: str) -> None:
     """A full disk and a read-only one: of a group, all or none; what was there before stays."""
-    engine = Engine(tmp_path / "store")
+    engine = StorageEngine(tmp_path / "store")
     engine.append([b"before"])
     engine.db.execute(f"PRAGMA {pragma}")
     with pytest.raises(StoreWriteError):
         engine.append([b"y" * 3000] * 30)
-    assert engine.last == 1 and bodies(engine) == [b"before"]
+    assert engine.last_number == 1 and bodies(engine) == [b"before"]
     engine.db.execute("PRAGMA max_page_count = 100000")
     engine.db.execute("PRAGMA query_only = OFF")
     assert engine.append([b"after"]) == 2 and bodies(engine) == [b"before", b"after"]
@@ -165,7 +186,7 @@
 
 def test_a_second_writer_of_a_file_is_refused_wholly(tmp_path: Path) -> None:
     """One that has written meanwhile is met in the middle of a group: nothing of the group stays."""
-    engine = Engine(tmp_path / "store")
+    engine = StorageEngine(tmp_path / "store")
     engine.append([b"a"] * 3)
     alter(tmp_path / "store", "INSERT INTO records VALUES (5, 1, x'00', x'00')")
     with pytest.raises(StoreWriteError, match="UNIQUE"):
@@ -176,7 +197,9 @@
 
 
 def with_log(
-    path: Path, scene: Callable[[StoreLog], Awaitable[None]], make: Callable[[Path], Engine] = Engine
+    path: Path,
+    scene: Callable[[StoreLog], Awaitable[None]],
+    make: Callable[[Path], StorageEngine] = StorageEngine,
 ) -> None:
     """Play a scene with a log that is written."""
 
@@ -191,20 +214,20 @@
     trio.run(whole)
 
 
-async def until(log: StoreLog, state: State) -> None:
+async def until(log: StoreLog, state: StoreState) -> None:
     """Wait until the log is so."""
     while log.health.state is not state:
         await trio.sleep(0.05)
 
 
-async def many(log: StoreLog, count: int, size: int = 20) -> list[int | AppendRefusedError]:
+async def many(log: StoreLog, count: int, size: int = 20) -> list[int | AppendRejectedError]:
     """Append side by side; return each one's number, or why not."""
-    found: list[int | AppendRefusedError] = []
+    found: list[int | AppendRejectedError] = []
 
     async def one() -> None:
         try:
             found.append(await log.append(b"r" * size))
-        except AppendRefusedError as error:
+        except AppendRejectedError as error:
             found.append(error)
 
     async with trio.open_nursery() as nursery:
@@ -228,8 +251,8 @@
     """No record that was refused is in the file, none that was taken is missing."""
     room = [30]  # pages
 
-    def make(path: Path) -> Engine:
-        engine = Engine(path)
+    def make(path: Path) -> StorageEngine:
+        engine = StorageEngine(path)
         engine.db.execute(f"PRAGMA max_page_count = {room[0]}")
         return engine
 
@@ -237,13 +260,15 @@
         taken = [one for one in await many(log, 5, 3000) if isinstance(one, int)]
         refused = await many(log, 200, 3000)
         assert len(taken) == 5
-        assert all(isinstance(one, AppendRefusedError) and one.retry_after_us >= FIRST_US for one in refused)
-        with pytest.raises(AppendRefusedError, match="the store is (failed|looking)"):
+        assert all(
+            isinstance(one, AppendRejectedError) and one.retry_after_us >= FIRST_RETRY_US for one in refused
+        )
+        with pytest.raises(AppendRejectedError, match="the store is (failed|looking)"):
             await log.append(b"meanwhile")
-        await trio.sleep(FIRST_US / 1e6 + 0.2)
-        assert log.health.state is not State.OPEN  # it was looked at, and there is no room yet
+        await trio.sleep(FIRST_RETRY_US / 1e6 + 0.2)
+        assert log.health.state is not StoreState.OPEN  # it was looked at, and there is no room yet
         room[0] = 100_000
-        await until(log, State.OPEN)
+        await until(log, StoreState.OPEN)
         assert await log.append(b"after") == 6
         assert bodies(log.engine) == [b"r" * 3000] * 5 + [b"after"]
 
@@ -254,7 +279,7 @@
     """After a failure it is opened anew and ends too early: operators have to act, nothing is taken."""
     path, broken = tmp_path / "store", [False]
 
-    class Failing(Engine):
+    class Failing(StorageEngine):
         def append(self, bodies: list[bytes]) -> int:
             if broken[0]:
                 alter(path, "DELETE FROM records WHERE number = 3")
@@ -264,9 +289,9 @@
     async def scene(log: StoreLog) -> None:
         await many(log, 3)
         broken[0] = True
-        assert isinstance((await many(log, 1))[0], AppendRefusedError)
-        await until(log, State.CORRUPT)
-        with pytest.raises(AppendRefusedError, match="corrupt: it ends at record 2; 3 were promised"):
+        assert isinstance((await many(log, 1))[0], AppendRejectedError)
+        await until(log, StoreState.CORRUPT)
+        with pytest.raises(AppendRejectedError, match="corrupt: it ends at record 2; 3 were promised"):
             await log.append(b"more")
 
     with_log(path, scene, Failing)
@@ -276,23 +301,23 @@
     """Its writers were refused: a later opening must not find their records."""
     broken = [False]
 
-    class Late(Engine):
+    class Late(StorageEngine):
         first = 0
 
         def append(self, bodies: list[bytes]) -> int:
             number = super().append(bodies)
             if broken[0]:
                 broken[0] = False
-                self.last, self.checksum = LOG[0].number, self.first
+                self.last_number, self.last_checksum = LOG[0].number, self.first
                 raise StoreWriteError("disk I/O error")
-            self.first = self.checksum
+            self.first = self.last_checksum
             return number
 
     async def scene(log: StoreLog) -> None:
         assert await log.append(b"one") == 1
         broken[0] = True
-        assert all(isinstance(one, AppendRefusedError) for one in await many(log, 4))
-        await until(log, State.OPEN)
+        assert all(isinstance(one, AppendRejectedError) for one in await many(log, 4))
+        await until(log, StoreState.OPEN)
         assert await log.append(b"two") == 2
         assert bodies(log.engine) == [b"one", b"two"]
 
@@ -333,8 +358,8 @@
         numbers = [
             int(line) for line in (first + rest).decode().splitlines(keepends=True) if line.endswith("\n")
         ]
-        engine = Engine(path)
-        first_number, last = engine.check()
+        engine = StorageEngine(path)
+        first_number, last = engine.verify()
         engine.close()
         assert first_number == 1 and last >= max(numbers) > told and min(numbers) > told
         told = last
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -15,7 +15,7 @@
 
 from merlinbay.experiment.store import Store
 from merlinbay.fleet import members, wire
-from merlinbay.store.engine import Engine
+from merlinbay.store.engine import StorageEngine
 from tests import stored_forms
 from tests.stored_forms import CELL, CLAIM, FORMS, GOLDEN, KEYS, SEALED
 
@@ -63,8 +63,8 @@
 def test_a_log_on_disk_is_read_and_continued(tmp_path: Path) -> None:
     """Records, the chain of their checksums, a snapshot; a new file has the same tables."""
     shutil.copy(GOLDEN / "store.db", tmp_path / "store.db")
-    engine = Engine(tmp_path / "store.db")
-    assert engine.check() == (1, 3)
+    engine = StorageEngine(tmp_path / "store.db")
+    assert engine.verify() == (1, 3)
     assert [record.body for record in engine.read()] == [b"first", b"second", b"third"]
     assert [snapshot.body for snapshot in engine.snapshots()] == [b"state after two"]
     assert engine.append([b"fourth"]) == 4
