--- a/merlinbay/control/fanout/follower.py
+++ b/merlinbay/control/fanout/follower.py
@@ -123,7 +123,7 @@
 
     # Streams.
 
-    def connected(self, attempt: int, now: float) -> None:
+    def upstream_connected(self, attempt: int, now: float) -> None:
         """Hear that the stream of an attempt is open."""
         link = self._trying
         if link is not None and link.attempt == attempt:
@@ -131,7 +131,7 @@
             zone = self.location.zone
             self._send(link, Watch(self.member, self.role, zone, self.generation, self.revision))
 
-    def received(self, attempt: int, frame: bytes, now: float) -> None:
+    def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
         """Take a frame; one that is malformed ends the attempt."""
         link = self._link(attempt)
         if link is None:
@@ -147,7 +147,7 @@
             self.counters.out_of_order += 1
             self._give_up(link, GoodbyeReason.PROTOCOL, now)
 
-    def closed(self, attempt: int, now: float) -> None:
+    def upstream_closed(self, attempt: int, now: float) -> None:
         """Hear that the stream of an attempt has ended or could not be opened."""
         link = self._link(attempt)
         if link is not None:
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -105,17 +105,17 @@
 
     def upstream_connected(self, attempt: int, now: float) -> None:
         """Hear that the stream of an attempt is open."""
-        self.follower.connected(attempt, now)
+        self.follower.upstream_connected(attempt, now)
         self._after(now)
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
         """Take a frame from upstream."""
-        self.follower.received(attempt, frame, now)
+        self.follower.upstream_received(attempt, frame, now)
         self._after(now)
 
     def upstream_closed(self, attempt: int, now: float) -> None:
         """Hear that the stream of an attempt has ended or could not be opened."""
-        self.follower.closed(attempt, now)
+        self.follower.upstream_closed(attempt, now)
         self._after(now)
 
     # Downstream.
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -20,11 +20,11 @@
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
 from merlinbay.control.fanout.simulated_network import (
     OTHER_REGION_DELAY,
-    Host,
-    Network,
-    follower_host,
-    relay_host,
-    server_host,
+    SimulatedMachine,
+    SimulatedNetwork,
+    follower_machine,
+    relay_machine,
+    server_machine,
 )
 from merlinbay.control.fanout.source import WatchServer
 from merlinbay.control.fanout.status import ForceStatus, force_status, merge
@@ -96,7 +96,7 @@
 
     store: SourceStore
     server: WatchServer
-    host: Host
+    host: SimulatedMachine
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan = plan
-        self.network = Network(seed)
+        self.network = SimulatedNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
         self.asked_at: list[float] = []  # by revision: when the leader was asked for the change
@@ -144,7 +144,7 @@
         settings = RelaySettings(server=self.plan.server, follower=self.plan.follower)
         rng = Random(self.rng.getrandbits(64))
         relay = Relay(name, self.plan.location(number), upstreams, settings, rng, self.network.now)
-        host = relay_host(self.network, relay)
+        host = relay_machine(self.network, relay)
         self.relays[name] = relay
         relay.start(self.network.now)
         host.done()
@@ -157,7 +157,7 @@
         )
         self.followers[name] = follower
         self._seen[name] = 0
-        host = follower_host(self.network, follower, self._heard)
+        host = follower_machine(self.network, follower, self._heard)
         follower.start(self.network.now)
         host.done()
 
@@ -210,7 +210,7 @@
 
     # What is measured.
 
-    def _heard(self, host: Host, effect: StateAdvanced) -> None:
+    def _heard(self, host: SimulatedMachine, effect: StateAdvanced) -> None:
         name, now = host.name, self.network.now
         if self.network.hosts[name] is not host:
             return
@@ -303,4 +303,4 @@
         store = SourceStore(self.plan.kept_changes)
         rng = Random(self.rng.getrandbits(64))
         server = WatchServer(store, GENERATION, self.plan.server, rng, 0.0)
-        return Voter(store, server, server_host(self.network, name, location, server))
+        return Voter(store, server, server_machine(self.network, name, location, server))
--- a/merlinbay/control/fanout/simulated_network.py
+++ b/merlinbay/control/fanout/simulated_network.py
@@ -6,7 +6,6 @@
 import itertools
 import math
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from random import Random
 from typing import Protocol
 
@@ -31,7 +30,7 @@
 DELAY_SPREAD = 0.5  # a message takes up to this share longer
 
 
-class Core(Protocol):
+class TimedCore(Protocol):
     """What a simulated process runs."""
 
     def tick(self, now: float) -> None:
@@ -44,44 +43,56 @@
         """Return what is to be done, once."""
 
 
-@dataclass(frozen=True, slots=True)
-class UpstreamCalls:
-    """How a core hears of its own attempts."""
+class WatchingCore(Protocol):
+    """The calls about the streams of a core's own attempts: of a follower or relay."""
 
-    connected: Callable[[int, float], None]
-    received: Callable[[int, bytes, float], None]
-    closed: Callable[[int, float], None]
+    def upstream_connected(self, attempt: int, now: float) -> None:
+        """Take it that the stream of an attempt is open."""
 
+    def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
+        """Take a frame from upstream."""
 
-@dataclass(frozen=True, slots=True)
-class DownstreamCalls:
-    """How a core hears of the streams that it serves."""
+    def upstream_closed(self, attempt: int, now: float) -> None:
+        """Take it that the stream of an attempt has ended or could not be opened."""
 
-    opened: Callable[[int, float], None]
-    received: Callable[[int, bytes, float], None]
-    written: Callable[[int, int, float], None]
-    closed: Callable[[int, float], None]
 
+class ServingCore(Protocol):
+    """The calls about the streams that a core serves: of a relay or watch server."""
 
-class Stream:
+    def opened(self, connection: int, now: float) -> None:
+        """Take a new stream."""
+
+    def received(self, connection: int, frame: bytes, now: float) -> None:
+        """Take a frame from downstream."""
+
+    def written(self, connection: int, size: int, now: float) -> None:
+        """Take it that a frame was written."""
+
+    def closed(self, connection: int, now: float) -> None:
+        """Take it that a stream has ended."""
+
+
+class SimulatedStream:
     """A connection of a client's attempt to a server."""
 
     __slots__ = ("attempt", "client", "delay", "down_free", "number", "open", "server", "up_free")
 
-    def __init__(self, number: int, client: Host, attempt: int, server: Host, delay: float) -> None:
+    def __init__(
+        self, number: int, client: SimulatedMachine, attempt: int, server: SimulatedMachine, delay: float
+    ) -> None:
         self.number, self.client, self.attempt, self.server = number, client, attempt, server
         self.delay = delay
         self.open = True
         self.up_free = self.down_free = 0.0  # the last message each way arrives then: order is kept
 
 
-class Network:
+class SimulatedNetwork:
     """The clock, the events to come, and who cannot reach whom."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         self.rng = Random(seed)
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, SimulatedMachine] = {}
         self.cut_regions: set[str] = set()  # nothing passes between one of these and another region
         self.slow: set[str] = set()  # names of hosts that take nothing from their streams
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -99,10 +110,10 @@
             call()
         self.now = until
 
-    def stream(self, client: Host, attempt: int, server: Host) -> Stream:
+    def stream(self, client: SimulatedMachine, attempt: int, server: SimulatedMachine) -> SimulatedStream:
         """Return a new stream that is not yet open."""
         delay = self.delay(client.location, server.location)
-        return Stream(next(self._streams), client, attempt, server, delay)
+        return SimulatedStream(next(self._streams), client, attempt, server, delay)
 
     def delay(self, here: Location, there: Location) -> float:
         """Return the time of one message one way, without its spread."""
@@ -110,37 +121,37 @@
             return SAME_ZONE_DELAY
         return SAME_REGION_DELAY if here.region == there.region else OTHER_REGION_DELAY
 
-    def reachable(self, one: Host, other: Host) -> bool:
+    def reachable(self, one: SimulatedMachine, other: SimulatedMachine) -> bool:
         """Return whether messages pass between two hosts."""
         if not (one.alive and other.alive):
             return False
         here, there = one.location.region, other.location.region
         return here == there or not (here in self.cut_regions or there in self.cut_regions)
 
-    def arrival(self, stream: Stream, free: float) -> float:
+    def arrival(self, stream: SimulatedStream, free: float) -> float:
         """Draw when a message arrives that is sent now, not before the one ahead of it."""
         return max(free, self.now + stream.delay * (1 + DELAY_SPREAD * self.rng.random()))
 
 
-class Host:
+class SimulatedMachine:
     """A process at a place: it ticks when it is due, and its effects are carried out."""
 
     def __init__(
         self,
-        network: Network,
+        network: SimulatedNetwork,
         name: str,
         location: Location,
-        core: Core,
-        up: UpstreamCalls | None = None,
-        down: DownstreamCalls | None = None,
-        heard: Callable[[Host, StateAdvanced], None] | None = None,
+        core: TimedCore,
+        up: WatchingCore | None = None,
+        down: ServingCore | None = None,
+        heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
     ) -> None:
         self.network, self.name, self.location, self.core = network, name, location, core
         self.alive = True
         self.refuses = True  # connecting to it after its death fails at once: its machine is there
         self._up, self._down, self._heard = up, down, heard
-        self._attempts: dict[int, Stream] = {}  # own ones
-        self._served: dict[int, Stream] = {}  # those of others, by number
+        self._attempts: dict[int, SimulatedStream] = {}  # own ones
+        self._served: dict[int, SimulatedStream] = {}  # those of others, by number
         self._timer = math.inf
         network.hosts[name] = self
 
@@ -187,12 +198,12 @@
 
     # Streams.
 
-    def _connect(self, attempt: int, server: Host) -> None:
+    def _connect(self, attempt: int, server: SimulatedMachine) -> None:
         stream = self.network.stream(self, attempt, server)
         self._attempts[attempt] = stream
         self.network.at(self.network.now + 2 * stream.delay, lambda: self._connected(stream))
 
-    def _connected(self, stream: Stream) -> None:
+    def _connected(self, stream: SimulatedStream) -> None:
         """Open a stream; to a host that cannot be reached it just never opens."""
         if stream.attempt not in self._attempts:
             return
@@ -201,10 +212,10 @@
         elif self.network.reachable(self, stream.server):
             stream.server._opened(stream)
             assert self._up is not None
-            self._up.connected(stream.attempt, self.network.now)
+            self._up.upstream_connected(stream.attempt, self.network.now)
             self.done()
 
-    def _opened(self, stream: Stream) -> None:
+    def _opened(self, stream: SimulatedStream) -> None:
         assert self._down is not None
         self._served[stream.number] = stream
         self._down.opened(stream.number, self.network.now)
@@ -216,7 +227,7 @@
             stream.up_free = self.network.arrival(stream, stream.up_free)
             self.network.at(stream.up_free, lambda: stream.server._from_below(stream, frame))
 
-    def _from_below(self, stream: Stream, frame: bytes) -> None:
+    def _from_below(self, stream: SimulatedStream, frame: bytes) -> None:
         if stream.number in self._served and self.network.reachable(stream.client, self):
             assert self._down is not None
             self._down.received(stream.number, frame, self.network.now)
@@ -228,20 +239,20 @@
             stream.down_free = self.network.arrival(stream, stream.down_free)
             self.network.at(stream.down_free, lambda: stream.client._from_above(stream, frame))
 
-    def _from_above(self, stream: Stream, frame: bytes) -> None:
+    def _from_above(self, stream: SimulatedStream, frame: bytes) -> None:
         server = stream.server
         if not self.network.reachable(server, self) or self.name in self.network.slow:
             return
         if stream.attempt in self._attempts:
             assert self._up is not None
-            self._up.received(stream.attempt, frame, self.network.now)
+            self._up.upstream_received(stream.attempt, frame, self.network.now)
             self.done()
         if stream.number in server._served:
             assert server._down is not None
             server._down.written(stream.number, len(frame), self.network.now)
             server.done()
 
-    def _close(self, stream: Stream | None, after_frames: bool) -> None:
+    def _close(self, stream: SimulatedStream | None, after_frames: bool) -> None:
         """End a stream; its other side hears of it if it can be reached then."""
         if stream is None:
             return
@@ -250,18 +261,18 @@
             moment = max(moment, stream.up_free, stream.down_free)
         self.network.at(moment, lambda: _hang_up(stream))
 
-    def _ended(self, stream: Stream) -> None:
+    def _ended(self, stream: SimulatedStream) -> None:
         now = self.network.now
         if stream.client is self and self._up is not None and stream.attempt in self._attempts:
             del self._attempts[stream.attempt]
-            self._up.closed(stream.attempt, now)
+            self._up.upstream_closed(stream.attempt, now)
         elif stream.server is self and self._down is not None and stream.number in self._served:
             del self._served[stream.number]
             self._down.closed(stream.number, now)
         self.done()
 
 
-def _hang_up(stream: Stream) -> None:
+def _hang_up(stream: SimulatedStream) -> None:
     """Tell both sides that are there, unless nothing passes between their regions."""
     network = stream.client.network
     regions = {stream.client.location.region, stream.server.location.region}
@@ -272,22 +283,22 @@
             side._ended(stream)
 
 
-def follower_host(
-    network: Network, follower: Follower, heard: Callable[[Host, StateAdvanced], None] | None = None
-) -> Host:
+def follower_machine(
+    network: SimulatedNetwork,
+    follower: Follower,
+    heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
+) -> SimulatedMachine:
     """Return a member that follows."""
-    up = UpstreamCalls(follower.connected, follower.received, follower.closed)
-    return Host(network, follower.member, follower.location, follower, up, heard=heard)
+    return SimulatedMachine(network, follower.member, follower.location, follower, follower, heard=heard)
 
 
-def relay_host(network: Network, relay: Relay) -> Host:
+def relay_machine(network: SimulatedNetwork, relay: Relay) -> SimulatedMachine:
     """Return a relay."""
-    up = UpstreamCalls(relay.upstream_connected, relay.upstream_received, relay.upstream_closed)
-    down = DownstreamCalls(relay.opened, relay.received, relay.written, relay.closed)
-    return Host(network, relay.follower.member, relay.follower.location, relay, up, down)
+    return SimulatedMachine(network, relay.follower.member, relay.follower.location, relay, relay, relay)
 
 
-def server_host(network: Network, name: str, location: Location, server: WatchServer) -> Host:
+def server_machine(
+    network: SimulatedNetwork, name: str, location: Location, server: WatchServer
+) -> SimulatedMachine:
     """Return a voter, as far as the fan-out sees it."""
-    down = DownstreamCalls(server.opened, server.received, server.written, server.closed)
-    return Host(network, name, location, server, down=down)
+    return SimulatedMachine(network, name, location, server, down=server)
--- a/merlinbay/control_service/__init__.py
+++ b/merlinbay/control_service/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of the replicated configuration: sockets, disk and operators' calls around its cores."""
+"""Processes of the replicated configuration: sockets, disk and operators' calls around the cores."""
--- a/merlinbay/control_service/connection.py
+++ b/merlinbay/control_service/connection.py
@@ -2,59 +2,35 @@
 
 from __future__ import annotations
 
-import struct
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 
 import trio
 
+from merlinbay.control_service.framing import FRAME_LENGTH, FrameTooLongError, pack_frame, receive_frame
+from merlinbay.control_service.local_peer import TransportLimits
 from merlinbay.control_service.sealing import TAG_BYTES, FrameSeal
-from merlinbay.control_service.traffic import Traffic
+from merlinbay.control_service.traffic import TrafficCounters
 from merlinbay.fleet.wire import MessageRejectedError
 
-LENGTH = struct.Struct("!I")
-RECEIVE_BYTES = 64 * 1024
 WRITE_BATCH_BYTES = 256 * 1024  # frames joined into one write
-FINISH_S = 1.0  # for the last frames of a connection that is ended on purpose
+FINISH_TIMEOUT_S = 1.0  # for the frames that are queued when a connection is closed
 
 
-@dataclass(frozen=True, slots=True)
-class TransportLimits:
-    """Sizes in bytes, times in seconds."""
-
-    frame_bytes: int = 4 * 1024 * 1024  # the whole configuration has to fit: snapshots are one frame
-    queue_frames: int = 1024
-    queue_bytes: int = 16 * 1024 * 1024
-    connections: int = 4096  # accepted by one listener
-    connect: float = 3.0
-    handshake: float = 5.0
-    keepalive: float = 5.0  # an empty frame after so long without another one
-    idle: float = 20.0  # without any frame: four keepalives
-    write: float = 10.0  # for one batch
-    backoff_first: float = 0.1
-    backoff_most: float = 5.0
-
-
-class Overflow(Enum):
-    """What a full send queue leads to."""
+class QueueOverflow(Enum):
+    """What happens when the send queue is full."""
 
     DROP_OLDEST = "drop_oldest"  # for messages that the protocol repeats
-    CLOSE = "close"  # for streams that need every message: the peer reconnects and catches up
-
+    CLOSE = "close"  # for streams that need every message: the peer reconnects and resumes
 
-class FrameTooLongError(Exception):
-    """The peer announced a frame over the limit."""
 
-
-class Connection:
+class FramedConnection:
     """Frames to and from one peer. ``send`` never waits; ``run`` carries frames until the connection ends."""
 
     __slots__ = (
         "peer",
         "peer_role",
-        "last_received",
         "on_message",
         "on_written",
         "_stream",
@@ -79,15 +55,12 @@
         outgoing: FrameSeal,
         incoming: FrameSeal,
         limits: TransportLimits,
-        traffic: Traffic,
-        overflow: Overflow,
+        traffic: TrafficCounters,
+        overflow: QueueOverflow,
     ) -> None:
         self.peer, self.peer_role = peer, peer_role
-        self.last_received = trio.current_time()
         self.on_message: Callable[[bytes], None] = _ignore
-        self.on_written: Callable[[int], None] = (
-            _ignore  # so many more messages have left the queue and buffer
-        )
+        self.on_written: Callable[[int], None] = _ignore  # called with the size of each message written
         self._stream, self._outgoing, self._incoming = stream, outgoing, incoming
         self._limits, self._traffic, self._overflow = limits, traffic, overflow
         self._queue: deque[bytes] = deque()
@@ -106,7 +79,7 @@
         self._queue.append(message)
         self._queue_bytes += len(message)
         while len(self._queue) > self._limits.queue_frames or self._queue_bytes > self._limits.queue_bytes:
-            if self._overflow is Overflow.CLOSE:
+            if self._overflow is QueueOverflow.CLOSE:
                 self.close()
                 break
             self._queue_bytes -= len(self._queue.popleft())
@@ -114,13 +87,13 @@
         self._wake.set()
 
     def unread(self, data: bytes | bytearray) -> None:
-        """Take bytes that came with the handshake and belong to the first frames."""
+        """Put back bytes received with the handshake that belong to the first frames."""
         self._buffer += data
 
     def finish(self) -> None:
-        """End the connection once what is queued was written, or after a short time."""
+        """End the connection once the queue is written, at the latest after ``FINISH_TIMEOUT_S``."""
         self._finishing = True
-        self._scope.deadline = min(self._scope.deadline, trio.current_time() + FINISH_S)
+        self._scope.deadline = min(self._scope.deadline, trio.current_time() + FINISH_TIMEOUT_S)
         self._wake.set()
 
     def close(self) -> None:
@@ -128,7 +101,7 @@
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Carry frames until either side ends the connection, it idles out, or a frame is refused."""
+        """Carry frames until either side ends the connection, it is idle too long, or a frame is rejected."""
         with self._scope:
             try:
                 async with trio.open_nursery() as nursery:
@@ -143,12 +116,12 @@
 
     async def _write(self) -> None:
         while True:
-            with trio.move_on_after(self._limits.keepalive):
+            with trio.move_on_after(self._limits.keepalive_s):
                 await self._wake.wait()
             self._wake = trio.Event()
             while True:
                 batch, sizes = self._take_batch()
-                with trio.fail_after(self._limits.write):
+                with trio.fail_after(self._limits.write_timeout_s):
                     await self._stream.send_all(batch)
                 self._traffic.bytes_sent += len(batch)
                 self._traffic.messages_sent += len(sizes)
@@ -160,7 +133,7 @@
                 self._scope.cancel()
 
     def _take_batch(self) -> tuple[bytes, list[int]]:
-        """Return frames to write, a keepalive where there are none, and the sizes of their messages."""
+        """Return frames to write, or a keepalive if none is queued, and the sizes of their messages."""
         frames: list[bytes] = []
         sizes: list[int] = []
         while self._queue and sum(sizes) < WRITE_BATCH_BYTES:
@@ -171,19 +144,17 @@
         return b"".join(frames) or self._frame(b""), sizes
 
     def _frame(self, message: bytes) -> bytes:
-        content = self._outgoing.seal(message)
-        return LENGTH.pack(len(content)) + content
+        return pack_frame(self._outgoing.seal(message))
 
     async def _read(self) -> None:
         with trio.CancelScope() as idle:
             while True:
-                idle.deadline = trio.current_time() + self._limits.idle
+                idle.deadline = trio.current_time() + self._limits.idle_timeout_s
                 content = await receive_frame(self._stream, self._buffer, self._limits.frame_bytes)
                 if content is None:
                     return
-                self._traffic.bytes_received += LENGTH.size + len(content)
+                self._traffic.bytes_received += FRAME_LENGTH.size + len(content)
                 message = self._incoming.open(content)
-                self.last_received = trio.current_time()
                 if message:
                     self._traffic.messages_received += 1
                     self.on_message(message)
@@ -191,27 +162,3 @@
 
 def _ignore(_: object) -> None:
     """Stand in for a callback that was not set."""
-
-
-async def receive_frame(stream: trio.SocketStream, buffer: bytearray, most: int) -> bytes | None:
-    """Return the next frame's content, None at the end. ``buffer`` keeps what came behind it.
-
-    Raises ``FrameTooLongError``.
-    """
-    while len(buffer) < LENGTH.size:
-        part = await stream.receive_some(RECEIVE_BYTES)
-        if not part:
-            return None
-        buffer += part
-    (length,) = LENGTH.unpack_from(buffer)
-    if length > most:
-        raise FrameTooLongError
-    end = LENGTH.size + length
-    while len(buffer) < end:
-        part = await stream.receive_some(RECEIVE_BYTES)
-        if not part:
-            return None
-        buffer += part
-    content = bytes(buffer[LENGTH.size : end])
-    del buffer[:end]
-    return content
--- a/merlinbay/control_service/durable_log.py
+++ b/merlinbay/control_service/durable_log.py
@@ -1,7 +1,7 @@
 """The records of a voter on its disk, through ``merlinbay.store``: batches, snapshots and compaction.
 
 One record of the store holds one batch of the voter's records, so that a batch is durable wholly or not at
-all. A record that replaces all others also becomes a snapshot of the store, which drops what precedes it.
+all. A record that replaces all others also becomes a snapshot of the store; records before it are deleted.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from merlinbay.store.log import AppendRejectedError, StoreLog
 from merlinbay.store.records import INITIAL_CHECKSUM, CorruptLogError
 
-RECOVERY_LOOK_S = 0.05  # between looks whether the store has recovered
+RECOVERY_POLL_S = 0.05  # between checks whether the store has recovered
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
+class BatchRecord(msgspec.Struct, frozen=True, array_like=True):
     """One record of the voter within a batch."""
 
     body: bytes
     replaces_all: bool
 
 
-_decode = msgspec.msgpack.Decoder(list[Entry]).decode
+_decode = msgspec.msgpack.Decoder(list[BatchRecord]).decode
 _encode = msgspec.msgpack.encode
 
 
 class NotDurableError(Exception):
-    """Records were not stored: nothing that depends on them may leave the process."""
+    """Records were not stored: no effect that depends on them may be carried out; the text says why."""
 
 
 class DurableLog:
@@ -53,7 +53,7 @@
 
     @property
     def failure(self) -> str:
-        """Return why the store takes nothing at present; empty: it does."""
+        """Return why the store accepts no records at present; empty if it does."""
         health = self._store.health
         return "" if health.state is StoreState.OPEN else f"{health.state.value}: {health.cause}"
 
@@ -64,47 +64,47 @@
     def records(self) -> list[bytes]:
         """Return the voter's records in order, from the last one that replaced all before it."""
         snapshots = self._store.engine.snapshots()
-        entries: list[Entry] = []
+        batch: list[BatchRecord] = []
         after, checksum = 0, INITIAL_CHECKSUM
         if snapshots:
-            entries = _decode(snapshots[0].body)
+            batch = _decode(snapshots[0].body)
             after, checksum = snapshots[0].number, snapshots[0].checksum
-        for record in self._store.engine.read(after, checksum):
-            entries += _decode(record.body)
-        return [entry.body for entry in _without_replaced(entries)]
+        for stored in self._store.engine.read(after, checksum):
+            batch += _decode(stored.body)
+        return [record.body for record in _without_replaced(batch)]
 
     async def append(self, records: Sequence[Persist]) -> None:
         """Store records in their order; returns once they are on the disk. Raises ``NotDurableError``."""
-        entries = [Entry(one.record, one.replaces_all) for one in records]
+        batch = [BatchRecord(effect.record, effect.replaces_all) for effect in records]
         try:
-            await self._store.append(_encode(entries))
+            await self._store.append(_encode(batch))
         except AppendRejectedError as error:
             raise NotDurableError(str(error)) from None
-        if any(entry.replaces_all for entry in entries):
-            await self._compact(_without_replaced(entries))
+        if any(record.replaces_all for record in batch):
+            await self._compact(_without_replaced(batch))
 
-    async def _compact(self, entries: list[Entry]) -> None:
+    async def _compact(self, batch: list[BatchRecord]) -> None:
         engine = self._store.engine
         try:
             with trio.CancelScope(shield=True):
-                await trio.to_thread.run_sync(partial(engine.write_snapshot, _encode(entries)))
+                await trio.to_thread.run_sync(partial(engine.write_snapshot, _encode(batch)))
                 await trio.to_thread.run_sync(engine.compact)
         except StoreWriteError as error:
-            # The records themselves are stored: compaction is tried again with the next snapshot.
+            # The records are stored: compaction is tried again with the next snapshot.
             self._log.event("control_compaction_failed", level="warning", error=str(error))
 
     async def recovered(self) -> bool:
-        """Wait until the store takes records again; False: it never will, operators have to act."""
+        """Wait until the store accepts records again; False if operators have to act first."""
         while self._store.health.state is not StoreState.OPEN:
             if self._store.health.state in (StoreState.CORRUPT, StoreState.CLOSED):
                 return False
-            await trio.sleep(RECOVERY_LOOK_S)
+            await trio.sleep(RECOVERY_POLL_S)
         return True
 
 
-def _without_replaced(entries: list[Entry]) -> list[Entry]:
-    last = max((index for index, entry in enumerate(entries) if entry.replaces_all), default=0)
-    return entries[last:]
+def _without_replaced(batch: list[BatchRecord]) -> list[BatchRecord]:
+    last = max((index for index, record in enumerate(batch) if record.replaces_all), default=0)
+    return batch[last:]
 
 
 __all__ = ["CorruptLogError", "DurableLog", "NotDurableError"]
--- a/merlinbay/control_service/machines.py
+++ b/merlinbay/control_service/machines.py
@@ -1,4 +1,4 @@
-"""The control machines by name: those of the file, and those that were added to the log since."""
+"""Addresses of the control machines, from the process's file and from the replicated configuration."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from merlinbay.control_service.schema import ControlMachine
 from merlinbay.control_service.settings import MachineSection
 
-PREFIX = "machines/"
+MACHINE_KEY_PREFIX = "machines/"
 
 
-class Machines:
-    """Looks addresses up; what the log says is newer than the file."""
+class MachineDirectory:
+    """Addresses by name; an entry of the configuration takes precedence over the file."""
 
     def __init__(
-        self, from_file: dict[str, MachineSection], get: Callable[[str], KeyValue | None] | None = None
+        self, from_file: dict[str, MachineSection], get_key: Callable[[str], KeyValue | None] | None = None
     ) -> None:
         self._from_file = from_file
-        self.get = get
+        self.get_key = get_key
 
     def _from_log(self, name: str) -> ControlMachine | None:
-        found = self.get(PREFIX + name) if self.get is not None else None
+        found = self.get_key(MACHINE_KEY_PREFIX + name) if self.get_key is not None else None
         if found is None or found.value is None:
             return None
         try:
             return msgspec.json.decode(found.value, type=ControlMachine)
         except msgspec.MsgspecError:
-            return None  # written by a newer program: the file's address may still do
+            return None  # written by a newer program: the file's address is used
 
     def address_of(self, name: str) -> str:
-        """Return where voters, relays and followers reach a machine; empty: not known."""
+        """Return the address for voters, relays and followers; empty if unknown."""
         machine = self._from_log(name) or self._from_file.get(name)
         return machine.address if machine is not None else ""
 
     def operator_of(self, name: str) -> str:
-        """Return where its operators' calls are taken; empty: not known."""
+        """Return the address of the operators' calls; empty if unknown."""
         machine = self._from_log(name) or self._from_file.get(name)
         return machine.operator if machine is not None else ""
 
--- a/merlinbay/control_service/node_follower.py
+++ b/merlinbay/control_service/node_follower.py
@@ -11,8 +11,8 @@
 from merlinbay.control.fanout.settings import FollowerSettings
 from merlinbay.control.fanout.topology import Location
 from merlinbay.control_service.follower_host import FollowerHost
-from merlinbay.control_service.settings import Section, load_keys
-from merlinbay.control_service.transport import Endpoint
+from merlinbay.control_service.local_peer import LocalPeer
+from merlinbay.control_service.settings import ControlSection, load_keys
 from merlinbay.counters import Counters
 from merlinbay.errors import ConfigurationError
 from merlinbay.fleet.wire import Keys
@@ -23,13 +23,13 @@
     """Follows the configuration in a node's nursery, from its making on."""
 
     def __init__(
-        self, section: Section, name: str, nursery: trio.Nursery, counters: Counters, log: Log
+        self, section: ControlSection, name: str, nursery: trio.Nursery, counters: Counters, log: Log
     ) -> None:
         """Begin to follow. Raises ``ConfigurationError``."""
         self.section, self.counters, self.log = section, counters, log
-        self.endpoint = Endpoint(name, "follower", section.fleet, self._keys(), section.bind)
+        self.local_peer = LocalPeer(name, "follower", section.fleet, self._keys(), section.bind)
         self.host = FollowerHost(
-            self.endpoint,
+            self.local_peer,
             Location(section.region, section.zone),
             [machine.upstream(machine_name) for machine_name, machine in section.machines.items()],
             FollowerSettings(),
@@ -47,7 +47,7 @@
 
     def reload(self) -> None:
         """Read the keys again. Raises ``ConfigurationError``; what cannot be used changes nothing."""
-        self.endpoint.keys = self._keys()
+        self.local_peer.keys = self._keys()
 
     def stop(self) -> None:
         """End the watch on purpose."""
@@ -55,6 +55,6 @@
 
     def _advanced(self, effect: StateAdvanced) -> None:
         self.counters.add("control_revisions")
-        self.counters.counts["control_bytes_received"] = self.endpoint.traffic.bytes_received
-        self.counters.counts["control_bytes_sent"] = self.endpoint.traffic.bytes_sent
+        self.counters.counts["control_bytes_received"] = self.local_peer.traffic.bytes_received
+        self.counters.counts["control_bytes_sent"] = self.local_peer.traffic.bytes_sent
         self.log.event("control_revision", level="debug", revision=effect.revision, replaced=effect.replaced)
--- a/merlinbay/control_service/sealing.py
+++ b/merlinbay/control_service/sealing.py
@@ -1,8 +1,8 @@
 """Authentication of a connection: a handshake under the fleet's keys, then frames under its own. No I/O.
 
 The handshake is two sealed messages (``merlinbay.fleet.wire``) that carry a nonce each. Both sides derive one
-key per direction from the nonces; a frame's tag covers its position in the stream, so that frames can be
-neither repeated nor moved, within the connection or into another one. Contents are not encrypted.
+key per direction from the nonces; a frame's tag covers its position in the stream, so that no frame can be
+replayed or reordered, within the connection or on another one. Contents are not encrypted.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 NONCE_BYTES = 16
 TAG_BYTES = 16
-Greeting = TypeVar("Greeting", "Hello", "Welcome")
+HandshakeMessage = TypeVar("HandshakeMessage", "HandshakeHello", "HandshakeWelcome")
 
 
-class Hello(msgspec.Struct, frozen=True, tag_field="k", tag="control_hello"):
+class HandshakeHello(msgspec.Struct, frozen=True, tag_field="k", tag="control_hello"):
     """First message of the side that connects."""
 
     name: str
@@ -29,35 +29,37 @@
     nonce: bytes
 
 
-class Welcome(msgspec.Struct, frozen=True, tag_field="k", tag="control_welcome"):
-    """The answer; ``hello_nonce`` shows that it was made for this connection."""
+class HandshakeWelcome(msgspec.Struct, frozen=True, tag_field="k", tag="control_welcome"):
+    """The answer; ``hello_nonce`` binds it to this connection."""
 
     name: str
     nonce: bytes
     hello_nonce: bytes
 
 
-def seal_greeting(keys: Keys, fleet: str, greeting: Hello | Welcome) -> bytes:
+def seal_handshake(keys: Keys, fleet: str, message: HandshakeHello | HandshakeWelcome) -> bytes:
     """Return a handshake message as bytes."""
-    return wire.seal(keys, fleet, msgspec.to_builtins(greeting, builtin_types=(bytes,)))
+    return wire.seal(keys, fleet, msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-def open_greeting(keys: Keys, fleet: str, data: bytes, kind: type[Greeting]) -> tuple[Greeting, bytes]:
+def open_handshake(
+    keys: Keys, fleet: str, data: bytes, kind: type[HandshakeMessage]
+) -> tuple[HandshakeMessage, bytes]:
     """Return a handshake message and the key that it was signed with. Raises ``MessageRejectedError``."""
     for key in keys.keys:
         try:
-            message = wire.open_sealed(Keys((key,)), fleet, data)
+            content = wire.open_sealed(Keys((key,)), fleet, data)
         except MessageRejectedError as error:
-            refused = error
+            rejection = error
             continue
         try:
-            greeting = msgspec.convert(message, kind, builtin_types=(bytes,))
+            message = msgspec.convert(content, kind, builtin_types=(bytes,))
         except msgspec.ValidationError:
             raise MessageRejectedError("unexpected handshake message") from None
-        if len(greeting.nonce) != NONCE_BYTES:
+        if len(message.nonce) != NONCE_BYTES:
             raise MessageRejectedError("nonce of a wrong length")
-        return greeting, key
-    raise refused
+        return message, key
+    raise rejection
 
 
 @dataclass(slots=True)
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -13,7 +13,7 @@
 from merlinbay.fleet.settings import Name, Seconds
 from merlinbay.fleet.wire import Keys
 
-Role = Literal["voter", "relay", "follower"]
+ProcessRole = Literal["voter", "relay", "follower"]
 
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -56,8 +56,8 @@
     followers: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 1000
 
 
-class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Section ``control`` of a node's operator's file: the node follows the configuration."""
+class ControlSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """ControlSection ``control`` of a node's operator's file: the node follows the configuration."""
 
     fleet: Name = "fleet"
     region: Name = "region"
@@ -91,7 +91,7 @@
     relay: RelaySection | None = None
     log: LogSection = msgspec.field(default_factory=LogSection)
 
-    def role(self) -> Role:
+    def role(self) -> ProcessRole:
         """Return the role that the file describes; a voter serves watches as well."""
         if self.voter is not None:
             return "voter"
--- a/merlinbay/control_service/status.py
+++ b/merlinbay/control_service/status.py
@@ -1,4 +1,4 @@
-"""What a control process tells operators of itself, as types; the command line adds up several of them."""
+"""The status of a control process as operators see it; the command line combines several of them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another voter, as this one sees it."""
+    """Another voter, as seen by this one."""
 
     name: str
     connected: bool  # messages can be sent to it
-    heard_ago_s: float | None  # since its last message; None: never
+    heard_ago_s: float | None  # since its last message was received; None: never
 
 
 class VotingStatus(msgspec.Struct, frozen=True):
@@ -52,14 +52,14 @@
 
 
 def rounded(seconds: float) -> float | None:
-    """Return a time for JSON, which knows no infinity."""
+    """Return a time for JSON, which has no infinity."""
     return round(seconds, 3) if math.isfinite(seconds) else None
 
 
 def voter_counters(host: VoterHost) -> dict[str, int]:
     """Return a voter's counters by name: connections, log, watches."""
     return {
-        **host.endpoint.traffic.figures(),
+        **host.local_peer.traffic.figures(),
         "storage_failures": host.storage_failures,
         **_prefixed("log", msgspec.to_builtins(host.voter.counters)),
         **_prefixed("watch", msgspec.structs.asdict(host.watches.server.counters)),
@@ -69,7 +69,7 @@
 def relay_counters(host: RelayHost) -> dict[str, int]:
     """Return a relay's counters by name: connections, watches, its own watch."""
     return {
-        **host.endpoint.traffic.figures(),
+        **host.local_peer.traffic.figures(),
         **_prefixed("watch", msgspec.structs.asdict(host.core.server.counters)),
         **_prefixed("follow", msgspec.structs.asdict(host.core.follower.counters)),
     }
@@ -78,7 +78,7 @@
 def follower_counters(host: FollowerHost) -> dict[str, int]:
     """Return a follower's counters by name: connections, its watch."""
     return {
-        **host.endpoint.traffic.figures(),
+        **host.local_peer.traffic.figures(),
         **_prefixed("follow", msgspec.structs.asdict(host.core.counters)),
     }
 
@@ -88,11 +88,11 @@
 
 
 def voting_status(host: VoterHost) -> VotingStatus:
-    """Return what a voter tells of its part in the log."""
+    """Return the state of a voter's replica of the log."""
     voter = host.voter
     others = [name for name in voter.voters if name != voter.name]
     peers = [
-        PeerStatus(name, host.peers.connected(name), _rounded_or_none(host.peers.heard_ago(name)))
+        PeerStatus(name, host.peers.is_connected(name), _rounded_or_none(host.peers.received_ago_s(name)))
         for name in others
     ]
     return VotingStatus(
@@ -114,7 +114,7 @@
 def voter_status(host: VoterHost, region: str, zone: str, operators: dict[str, str]) -> ProcessStatus:
     """Return the status of a voter's process."""
     return ProcessStatus(
-        host.endpoint.name,
+        host.local_peer.name,
         "voter",
         region,
         zone,
@@ -133,7 +133,7 @@
     now = trio.current_time()
     upstream = host.core.follower.upstream
     return ProcessStatus(
-        host.endpoint.name,
+        host.local_peer.name,
         "relay",
         region,
         zone,
@@ -151,7 +151,7 @@
     """Return the status of a follower's process."""
     upstream = host.core.upstream
     return ProcessStatus(
-        host.endpoint.name,
+        host.local_peer.name,
         "follower",
         region,
         zone,
--- a/merlinbay/control_service/traffic.py
+++ b/merlinbay/control_service/traffic.py
@@ -1,15 +1,14 @@
-"""What a host sends and receives, counted; scale runs read these figures per role."""
+"""What a process sends and receives, counted; ``status`` shows it, and scale runs read it per role."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 
 
 @dataclass(slots=True)
-class Traffic:
-    """Messages and bytes of one host, framing included."""
+class TrafficCounters:
+    """Messages and bytes of one process since its start, framing included."""
 
-    role: str
     messages_sent: int = 0
     messages_received: int = 0
     bytes_sent: int = 0
@@ -20,4 +19,4 @@
 
     def figures(self) -> dict[str, int]:
         """Return the counters by name."""
-        return {name: getattr(self, name) for name in self.__slots__ if name != "role"}
+        return asdict(self)
--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -1,13 +1,14 @@
 """A voter on real sockets and a disk: one task drives the core and carries out its effects in order.
 
-Inputs are gathered while the disk writes and given to the core together afterwards, so that what the core
-has in memory and not yet on the disk is seen by nobody: neither voters, clients nor watches.
+Inputs that arrive while the disk writes are passed to the core afterwards, so that no voter, client or watch
+sees state that is in memory and not yet on the disk.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
 from functools import partial
 from random import Random
 
@@ -19,16 +20,25 @@
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.settings import WatchServerSettings
 from merlinbay.control.voter import Role, Voter
-from merlinbay.control_service.connection import Connection, Overflow
+from merlinbay.control_service.connection import FramedConnection, QueueOverflow
 from merlinbay.control_service.durable_log import DurableLog, NotDurableError
-from merlinbay.control_service.peers import Peers
-from merlinbay.control_service.transport import Acceptor, Endpoint
+from merlinbay.control_service.listening import Acceptor
+from merlinbay.control_service.local_peer import LocalPeer
+from merlinbay.control_service.peers import VoterPeers
 from merlinbay.control_service.watch_service import WatchService
 from merlinbay.log import Log
 
-MAX_INPUTS = 8192  # messages of voters that wait while the disk writes; more are lost, as the network loses
+MAX_INPUTS = 8192  # messages of voters that wait while the disk writes; more are dropped
 
-Input = Callable[[Voter, float], None]
+VoterInput = Callable[[Voter, float], None]
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A proposal or read that the core has not answered yet."""
+
+    done: trio.Event = field(default_factory=trio.Event)
+    answer: ProposalDone | ReadDone | None = None
 
 
 class VoterHost:
@@ -36,7 +46,7 @@
 
     def __init__(
         self,
-        endpoint: Endpoint,
+        local_peer: LocalPeer,
         settings: VoterSettings,
         durable: DurableLog,
         address_of: Callable[[str], str],
@@ -48,24 +58,24 @@
         others: Iterable[str] = (),
     ) -> None:
         """``make_random`` returns a generator that is seeded differently each time."""
-        self.endpoint, self.settings, self.log = endpoint, settings, log
+        self.local_peer, self.settings, self.log = local_peer, settings, log
         self.durable, self._make_random = durable, make_random
         self.voter = self._build()
-        self.peers = Peers(endpoint, address_of, make_random())
+        self.peers = VoterPeers(local_peer, address_of, make_random())
         self.watches = WatchService(self.voter.keyspace, generation, watch_settings, make_random(), others)
         self.watches.wake = self._awaken
         self.storage_failures = 0
         self.advanced = trio.Event()  # set at each new revision, and replaced
         self._role = self.voter.role
-        self._inputs: deque[Input] = deque()
+        self._inputs: deque[VoterInput] = deque()
         self._wake = trio.Event()
-        self._waiting: dict[int, tuple[trio.Event, list[ProposalDone | ReadDone]]] = {}
+        self._pending: dict[int, PendingRequest] = {}  # by token
         self._last_token = 0
         self._rebuild = False
 
     def _build(self) -> Voter:
         return Voter(
-            self.endpoint.name,
+            self.local_peer.name,
             self.settings,
             self.durable.records(),
             self._make_random(),
@@ -78,7 +88,7 @@
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Vote, and serve watches, until cancelled."""
-        acceptor = Acceptor(self.endpoint, _overflow, self._serve)
+        acceptor = Acceptor(self.local_peer, _overflow, self._serve)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.durable.run)
             nursery.start_soon(self.peers.run)
@@ -86,7 +96,7 @@
             nursery.start_soon(self._drive, nursery)
             task_status.started()
 
-    async def _serve(self, connection: Connection) -> None:
+    async def _serve(self, connection: FramedConnection) -> None:
         if connection.peer_role != "voter":
             await self.watches.streams.serve(connection)
             return
@@ -94,13 +104,13 @@
         await connection.run()
 
     def _receive(self, sender: str, message: bytes) -> None:
-        self.peers.heard(sender)
+        self.peers.record_received(sender)
         if len(self._inputs) >= MAX_INPUTS:
-            self.endpoint.traffic.messages_dropped += 1
+            self.local_peer.traffic.messages_dropped += 1
             return
         self._put(lambda voter, now: voter.receive(now, sender, message))
 
-    def _put(self, item: Input) -> None:
+    def _put(self, item: VoterInput) -> None:
         self._inputs.append(item)
         self._awaken()
 
@@ -114,7 +124,7 @@
                 await self._wake.wait()
             self._wake = trio.Event()
             if self._rebuild:
-                self._start_again()
+                self._restart_core()
             now = trio.current_time()
             inputs, self._inputs = self._inputs, deque()
             for item in inputs:
@@ -122,11 +132,11 @@
             self.voter.tick(now)
             await self._carry_out(self.voter.take_effects(), nursery)
             self.peers.keep(self.voter.voters)
-            self._tell_role()
+            self._log_role()
             self.watches.turn(self.voter.keyspace, self.voter.age(trio.current_time()))
 
     async def _carry_out(self, effects: list[Effect], nursery: trio.Nursery) -> None:
-        """Store all records first, in one commit: the other effects may only come later for that."""
+        """Store all records first, in one commit, then carry out the other effects in order."""
         records = [effect for effect in effects if isinstance(effect, Persist)]
         if records:
             try:
@@ -138,7 +148,7 @@
             self._carry_out_one(effect)
 
     def _drop_unstored(self, effects: list[Effect], error: NotDurableError) -> list[Effect]:
-        """Tell the core; return what may still be carried out."""
+        """Report the failure to the core; return the effects that may still be carried out."""
         self.storage_failures += 1
         self.log.event("control_storage_failed", level="error", error=str(error))
         first = next(index for index, effect in enumerate(effects) if isinstance(effect, Persist))
@@ -152,7 +162,7 @@
             self._rebuild = True
             self._awaken()
 
-    def _start_again(self) -> None:
+    def _restart_core(self) -> None:
         """Build the core anew from what is on the disk, as after a crash."""
         self._rebuild = False
         self.voter = self._build()
@@ -168,7 +178,7 @@
                 self.advanced.set()
                 self.advanced = trio.Event()
 
-    def _tell_role(self) -> None:
+    def _log_role(self) -> None:
         role = self.voter.role
         if role is not self._role:
             self._role = role
@@ -176,49 +186,49 @@
             self.log.event("control_role", level=level, role=role.value, term=self.voter.term)
 
     def _answer(self, effect: ProposalDone | ReadDone) -> None:
-        waiting = self._waiting.get(effect.token)
-        if waiting is not None:
-            waiting[1].append(effect)
-            waiting[0].set()
+        pending = self._pending.get(effect.token)
+        if pending is not None and pending.answer is None:
+            pending.answer = effect
+            pending.done.set()
 
-    async def _ask(self, make: Callable[[int], Input]) -> ProposalDone | ReadDone:
+    async def _ask(self, make: Callable[[int], VoterInput]) -> ProposalDone | ReadDone:
         self._last_token += 1
-        token, event = self._last_token, trio.Event()
-        answers: list[ProposalDone | ReadDone] = []
-        self._waiting[token] = event, answers
+        token = self._last_token
+        pending = self._pending[token] = PendingRequest()
         try:
             self._put(make(token))
-            await event.wait()
+            await pending.done.wait()
         finally:
-            del self._waiting[token]
-        return answers[0]
+            del self._pending[token]
+        assert pending.answer is not None
+        return pending.answer
 
     async def propose(self, change: Change) -> ChangeResult:
-        """Propose a change and return what became of it."""
+        """Propose a change and return its result."""
         return await self._ask_change(lambda token: lambda voter, now: voter.propose(now, change, token))
 
     async def change_voters(self, add: str | None, remove: str | None) -> ChangeResult:
-        """Add, remove or replace a voter and return what became of it."""
+        """Add, remove or replace a voter and return the result."""
         return await self._ask_change(
             lambda token: lambda voter, now: voter.change_voters(now, add, remove, token)
         )
 
-    async def _ask_change(self, make: Callable[[int], Input]) -> ChangeResult:
+    async def _ask_change(self, make: Callable[[int], VoterInput]) -> ChangeResult:
         answer = await self._ask(make)
         if isinstance(answer, ProposalDone):
             return answer.result
         return ChangeRejected("invalid", "answered as a read")
 
     async def read(self, key: str) -> ReadDone:
-        """Read linearizably."""
+        """Read a key linearizably."""
         answer = await self._ask(lambda token: lambda voter, now: voter.read(now, key, token))
         assert isinstance(answer, ReadDone)
         return answer
 
     def transfer_leadership(self) -> None:
-        """Hand leadership to the voter that is most up to date."""
+        """Transfer leadership to the voter whose log is most up to date."""
         self._put(lambda voter, now: voter.transfer_leadership(now))
 
 
-def _overflow(role: str) -> Overflow:
-    return Overflow.DROP_OLDEST if role == "voter" else Overflow.CLOSE
+def _overflow(role: str) -> QueueOverflow:
+    return QueueOverflow.DROP_OLDEST if role == "voter" else QueueOverflow.CLOSE
--- a/merlinbay/control_service/watch_service.py
+++ b/merlinbay/control_service/watch_service.py
@@ -1,4 +1,4 @@
-"""The watches that a voter serves. Inputs are gathered until the voter's own records are on the disk."""
+"""The watches that a voter serves. Inputs wait until the voter's own records are on the disk."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class ServedKeyspace:
-    """The keyspace that watches are served from. Its revision never goes back.
+    """The keyspace that watches are served from. Its revision never decreases.
 
-    A voter that is built anew from its disk may at first know less to be committed than it has served:
-    until it has caught up, the former keyspace is served.
+    A voter that is rebuilt from its disk may know a lower commit index than it has served: the former
+    keyspace is served until the voter has caught up.
     """
 
     def __init__(self, keyspace: Keyspace) -> None:
@@ -50,7 +50,7 @@
 
 
 class WatchService:
-    """A server of watches with its streams; ``turn`` gives it what has come."""
+    """A watch server with its streams; ``turn`` processes the inputs that wait."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._served_revision = keyspace.revision
 
     def turn(self, keyspace: Keyspace, staleness: float) -> None:
-        """Take all inputs and carry out what follows; ``staleness`` is that of the voter's keyspace."""
+        """Process all inputs and carry out the effects; ``staleness`` is that of the voter's keyspace."""
         now = trio.current_time()
         self.store.offer(keyspace)
         if keyspace is self.store.current and math.isfinite(staleness):
@@ -83,7 +83,7 @@
         for effect in self.server.take_effects():
             self.streams.carry_out(effect)
 
-    async def local(self, read: Callable[[Keyspace], T]) -> T:
+    async def read_local(self, read: Callable[[Keyspace], T]) -> T:
         """Read from the keyspace at a moment when all that it holds is on the disk."""
         answers: list[T] = []
         done = trio.Event()
@@ -97,11 +97,11 @@
         return answers[0]
 
     def drain(self) -> None:
-        """Send all watches elsewhere: the process is going to end."""
+        """Send all watches to other upstreams: the process is going to end."""
         self._put(self.server.drain)
 
     def age(self) -> float:
-        """Return how long ago the served state was known to be the latest; infinity: never."""
+        """Return how long ago the served state was known to be the latest; infinity if never."""
         return self.server.staleness(trio.current_time())
 
     def next_deadline(self) -> float:
@@ -109,7 +109,7 @@
         return self.server.next_deadline()
 
     def summary(self) -> Summary:
-        """Return what the followers below have in force."""
+        """Return the revisions that the followers below have applied."""
         return self.server.summary(trio.current_time())
 
     def _put(self, item: Callable[[float], None]) -> None:
@@ -125,9 +125,9 @@
         self._put(lambda now: self.server.received(connection, frame, now))
 
     def written(self, connection: int, size: int) -> None:
-        """Hear that a frame went to the network."""
+        """Take it that a frame of ``size`` bytes was written."""
         self._put(lambda now: self.server.written(connection, size, now))
 
     def closed(self, connection: int) -> None:
-        """Hear that a stream has ended."""
+        """Take it that a stream has ended."""
         self._put(lambda now: self.server.closed(connection, now))
--- a/merlinbay/control_service/watch_streams.py
+++ b/merlinbay/control_service/watch_streams.py
@@ -16,35 +16,36 @@
     SendDownstream,
     SendUpstream,
 )
-from merlinbay.control_service.connection import Connection, Overflow
-from merlinbay.control_service.transport import Endpoint, NotConnectedError, connect
+from merlinbay.control_service.connection import FramedConnection, QueueOverflow
+from merlinbay.control_service.dialing import ConnectFailedError, connect
+from merlinbay.control_service.local_peer import LocalPeer
 
 
 class UpstreamEvents(Protocol):
-    """Who hears of upstream streams, by the number of the attempt."""
+    """Receives the events of upstream streams, by the number of the attempt."""
 
     def upstream_connected(self, attempt: int) -> None:
-        """Hear that the stream is open."""
+        """Take it that the stream is open."""
 
     def upstream_received(self, attempt: int, frame: bytes) -> None:
         """Take a frame."""
 
     def upstream_closed(self, attempt: int) -> None:
-        """Hear that the stream has ended or could not be opened."""
+        """Take it that the stream has ended or could not be opened."""
 
 
 class UpstreamStreams:
     """Opens, writes and ends the streams that a follower asks for."""
 
-    __slots__ = ("_endpoint", "_nursery", "_events", "_scopes", "_connections")
+    __slots__ = ("_local_peer", "_nursery", "_events", "_scopes", "_connections")
 
-    def __init__(self, endpoint: Endpoint, nursery: trio.Nursery, events: UpstreamEvents) -> None:
-        self._endpoint, self._nursery, self._events = endpoint, nursery, events
+    def __init__(self, local_peer: LocalPeer, nursery: trio.Nursery, events: UpstreamEvents) -> None:
+        self._local_peer, self._nursery, self._events = local_peer, nursery, events
         self._scopes: dict[int, trio.CancelScope] = {}
-        self._connections: dict[int, Connection] = {}
+        self._connections: dict[int, FramedConnection] = {}
 
     def carry_out(self, effect: Connect | SendUpstream | CloseUpstream) -> None:
-        """Do what the follower wants."""
+        """Carry out an effect of the follower."""
         if isinstance(effect, Connect):
             scope = self._scopes[effect.attempt] = trio.CancelScope()
             self._nursery.start_soon(self._run, effect, scope)
@@ -73,8 +74,8 @@
         attempt = effect.attempt
         with scope:
             try:
-                connection = await connect(self._endpoint, effect.upstream.address, Overflow.CLOSE)
-            except NotConnectedError:
+                connection = await connect(self._local_peer, effect.upstream.address, QueueOverflow.CLOSE)
+            except ConnectFailedError:
                 self._ended(attempt)
                 return
             connection.on_message = partial(self._events.upstream_received, attempt)
@@ -90,7 +91,7 @@
 
 
 class DownstreamEvents(Protocol):
-    """Who hears of downstream streams, by number."""
+    """Receives the events of downstream streams, by number."""
 
     def opened(self, connection: int) -> None:
         """Take a new stream."""
@@ -99,10 +100,10 @@
         """Take a frame."""
 
     def written(self, connection: int, size: int) -> None:
-        """Hear that a frame went to the network."""
+        """Take it that a frame of ``size`` bytes was written."""
 
     def closed(self, connection: int) -> None:
-        """Hear that a stream has ended."""
+        """Take it that a stream has ended."""
 
 
 class DownstreamStreams:
@@ -110,10 +111,10 @@
 
     def __init__(self, events: DownstreamEvents) -> None:
         self._events = events
-        self._connections: dict[int, Connection] = {}
+        self._connections: dict[int, FramedConnection] = {}
         self._last = 0
 
-    async def serve(self, connection: Connection) -> None:
+    async def serve(self, connection: FramedConnection) -> None:
         """Carry one stream to its end."""
         self._last += 1
         number = self._last
@@ -136,7 +137,7 @@
             self._events.written(number, size)
 
     def carry_out(self, effect: DownstreamEffect) -> None:
-        """Do what the server wants."""
+        """Carry out an effect of the watch server."""
         if isinstance(effect, SendDownstream):
             if effect.connection in self._connections:
                 self._connections[effect.connection].send(effect.frame)
@@ -146,8 +147,8 @@
                 connection.finish()
 
 
-class Timer:
-    """Calls ``tick`` whenever the deadline is due that ``next_deadline`` returns."""
+class DeadlineTimer:
+    """Calls ``tick`` whenever the deadline that ``next_deadline`` returns has come."""
 
     __slots__ = ("_next_deadline", "_tick", "_nap")
 
@@ -156,7 +157,7 @@
         self._nap = trio.CancelScope()
 
     def changed(self) -> None:
-        """Take it that the deadline may be another one now."""
+        """Read the deadline again."""
         self._nap.deadline = self._next_deadline()
 
     async def run(self) -> None:
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from merlinbay.control_service.settings import Section as Control
+from merlinbay.control_service.settings import ControlSection as Control
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
 from merlinbay.errors import ConfigurationError, address
--- a/merlinbay/scale/control_roles.py
+++ b/merlinbay/scale/control_roles.py
@@ -17,10 +17,11 @@
 
 from merlinbay.control.fanout.effects import StateAdvanced
 from merlinbay.control.fanout.settings import FollowerSettings
-from merlinbay.control_service import process
+from merlinbay.control_service import wiring
 from merlinbay.control_service.follower_host import FollowerHost
+from merlinbay.control_service.local_peer import LocalPeer
+from merlinbay.control_service.process import CALL_LIMITS
 from merlinbay.control_service.settings import MachineSection, load_keys
-from merlinbay.control_service.transport import Endpoint
 from merlinbay.counters import Counters
 from merlinbay.errors import address
 from merlinbay.http.routes import Routes
@@ -53,18 +54,18 @@
     def __init__(self, context: MemberContext) -> None:
         self.context = context
         self.file = control_plane.control_file(context.plan, context.run, context.number)
-        self.parts: process.Parts | None = None
+        self.parts: wiring.ProcessParts | None = None
 
     async def run(self, started: trio.Event) -> None:
         """Serve until cancelled."""
         file, log = self.file, Log(0)
-        endpoint = Endpoint(file.name, file.role(), file.fleet, load_keys(file.keys), file.bind_address())
+        local_peer = LocalPeer(file.name, file.role(), file.fleet, load_keys(file.keys), file.bind_address())
         async with trio.open_nursery() as nursery:
             if file.voter is not None:
-                parts = await process.voter_parts(file, file.voter, endpoint, log)
+                parts = await wiring.voter_parts(file, file.voter, local_peer, log)
             else:
-                parts = await process.relay_parts(file, endpoint, nursery)
-            listener = Listener(Routes([("/control", parts.calls)]), process.CALL_LIMITS, Counters(), log)
+                parts = await wiring.relay_parts(file, local_peer, nursery)
+            listener = Listener(Routes([("/control", parts.calls)]), CALL_LIMITS, Counters(), log)
             sock = await listener.bind(*address(file.operator))
             nursery.start_soon(listener.serve, sock)
             parts.start(nursery)
@@ -102,10 +103,10 @@
         context, run = self.context, self.context.run
         name = control_plane.name_of(FOLLOWER, context.number)
         keys = load_keys(str(write_keys(run)))
-        endpoint = Endpoint(name, "follower", run.folder.name, keys, context.address)
+        local_peer = LocalPeer(name, "follower", run.folder.name, keys, context.address)
         async with trio.open_nursery() as nursery:
             self.host = FollowerHost(
-                endpoint,
+                local_peer,
                 control_plane.location_of(run, context.number),
                 control_plane.watched_by(run, context.number),
                 msgspec.convert(context.plan.settings, FollowerSettings),
--- a/merlinbay/scale/control_writer.py
+++ b/merlinbay/scale/control_writer.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from merlinbay.control_service.operator_calls import Applied, ChangeRequest
+from merlinbay.control_service.call_messages import AppliedAnswer, ChangeRequest
 from merlinbay.control_service.status import ProcessStatus
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, Reply, RequestNotSentError
 from merlinbay.limits import ResourceLimits
@@ -40,7 +40,7 @@
             reply = await self._call(at, "POST", "changes", body)
             if reply is not None and reply.status == 200:
                 self.at = at
-                return msgspec.json.decode(reply.body, type=Applied).revision
+                return msgspec.json.decode(reply.body, type=AppliedAnswer).revision
             self.repeats += 1
             if reply is not None and reply.status == 307:
                 at = reply.headers["location"].removeprefix("http://").partition("/")[0]
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -24,7 +24,7 @@
 from merlinbay.control.fanout.settings import FollowerSettings
 from merlinbay.control.fanout.topology import Location, Upstream
 from merlinbay.control_service.follower_host import FollowerHost
-from merlinbay.control_service.transport import Endpoint
+from merlinbay.control_service.local_peer import LocalPeer
 from merlinbay.fleet.wire import Keys
 from merlinbay.rig.proxy import PORT, Proxies
 from merlinbay.rig.run import own_net
@@ -241,13 +241,13 @@
         saved: StateSnapshot | None = None,
     ) -> FollowerHost:
         """Start a follower in this process."""
-        endpoint = Endpoint(name, "follower", "test", self.keys, bind=self.spare_addresses[0])
+        local_peer = LocalPeer(name, "follower", "test", self.keys, bind=self.spare_addresses[0])
         known = [
             Upstream(one.name, f"{one.shown}:{PORT}", ZONE, 1 if one in self.relays else 0)
             for one in upstreams
         ]
         host = FollowerHost(
-            endpoint,
+            local_peer,
             ZONE,
             known,
             FollowerSettings(move_spread=0.5),
--- a/tests/control_scenarios.py
+++ b/tests/control_scenarios.py
@@ -14,7 +14,8 @@
 from merlinbay.control.fanout.settings import WatchServerSettings
 from merlinbay.control_service.durable_log import DurableLog
 from merlinbay.control_service.follower_host import FollowerHost
-from merlinbay.control_service.transport import Endpoint, listen_at
+from merlinbay.control_service.listening import listen_at
+from merlinbay.control_service.local_peer import LocalPeer
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.fleet.wire import Keys
 from merlinbay.log import Log
@@ -330,7 +331,7 @@
         for name in names:
             (folder / name).mkdir(parents=True)
             host = hosts[name] = VoterHost(
-                Endpoint(name, "voter", "test", keys, bind=addresses[name].split(":")[0]),
+                LocalPeer(name, "voter", "test", keys, bind=addresses[name].split(":")[0]),
                 VoterSettings(initial_voters=tuple(names)),
                 DurableLog(folder / name / "log", Log(10), RefusingEngine),
                 addresses.__getitem__,
@@ -360,11 +361,11 @@
 
         first = await change("first", names)
         full = await leading(names)
-        (folder / full.endpoint.name / "full").touch()
+        (folder / full.local_peer.name / "full").touch()
         with trio.fail_after(60):
             result = await full.propose(Change("second", "teams/second", b"{}"))
         assert not isinstance(result, ChangeApplied)
-        rest = [name for name in names if name != full.endpoint.name]
+        rest = [name for name in names if name != full.local_peer.name]
         second = await change("second", rest)
         assert second == first + 1
         with trio.fail_after(60):
@@ -373,7 +374,7 @@
         assert full.storage_failures == 1
         assert full.durable.failure
         assert full.watches.store.revision == first
-        (folder / full.endpoint.name / "full").unlink()
+        (folder / full.local_peer.name / "full").unlink()
         with trio.fail_after(60):
             while full.watches.store.revision < second:
                 assert full.watches.store.revision == first  # what was served is not taken back
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -24,7 +24,7 @@
 from merlinbay.control.consensus import messages as consensus
 from merlinbay.control.consensus import records
 from merlinbay.control.fanout import messages as fanout
-from merlinbay.control_service import durable_log, operator_calls, schema, sealing, status
+from merlinbay.control_service import call_messages, durable_log, schema, sealing, status
 from merlinbay.control_service.settings import ControlFile
 from merlinbay.core.messages import AttemptFinished, AttemptProgress, AttemptStarted
 from merlinbay.drmaa import schema as drmaa
@@ -84,7 +84,7 @@
     "control.record-checkpoint": Form(records.CheckpointRecord),
     "control.snapshot": Form(records.SnapshotData),
     "control.keyspace": Form(keyspace.KeyspaceSnapshot),
-    "control.batch": Form(list[durable_log.Entry]),
+    "control.batch": Form(list[durable_log.BatchRecord]),
     "control.vote": Form(consensus.VoteRequest),
     "control.voted": Form(consensus.VoteResponse),
     "control.append": Form(consensus.AppendRequest),
@@ -93,8 +93,8 @@
     "control.installed": Form(consensus.SnapshotResponse),
     "control.timeout-now": Form(consensus.TimeoutNow),
     "control.envelope": Form(consensus.Envelope),
-    "control.hello": Form(sealing.Hello),
-    "control.welcome": Form(sealing.Welcome),
+    "control.hello": Form(sealing.HandshakeHello),
+    "control.welcome": Form(sealing.HandshakeWelcome),
     "fanout.watch": Form(fanout.Watch),
     "fanout.progress": Form(fanout.Progress),
     "fanout.accepted": Form(fanout.Accepted),
@@ -131,12 +131,12 @@
     "drmaa.create-session": Form(drmaa.CreateSession, "json"),
     "drmaa.job-info": Form(drmaa.JobInfo, "json"),
     "drmaa.notification": Form(drmaa.Notification, "json"),
-    "control.change-request": Form(operator_calls.ChangeRequest, "json"),
-    "control.voters-request": Form(operator_calls.VotersRequest, "json"),
-    "control.voters": Form(operator_calls.Voters, "json"),
-    "control.applied": Form(operator_calls.Applied, "json"),
-    "control.entries": Form(operator_calls.Entries, "json"),
-    "control.problem": Form(operator_calls.Problem, "json"),
+    "control.change-request": Form(call_messages.ChangeRequest, "json"),
+    "control.voters-request": Form(call_messages.VotersRequest, "json"),
+    "control.voters": Form(call_messages.VoterListing, "json"),
+    "control.applied": Form(call_messages.AppliedAnswer, "json"),
+    "control.entries": Form(call_messages.KeyListing, "json"),
+    "control.problem": Form(call_messages.ErrorAnswer, "json"),
     "control.status": Form(status.ProcessStatus, "json"),
 }
 
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -16,10 +16,13 @@
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.settings import WatchServerSettings
 from merlinbay.control_service import schema, settings
-from merlinbay.control_service.connection import LENGTH, Connection, Overflow, TransportLimits
+from merlinbay.control_service.connection import FramedConnection, QueueOverflow
+from merlinbay.control_service.dialing import ConnectFailedError, connect
 from merlinbay.control_service.durable_log import DurableLog
+from merlinbay.control_service.framing import FRAME_LENGTH
+from merlinbay.control_service.listening import Acceptor, listen_at
+from merlinbay.control_service.local_peer import LocalPeer, TransportLimits
 from merlinbay.control_service.sealing import TAG_BYTES, frame_seal
-from merlinbay.control_service.transport import Acceptor, Endpoint, NotConnectedError, connect, listen_at
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.errors import ConfigurationError
 from merlinbay.fleet.wire import Keys, MessageRejectedError
@@ -139,10 +142,10 @@
     """A listener that sends every message back."""
 
     def __init__(self, keys: Keys, limits: TransportLimits) -> None:
-        self.endpoint = Endpoint("server", "relay", "fleet", keys, limits=limits)
+        self.local_peer = LocalPeer("server", "relay", "fleet", keys, limits=limits)
         self.address = ""
 
-    async def serve(self, connection: Connection) -> None:
+    async def serve(self, connection: FramedConnection) -> None:
         """Send back until the end."""
         connection.on_message = connection.send
         await connection.run()
@@ -152,19 +155,19 @@
         listening = await listen_at("127.0.0.1:0")
         self.address = f"127.0.0.1:{listening.getsockname()[1]}"
         task_status.started()
-        await Acceptor(self.endpoint, lambda role: Overflow.CLOSE, self.serve).run(listening)
+        await Acceptor(self.local_peer, lambda role: QueueOverflow.CLOSE, self.serve).run(listening)
 
 
 def test_messages_go_both_ways_and_wrong_keys_none() -> None:
     """Also with two keys while one replaces the other; sizes around the batch and up to the limit."""
 
     async def run() -> None:
-        limits = TransportLimits(frame_bytes=300_000, keepalive=0.05)
+        limits = TransportLimits(frame_bytes=300_000, keepalive_s=0.05)
         echo = Echo(Keys((b"n" * 16, b"k" * 16)), limits)
         async with trio.open_nursery() as nursery:
             await nursery.start(echo.run)
-            client = Endpoint("client", "follower", "fleet", Keys((b"k" * 16, b"n" * 16)), limits=limits)
-            connection = await connect(client, echo.address, Overflow.CLOSE)
+            client = LocalPeer("client", "follower", "fleet", Keys((b"k" * 16, b"n" * 16)), limits=limits)
+            connection = await connect(client, echo.address, QueueOverflow.CLOSE)
             assert connection.peer == "server"
             send, receive = trio.open_memory_channel[bytes](10)
             connection.on_message = send.send_nowait
@@ -173,12 +176,12 @@
                 connection.send(b"m" * size)
             assert [len(await receive.receive()) for _ in range(3)] == [1, 299_984, 3]
             for wrong in (
-                Endpoint("client", "follower", "fleet", OTHER_KEY),
-                Endpoint("client", "follower", "other", KEY),
+                LocalPeer("client", "follower", "fleet", OTHER_KEY),
+                LocalPeer("client", "follower", "other", KEY),
             ):
-                with pytest.raises(NotConnectedError):
-                    await connect(wrong, echo.address, Overflow.CLOSE)
-            assert echo.endpoint.traffic.connections_refused == 2
+                with pytest.raises(ConnectFailedError):
+                    await connect(wrong, echo.address, QueueOverflow.CLOSE)
+            assert echo.local_peer.traffic.connections_refused == 2
             assert client.traffic.messages_received == 3
             nursery.cancel_scope.cancel()
 
@@ -193,15 +196,15 @@
         echo = Echo(KEY, limits)
         async with trio.open_nursery() as nursery:
             await nursery.start(echo.run)
-            endpoint = Endpoint("client", "voter", "fleet", KEY, limits=limits)
-            lossy = await connect(endpoint, echo.address, Overflow.DROP_OLDEST)
+            local_peer = LocalPeer("client", "voter", "fleet", KEY, limits=limits)
+            lossy = await connect(local_peer, echo.address, QueueOverflow.DROP_OLDEST)
             for message in (b"1", b"2", b"3"):
                 lossy.send(message)
             send, receive = trio.open_memory_channel[bytes](10)
             lossy.on_message = send.send_nowait
             nursery.start_soon(lossy.run)
             assert [await receive.receive() for _ in range(2)] == [b"2", b"3"]
-            strict = await connect(endpoint, echo.address, Overflow.CLOSE)
+            strict = await connect(local_peer, echo.address, QueueOverflow.CLOSE)
             for message in (b"1", b"2", b"3"):
                 strict.send(message)
             await strict.run()
@@ -214,20 +217,20 @@
     """A silent connection ends; one without messages carries empty frames."""
 
     async def run() -> None:
-        echo = Echo(KEY, TransportLimits(idle=0.5))
+        echo = Echo(KEY, TransportLimits(idle_timeout_s=0.5))
         async with trio.open_nursery() as nursery:
             await nursery.start(echo.run)
-            silent = Endpoint("silent", "follower", "fleet", KEY, limits=TransportLimits(keepalive=1000.0))
-            connection = await connect(silent, echo.address, Overflow.CLOSE)
+            silent = LocalPeer("silent", "follower", "fleet", KEY, limits=TransportLimits(keepalive_s=1000.0))
+            connection = await connect(silent, echo.address, QueueOverflow.CLOSE)
             with trio.fail_after(60):
                 await connection.run()
-            alive = Endpoint("alive", "follower", "fleet", KEY, limits=TransportLimits(keepalive=0.02))
-            nursery.start_soon((await connect(alive, echo.address, Overflow.CLOSE)).run)
+            alive = LocalPeer("alive", "follower", "fleet", KEY, limits=TransportLimits(keepalive_s=0.02))
+            nursery.start_soon((await connect(alive, echo.address, QueueOverflow.CLOSE)).run)
             with trio.fail_after(60):
-                while alive.traffic.bytes_sent < 5 * (LENGTH.size + TAG_BYTES):
+                while alive.traffic.bytes_sent < 5 * (FRAME_LENGTH.size + TAG_BYTES):
                     await trio.sleep(0.02)
             assert alive.traffic.messages_sent == 0
-            assert echo.endpoint.traffic.messages_received == 0
+            assert echo.local_peer.traffic.messages_received == 0
             nursery.cancel_scope.cancel()
 
     trio.run(run)
@@ -253,7 +256,7 @@
         gate, writing = GatedEngine.gate, GatedEngine.writing
         gate.set()
         host = VoterHost(
-            Endpoint("v0", "voter", "test", KEY),
+            LocalPeer("v0", "voter", "test", KEY),
             VoterSettings(initial_voters=("v0",)),
             DurableLog(tmp_path / "log", Log(10), GatedEngine),
             lambda name: "",
@@ -272,7 +275,7 @@
             seen.append("answer")
 
         async def read() -> None:
-            assert await host.watches.local(lambda keyspace: keyspace.revision) == 2
+            assert await host.watches.read_local(lambda keyspace: keyspace.revision) == 2
             seen.append("read")
 
         async with trio.open_nursery() as nursery:
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -127,14 +127,14 @@
     """Let a follower begin its next attempt and say Watch."""
     one.tick(now)
     connect = [effect for effect in one.take_effects() if isinstance(effect, Connect)][-1]
-    one.connected(connect.attempt, now)
+    one.upstream_connected(connect.attempt, now)
     return connect
 
 
 def give(one: Follower, link: Connect, *said: ServerMessage, now: float = 1.0) -> list[object]:
     """Hand messages to a follower; return what it wants done."""
     for message in said:
-        one.received(link.attempt, messages.encode(message), now)
+        one.upstream_received(link.attempt, messages.encode(message), now)
     return list(one.take_effects())
 
 
@@ -171,7 +171,7 @@
     watcher.watch(0)
     server.received(1, frame, 0.0)
     link = watching(one, 0)
-    one.received(link.attempt, frame, 1.0)
+    one.upstream_received(link.attempt, frame, 1.0)
     assert one.revision == 0
 
 
@@ -389,7 +389,7 @@
     link = watching(one, 9)
     give(one, link, *parts[:-1])
     assert one.snapshot() == STATE
-    one.closed(link.attempt, 2.0)
+    one.upstream_closed(link.attempt, 2.0)
     again = watching(one, 9, now=4.0)
     assert one.snapshot() == STATE
     effects = give(one, again, *parts, now=4.0)
@@ -651,7 +651,7 @@
     waits = []
     now = 1.0
     for _ in range(60):
-        one.closed(attempt(one, now).attempt, now)
+        one.upstream_closed(attempt(one, now).attempt, now)
         waits.append(one.next_deadline() - now)
         now = one.next_deadline()
     assert max(waits[:2]) <= 2 * 2 * FOLLOWER.backoff_first
@@ -682,7 +682,7 @@
         one.tick(now)
         for effect in one.take_effects():
             if isinstance(effect, Connect):
-                one.connected(effect.attempt, now)
+                one.upstream_connected(effect.attempt, now)
                 return effect, now
 
 
@@ -711,7 +711,7 @@
 def test_a_watch_far_away_goes_home_without_a_gap() -> None:
     """Once the near relay takes it again."""
     one = follower()
-    one.closed(attempt(one).attempt, 1.0)
+    one.upstream_closed(attempt(one).attempt, 1.0)
     far = watching(one, 0, now=5.0)
     assert one.upstream == SECOND
     now = 5.0
@@ -721,7 +721,7 @@
         one.tick(now)
         for effect in one.take_effects():
             if isinstance(effect, Connect):
-                one.connected(effect.attempt, now)
+                one.upstream_connected(effect.attempt, now)
                 give(one, effect, Accepted(GENERATION, 0, 0), now=now)
     assert one.upstream == FIRST and one.counters.lost == 0
     assert FOLLOWER.prefer_again <= now - 5.0 <= 2 * FOLLOWER.prefer_again + 1
@@ -734,7 +734,7 @@
     for number in range(200):
         one = Follower(f"m{number}", HERE, [FIRST, SECOND], FOLLOWER, rng)
         one.start(0.0)
-        one.closed(watching(one, 0, now=2.0).attempt, 3.0)
+        one.upstream_closed(watching(one, 0, now=2.0).attempt, 3.0)
         waits.append(one.next_deadline() - 3.0)
     tenths = [
         sum(tenth <= 10 * wait / FOLLOWER.move_spread < tenth + 1 for wait in waits) for tenth in range(10)
@@ -756,7 +756,7 @@
     """Even where another has failed as often."""
     one = follower()
     give(one, attempt(one), Busy(BusyReason.FULL, 20_000))
-    one.closed(attempt(one, 4.0).attempt, 4.0)
+    one.upstream_closed(attempt(one, 4.0).attempt, 4.0)
     assert attempt(one, 9.0).upstream == SECOND
 
 
