--- a/bench/control.py
+++ b/bench/control.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 
 from bench.control_mutants import MUTANTS, Mutant
-from merlinbay.control.simulation.core import raft
-from merlinbay.control.simulation.history import History, Kind
+from merlinbay.control.simulation.core_under_test import raft
+from merlinbay.control.simulation.history import History, OperationKind
 from merlinbay.control.simulation.scenario import CUT_OFF_AT, HOUR, REGIONS, draw, draw_partition
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
@@ -25,7 +25,7 @@
     voters_of_two_leaders,
 )
 from merlinbay.control.simulation.shrink import shrink
-from merlinbay.control.simulation.world import Run, play
+from merlinbay.control.simulation.simulation import SimulationRun, play
 
 TRACE_LINES = 60
 MOST_MUTANT_SEEDS = 600
@@ -34,12 +34,12 @@
 MOST_SHOWN = 5  # failing seeds and violations that are printed in full
 
 
-def run_seed(seed: int) -> Run:
+def run_seed(seed: int) -> SimulationRun:
     """Play the scenario of a seed with the core as it is."""
     return play(draw(seed), raft(seed))
 
 
-def report(run: Run) -> Iterator[str]:
+def report(run: SimulationRun) -> Iterator[str]:
     """Yield what a run broke, and the end of its trace up to there."""
     for violation in run.violations[:MOST_SHOWN]:
         yield f"  {violation.check}: {violation.detail}"
@@ -52,8 +52,8 @@
     """Return how much a run did."""
     complete = [one for one in history.operations if one.complete]
     return Counter(
-        changes=sum(one.kind is Kind.CHANGE for one in complete),
-        reads=sum(one.kind is Kind.READ for one in complete),
+        changes=sum(one.kind is OperationKind.CHANGE for one in complete),
+        reads=sum(one.kind is OperationKind.READ for one in complete),
         open=len(history.operations) - len(complete),
         attempts=len(history.attempts),
         leaders=len(history.leaders),
@@ -158,7 +158,7 @@
     return broken
 
 
-def partition_line(run: Run) -> str:
+def partition_line(run: SimulationRun) -> str:
     """Return what the two sides did while they were apart, and what they came to."""
     scenario, history = run.scenario, run.history
     inside = {name for name in scenario.voters if scenario.regions[name] == REGIONS[0]}
--- a/merlinbay/control/consensus/following.py
+++ b/merlinbay/control/consensus/follower_replication.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass, field
 
-from merlinbay.control.consensus.core import Core
 from merlinbay.control.consensus.log import LogEntry
 from merlinbay.control.consensus.messages import (
     AppendRequest,
@@ -12,6 +11,7 @@
     SnapshotRequest,
     SnapshotResponse,
 )
+from merlinbay.control.consensus.raft_state import RaftState
 from merlinbay.control.consensus.records import decode_snapshot
 from merlinbay.control.keyspace import SnapshotError
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Assembly:
+class SnapshotAssembly:
     """A snapshot of which some chunks have arrived."""
 
     leader: str
@@ -28,53 +28,53 @@
     data: bytearray = field(default_factory=bytearray)
 
 
-class Following:
+class FollowerReplication:
     """Takes what the leader of the current term sends."""
 
-    def __init__(self, core: Core) -> None:
-        self.core = core
-        self.assembly: Assembly | None = None
+    def __init__(self, raft: RaftState) -> None:
+        self.raft = raft
+        self.assembly: SnapshotAssembly | None = None
 
     def on_append(self, leader: str, request: AppendRequest) -> None:
         """Add entries after the one on which both logs agree, and answer."""
-        core = self.core
+        raft = self.raft
         previous, entries = request.previous_index, request.entries
-        if previous < core.commit_index:
+        if previous < raft.commit_index:
             # What is committed is the same on both sides: an old or repeated message needs no look at it.
             end = previous + len(entries)
-            entries = entries[core.commit_index - previous :]
-            previous = core.commit_index
-            matched = max(end, core.commit_index)
-        elif core.log.term_at(previous) != request.previous_term:
+            entries = entries[raft.commit_index - previous :]
+            previous = raft.commit_index
+            matched = max(end, raft.commit_index)
+        elif raft.log.term_at(previous) != request.previous_term:
             self._answer(leader, request, self._hint(previous), success=False)
             return
         else:
             matched = previous + len(entries)
         self._add(entries)
-        core.commit_to(min(request.commit_index, matched))
+        raft.commit_to(min(request.commit_index, matched))
         self._answer(leader, request, matched, success=True)
 
     def _hint(self, previous: int) -> int:
         """Return where the logs may agree: before the whole term that differs, so that tries are few."""
-        log = self.core.log
+        log = self.raft.log
         if previous > log.last_index:
             return log.last_index
-        return max(log.first_index_of_term(previous) - 1, self.core.commit_index)
+        return max(log.first_index_of_term(previous) - 1, self.raft.commit_index)
 
     def _add(self, entries: tuple[LogEntry, ...]) -> None:
         """Add those that are new. Those that agree stay, also where the message ends before the log does."""
         for position, entry in enumerate(entries):
-            if self.core.log.term_at(entry.index) != entry.term:
-                self.core.append(list(entries[position:]))
+            if self.raft.log.term_at(entry.index) != entry.term:
+                self.raft.append(list(entries[position:]))
                 return
 
     def _answer(self, leader: str, request: AppendRequest, index: int, success: bool) -> None:
-        self.core.send(leader, AppendResponse(self.core.term, request.round, index, success))
+        self.raft.send(leader, AppendResponse(self.raft.term, request.round, index, success))
 
     def on_snapshot(self, leader: str, request: SnapshotRequest) -> None:
         """Take a chunk; install the snapshot with the last one."""
-        core = self.core
-        if request.index <= core.commit_index:
+        raft = self.raft
+        if request.index <= raft.commit_index:
             self.assembly = None
             self._answer_snapshot(leader, request, 0, installed=True)
             return
@@ -89,10 +89,10 @@
                 return
         self._answer_snapshot(leader, request, len(assembly.data), installed=False)
 
-    def _assembly(self, leader: str, request: SnapshotRequest) -> Assembly:
+    def _assembly(self, leader: str, request: SnapshotRequest) -> SnapshotAssembly:
         found = self.assembly
         if found is None or (found.leader, found.term, found.index) != (leader, request.term, request.index):
-            found = self.assembly = Assembly(leader, request.term, request.index)
+            found = self.assembly = SnapshotAssembly(leader, request.term, request.index)
         return found
 
     def _install(self, leader: str, request: SnapshotRequest, data: bytes) -> None:
@@ -105,14 +105,14 @@
             self._reject()
             return
         self.assembly = None
-        self.core.install(snapshot, keyspace)
+        self.raft.install(snapshot, keyspace)
         self._answer_snapshot(leader, request, len(data), installed=True)
 
     def _reject(self) -> None:
         self.assembly = None
-        self.core.counters.impossible_messages += 1
+        self.raft.counters.impossible_messages += 1
 
     def _answer_snapshot(self, leader: str, request: SnapshotRequest, received: int, installed: bool) -> None:
-        self.core.send(
-            leader, SnapshotResponse(self.core.term, request.round, request.index, received, installed)
+        self.raft.send(
+            leader, SnapshotResponse(self.raft.term, request.round, request.index, received, installed)
         )
--- a/merlinbay/control/consensus/leadership.py
+++ b/merlinbay/control/consensus/leadership.py
@@ -4,16 +4,16 @@
 
 from dataclasses import dataclass
 
-from merlinbay.control.consensus.core import Core
-from merlinbay.control.consensus.membership import Member
+from merlinbay.control.consensus.membership import VoterIdentity
 from merlinbay.control.consensus.messages import TimeoutNow
+from merlinbay.control.consensus.raft_state import RaftState
 from merlinbay.control.consensus.reconfiguration import Reconfiguration
-from merlinbay.control.consensus.replication import Replication
-from merlinbay.control.consensus.requests import Requests
+from merlinbay.control.consensus.replication import LeaderReplication
+from merlinbay.control.consensus.requests import ClientRequests
 
 
 @dataclass(slots=True)
-class Transfer:
+class LeadershipTransfer:
     """Leadership that is being handed over. No proposals are taken in the meantime."""
 
     target: str
@@ -24,21 +24,21 @@
 class Leadership:
     """The time from one won election to the step down."""
 
-    def __init__(self, core: Core, founders: tuple[Member, ...]) -> None:
-        self.core = core
-        self.replication = Replication(core, founders)
-        self.requests = Requests(core, self.replication)
-        self.reconfiguration = Reconfiguration(core, self.replication)
-        self.transfer: Transfer | None = None
+    def __init__(self, raft: RaftState, founders: tuple[VoterIdentity, ...]) -> None:
+        self.raft = raft
+        self.replication = LeaderReplication(raft, founders)
+        self.requests = ClientRequests(raft, self.replication)
+        self.reconfiguration = Reconfiguration(raft, self.replication)
+        self.transfer: LeadershipTransfer | None = None
         self.replication.begin_round()
 
     @property
     def lease_until(self) -> float:
         """Return until when a majority's confirmation holds."""
-        core = self.core
-        if core.log.configuration.names == (core.name,):
-            return core.now + core.settings.lease
-        return self.replication.confirmed_at() + core.settings.lease
+        raft = self.raft
+        if raft.log.configuration.names == (raft.name,):
+            return raft.now + raft.settings.lease
+        return self.replication.confirmed_at() + raft.settings.lease
 
     def advance(self) -> bool:
         """Do all that has become possible; return whether this leader goes on."""
@@ -55,15 +55,15 @@
         return True
 
     def _commit(self) -> None:
-        self.requests.applied(self.core.commit_to(self.replication.committable()))
+        self.requests.applied(self.raft.commit_to(self.replication.committable()))
 
     def tick(self) -> None:
         """Do what is due."""
-        if self.transfer is not None and self.transfer.deadline <= self.core.now:
+        if self.transfer is not None and self.transfer.deadline <= self.raft.now:
             self.transfer = None
         self.requests.expire()
         self.reconfiguration.expire()
-        if self.replication.next_heartbeat <= self.core.now:
+        if self.replication.next_heartbeat <= self.raft.now:
             self.replication.begin_round()
 
     def next_deadline(self) -> float:
@@ -80,30 +80,30 @@
 
     def start_transfer(self) -> None:
         """Choose who takes over: the most complete log, then the own region."""
-        core, progress = self.core, self.replication.progress
+        raft, progress = self.raft, self.replication.progress
         candidates = [
             member.name
-            for member in core.log.configuration.members
-            if member != core.identity and progress[member.name].incarnation == member.incarnation
+            for member in raft.log.configuration.members
+            if member != raft.identity and progress[member.name].incarnation == member.incarnation
         ]
         if not candidates or self.transfer is not None:
             return
 
         def preference(name: str) -> tuple[int, int, bool, str]:
-            same_region = core.settings.region(name) == core.settings.region(core.name)
+            same_region = raft.settings.region(name) == raft.settings.region(raft.name)
             return progress[name].match_index, progress[name].acked_round, same_region, name
 
-        deadline = core.now + core.settings.election_timeout
-        self.transfer = Transfer(max(candidates, key=preference), deadline)
+        deadline = raft.now + raft.settings.election_timeout
+        self.transfer = LeadershipTransfer(max(candidates, key=preference), deadline)
 
     def _go_on_with_transfer(self) -> None:
         transfer = self.transfer
         if transfer is None or transfer.asked:
             return
         progress = self.replication.progress.get(transfer.target)
-        if progress is not None and progress.match_index == self.core.log.last_index:
+        if progress is not None and progress.match_index == self.raft.log.last_index:
             transfer.asked = True
-            self.core.send(transfer.target, TimeoutNow(self.core.term))
+            self.raft.send(transfer.target, TimeoutNow(self.raft.term))
 
     def give_up(self) -> None:
         """Answer all that is open: leadership is lost."""
--- a/merlinbay/control/consensus/log.py
+++ b/merlinbay/control/consensus/log.py
@@ -12,8 +12,8 @@
 
 ENTRY_OVERHEAD_BYTES = 96  # of an encoded entry beyond key, value and id; of a member of a configuration too
 
-MAX_COUNT = 2**62
-Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]  # indexes, terms, rounds
+MAX_LOG_NUMBER = 2**62
+LogNumber = Annotated[int, msgspec.Meta(ge=0, le=MAX_LOG_NUMBER)]  # indexes, terms, rounds
 
 
 class Noop(msgspec.Struct, frozen=True, tag="noop"):
@@ -23,8 +23,8 @@
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry."""
 
-    index: Count
-    term: Count
+    index: LogNumber
+    term: LogNumber
     command: Noop | Configuration | Change
 
 
@@ -44,7 +44,7 @@
     return ENTRY_OVERHEAD_BYTES
 
 
-class Log:
+class ReplicatedLog:
     """Entries from ``base_index + 1`` on; those before are only known by a snapshot, at or after the base."""
 
     def __init__(
--- a/merlinbay/control/consensus/membership.py
+++ b/merlinbay/control/consensus/membership.py
@@ -12,14 +12,14 @@
 MAX_JOINING = 8  # voters that catch up at the same time
 
 
-class Member(msgspec.Struct, frozen=True, array_like=True):
+class VoterIdentity(msgspec.Struct, frozen=True, array_like=True):
     """A voter with its disk."""
 
     name: str
     incarnation: str
 
 
-class Joining(msgspec.Struct, frozen=True, array_like=True):
+class JoiningVoter(msgspec.Struct, frozen=True, array_like=True):
     """A server that gets the log, and becomes a voter once it has caught up."""
 
     name: str
@@ -29,8 +29,8 @@
 class Configuration(msgspec.Struct, frozen=True, tag="configuration"):
     """The voters, and who is to become one; in force from the moment it stands in the log."""
 
-    members: tuple[Member, ...] = ()
-    joining: tuple[Joining, ...] = ()
+    members: tuple[VoterIdentity, ...] = ()
+    joining: tuple[JoiningVoter, ...] = ()
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -48,13 +48,13 @@
 
     def admits(self, name: str, incarnation: str) -> bool:
         """Return whether this server, with this disk, is a voter."""
-        return Member(name, incarnation) in self.members
+        return VoterIdentity(name, incarnation) in self.members
 
     def receivers(self) -> set[str]:
         """Return who gets the log."""
         return {*self.names, *(one.name for one in self.joining)}
 
-    def with_joining(self, joining: Joining) -> Configuration:
+    def with_joining(self, joining: JoiningVoter) -> Configuration:
         """Return it with one more server that catches up."""
         others = tuple(one for one in self.joining if one.name != joining.name)
         return Configuration(self.members, (*others, joining))
@@ -70,7 +70,7 @@
         """Return it without this voter, whose successor may still be joining."""
         return Configuration(self.without(name).members, self.joining)
 
-    def with_member(self, member: Member) -> Configuration:
+    def with_member(self, member: VoterIdentity) -> Configuration:
         """Return it with one more voter, which was joining."""
         members = tuple(sorted((*self.members, member), key=lambda one: one.name))
         return Configuration(members, tuple(one for one in self.joining if one.name != member.name))
--- a/merlinbay/control/consensus/messages.py
+++ b/merlinbay/control/consensus/messages.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from merlinbay.control.consensus.log import Count, LogEntry
-from merlinbay.control.consensus.membership import Member
+from merlinbay.control.consensus.log import LogEntry, LogNumber
+from merlinbay.control.consensus.membership import VoterIdentity
 
 MESSAGE_VERSION = 1
 
-Seconds = Annotated[float, msgspec.Meta(ge=0)]
+NonNegativeSeconds = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="vote"):
     """A candidate asks for a vote in ``term``."""
 
-    term: Count
-    last_index: Count
-    last_term: Count
+    term: LogNumber
+    last_index: LogNumber
+    last_term: LogNumber
     pre: bool = False  # only asks whether the vote would be given; nothing is promised
     transfer: bool = False  # the leader asked the candidate to take over
     founding: tuple[str, ...] = ()  # the first election of all: the initial voters' names
@@ -28,8 +28,8 @@
 class VoteResponse(msgspec.Struct, frozen=True, tag="voted"):
     """The answer; ``candidate`` is the one voted for, with its disk."""
 
-    term: Count  # of the request where the vote is granted, of the voter where it is not
-    candidate: Member
+    term: LogNumber  # of the request where the vote is granted, of the voter where it is not
+    candidate: VoterIdentity
     granted: bool
     pre: bool = False
 
@@ -37,31 +37,31 @@
 class AppendRequest(msgspec.Struct, frozen=True, tag="append"):
     """A leader's entries after ``previous_index``; without entries, a heartbeat."""
 
-    term: Count
-    round: Count
-    previous_index: Count
-    previous_term: Count
-    commit_index: Count
+    term: LogNumber
+    round: LogNumber
+    previous_index: LogNumber
+    previous_term: LogNumber
+    commit_index: LogNumber
     entries: tuple[LogEntry, ...] = ()
-    age: Seconds = 0.0  # since when the leader has not been confirmed by a majority
+    age: NonNegativeSeconds = 0.0  # since when the leader has not been confirmed by a majority
 
 
 class AppendResponse(msgspec.Struct, frozen=True, tag="appended"):
     """The answer: the log agrees with the leader's up to ``index``, or may agree at or before it."""
 
-    term: Count
-    round: Count  # of the request
-    index: Count
+    term: LogNumber
+    round: LogNumber  # of the request
+    index: LogNumber
     success: bool
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag="snapshot"):
     """One chunk of the leader's snapshot."""
 
-    term: Count
-    round: Count
-    index: Count  # the last entry that the snapshot contains
-    offset: Count
+    term: LogNumber
+    round: LogNumber
+    index: LogNumber  # the last entry that the snapshot contains
+    offset: LogNumber
     data: bytes
     done: bool
 
@@ -69,20 +69,20 @@
 class SnapshotResponse(msgspec.Struct, frozen=True, tag="snapshotted"):
     """How much of the snapshot has arrived; ``installed`` once it is stored."""
 
-    term: Count
-    round: Count
-    index: Count
-    received: Count
+    term: LogNumber
+    round: LogNumber
+    index: LogNumber
+    received: LogNumber
     installed: bool
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="timeout_now"):
     """The leader asks the receiver to hold an election at once."""
 
-    term: Count
+    term: LogNumber
 
 
-Message = (
+VoterMessage = (
     VoteRequest
     | VoteResponse
     | AppendRequest
@@ -93,12 +93,12 @@
 )
 
 
-class Envelope(msgspec.Struct, frozen=True, array_like=True):
+class VoterEnvelope(msgspec.Struct, frozen=True, array_like=True):
     """A message with the version of the format and the disk of its sender."""
 
     version: int
     incarnation: str
-    message: Message
+    message: VoterMessage
 
 
 class UnreadableMessageError(Exception):
@@ -106,15 +106,15 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Envelope)
+_decoder = msgspec.msgpack.Decoder(VoterEnvelope)
 
 
-def encode(incarnation: str, message: Message) -> bytes:
+def encode(incarnation: str, message: VoterMessage) -> bytes:
     """Return the bytes of a message."""
-    return _encoder.encode(Envelope(MESSAGE_VERSION, incarnation, message))
+    return _encoder.encode(VoterEnvelope(MESSAGE_VERSION, incarnation, message))
 
 
-def decode(data: bytes) -> Envelope:
+def decode(data: bytes) -> VoterEnvelope:
     """Read a message. Raises ``UnreadableMessageError``."""
     try:
         envelope = _decoder.decode(data)
--- a/merlinbay/control/consensus/core.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -10,19 +10,19 @@
 
 from merlinbay.control.consensus import records
 from merlinbay.control.consensus.log import LogEntry
-from merlinbay.control.consensus.membership import Member
-from merlinbay.control.consensus.messages import Message, encode
-from merlinbay.control.consensus.roles import TRANSITIONS, Role
+from merlinbay.control.consensus.membership import VoterIdentity
+from merlinbay.control.consensus.messages import VoterMessage, encode
+from merlinbay.control.consensus.roles import TRANSITIONS, VoterRole
 from merlinbay.control.consensus.settings import VoterSettings
-from merlinbay.control.effects import Effect, Persist, Send
+from merlinbay.control.effects import Persist, SendMessage, VoterEffect
 from merlinbay.control.entries import Change, ChangeResult
 from merlinbay.control.keyspace import Keyspace
 
-LEAST_CANDIDACY = 0.3  # of an election timeout: above a round trip between regions
+LEAST_CANDIDACY_SHARE = 0.3  # of an election timeout: above a round trip between regions
 
 
 @dataclass(slots=True)
-class Counters:
+class VoterCounters:
     """What happened since the start."""
 
     unreadable_messages: int = 0
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedChange:
     """A change that was applied to the keyspace."""
 
     index: int
@@ -48,7 +48,7 @@
     return hashlib.blake2b(drawn, digest_size=8).hexdigest()
 
 
-class Core:
+class RaftState:
     """Term, vote, log, applied state and role of one voter, with the effects not taken yet."""
 
     def __init__(
@@ -58,21 +58,21 @@
         self.settings = settings
         self.random = random
         self.now = now
-        self.effects: list[Effect] = []
-        self.counters = Counters()
+        self.effects: list[VoterEffect] = []
+        self.counters = VoterCounters()
         self.term = state.term
         self.voted_for = state.voted_for
         self.log = state.log
         self.snapshot = state.snapshot
         self.keyspace = state.keyspace
-        self.role = Role.FOLLOWER
+        self.role = VoterRole.FOLLOWER
         self.leader = ""
         self.heard_leader_at = -math.inf
         self.current_at = -math.inf  # the applied state had all that was committed then, as far as known
         self.election_deadline = math.inf
         self.commit_index = state.snapshot.index if state.snapshot is not None else 0
         if state.identity is None:
-            self.identity = Member(name, new_incarnation(random, now))
+            self.identity = VoterIdentity(name, new_incarnation(random, now))
             self._persist(records.IdentityRecord(self.identity))
         else:
             self.identity = state.identity
@@ -94,7 +94,7 @@
         """Return whether an entry of the current term is committed, and so all entries of earlier leaders."""
         return self.log.term_at(self.commit_index) == self.term
 
-    def become(self, role: Role) -> None:
+    def become(self, role: VoterRole) -> None:
         """Change the role."""
         if role not in TRANSITIONS[self.role]:
             raise AssertionError(f"{self.role.value} becomes {role.value}")
@@ -106,27 +106,27 @@
 
     def restart_candidacy_timer(self) -> None:
         """Wait for votes: shorter, since no leader is there whom another election could disturb."""
-        share = LEAST_CANDIDACY + (1 - LEAST_CANDIDACY) * self.random.random()
+        share = LEAST_CANDIDACY_SHARE + (1 - LEAST_CANDIDACY_SHARE) * self.random.random()
         self.election_deadline = self.now + self.settings.election_timeout * share
 
     def step_down(self, term: int, leader: str = "") -> None:
         """Become a follower in ``term``."""
-        if self.role is Role.LEADER:
+        if self.role is VoterRole.LEADER:
             self.counters.leaderships_lost += 1
             self.restart_election_timer()
         if term > self.term:
             self.set_term(term, None)
-        self.become(Role.FOLLOWER)
+        self.become(VoterRole.FOLLOWER)
         self.leader = leader
 
-    def send(self, receiver: str, message: Message) -> None:
+    def send(self, receiver: str, message: VoterMessage) -> None:
         """Send a message once all that was persisted before is stored."""
-        self.effects.append(Send(receiver, encode(self.identity.incarnation, message)))
+        self.effects.append(SendMessage(receiver, encode(self.identity.incarnation, message)))
 
-    def _persist(self, record: records.Record, replaces_all: bool = False) -> None:
+    def _persist(self, record: records.VoterRecord, replaces_all: bool = False) -> None:
         self.effects.append(Persist(records.encode_record(record), replaces_all))
 
-    def set_term(self, term: int, voted_for: Member | None) -> None:
+    def set_term(self, term: int, voted_for: VoterIdentity | None) -> None:
         """Enter a term, or vote in it."""
         if (term, voted_for) != (self.term, self.voted_for):
             self.term, self.voted_for = term, voted_for
@@ -139,14 +139,14 @@
         self.log.append(entries)
         self._persist(records.EntriesRecord(self.commit_index, entries))
 
-    def commit_to(self, index: int) -> list[Applied]:
+    def commit_to(self, index: int) -> list[AppliedChange]:
         """Apply the entries up to ``index``, which are committed."""
-        applied: list[Applied] = []
+        applied: list[AppliedChange] = []
         while self.commit_index < index:
             self.commit_index += 1
             entry = self.log.get(self.commit_index)
             if entry is not None and isinstance(entry.command, Change):
-                applied.append(Applied(entry.index, self.keyspace.apply(entry.command)))
+                applied.append(AppliedChange(entry.index, self.keyspace.apply(entry.command)))
         self._bound_history()
         return applied
 
--- a/merlinbay/control/consensus/reconfiguration.py
+++ b/merlinbay/control/consensus/reconfiguration.py
@@ -15,10 +15,10 @@
 
 from dataclasses import dataclass
 
-from merlinbay.control.consensus.core import Core
-from merlinbay.control.consensus.membership import MAX_JOINING, Configuration, Joining, Member
-from merlinbay.control.consensus.progress import Mode
-from merlinbay.control.consensus.replication import Replication
+from merlinbay.control.consensus.membership import MAX_JOINING, Configuration, JoiningVoter, VoterIdentity
+from merlinbay.control.consensus.progress import ReplicationMode
+from merlinbay.control.consensus.raft_state import RaftState
+from merlinbay.control.consensus.replication import LeaderReplication
 from merlinbay.control.effects import ProposalDone
 from merlinbay.control.entries import ChangeApplied, ChangeRejected, ChangeUncertain
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class PendingVoters:
+class PendingVoterChange:
     """A change of voters that was asked for."""
 
     token: int
@@ -39,21 +39,21 @@
 class Reconfiguration:
     """The changes of voters of one leadership."""
 
-    def __init__(self, core: Core, replication: Replication) -> None:
-        self.core = core
+    def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
+        self.raft = raft
         self.replication = replication
-        self.pending: PendingVoters | None = None
+        self.pending: PendingVoterChange | None = None
 
     def request(self, add: str | None, remove: str | None, token: int) -> ChangeRejected | None:
         """Take a change of voters; return why not."""
-        configuration = self.core.log.configuration
+        configuration = self.raft.log.configuration
         if self.pending is not None:
             return ChangeRejected("overloaded", "another change of voters is under way")
         problem = self._problem(configuration, add, remove)
         if problem:
             return ChangeRejected("invalid", problem)
-        deadline = self.core.now + self.core.settings.voters_timeout
-        self.pending = PendingVoters(token, add, remove, deadline)
+        deadline = self.raft.now + self.raft.settings.voters_timeout
+        self.pending = PendingVoterChange(token, add, remove, deadline)
         return None
 
     def _problem(self, configuration: Configuration, add: str | None, remove: str | None) -> str:
@@ -72,8 +72,8 @@
 
     def drive(self) -> bool:
         """Take the next step if there is one; return whether the configuration changed."""
-        core = self.core
-        if not core.own_term_committed or core.log.configuration_index > core.commit_index:
+        raft = self.raft
+        if not raft.own_term_committed or raft.log.configuration_index > raft.commit_index:
             return False
         self._answer_if_done()
         following = self._requested() or self._lost_disk() or self._joined()
@@ -83,7 +83,7 @@
         return True
 
     def _answer_if_done(self) -> None:
-        pending, configuration = self.pending, self.core.log.configuration
+        pending, configuration = self.pending, self.raft.log.configuration
         if pending is None or not pending.started:
             return
         if pending.add and pending.add not in configuration.names:
@@ -93,23 +93,23 @@
         if pending.remove and pending.remove != pending.add and pending.remove in configuration.names:
             return
         self.pending = None
-        result = ChangeApplied(self.core.keyspace.revision)
-        self.core.effects.append(ProposalDone(pending.token, result))
+        result = ChangeApplied(self.raft.keyspace.revision)
+        self.raft.effects.append(ProposalDone(pending.token, result))
 
     def _requested(self) -> Configuration | None:
         """Return the first step of the change that was asked for."""
-        pending, configuration = self.pending, self.core.log.configuration
+        pending, configuration = self.pending, self.raft.log.configuration
         if pending is None or pending.started:
             return None
         pending.started = True
         if pending.add:
-            return configuration.with_joining(Joining(pending.add, pending.remove or ""))
+            return configuration.with_joining(JoiningVoter(pending.add, pending.remove or ""))
         assert pending.remove is not None
         return configuration.without(pending.remove)
 
     def _lost_disk(self) -> Configuration | None:
         """Return a configuration in which a voter whose disk was lost is joining."""
-        configuration = self.core.log.configuration
+        configuration = self.raft.log.configuration
         joining = {one.name for one in configuration.joining}
         if len(joining) >= MAX_JOINING:
             return None
@@ -117,12 +117,12 @@
             progress = self.replication.progress.get(member.name)
             if member.name in joining or progress is None or progress.incarnation == member.incarnation:
                 continue
-            return configuration.with_joining(Joining(member.name, member.name))
+            return configuration.with_joining(JoiningVoter(member.name, member.name))
         return None
 
     def _joined(self) -> Configuration | None:
         """Return the next step for the first joining server that has caught up."""
-        configuration = self.core.log.configuration
+        configuration = self.raft.log.configuration
         for joining in configuration.joining:
             if not self._caught_up(joining.name):
                 continue
@@ -133,20 +133,20 @@
             if joining.replaces in configuration.names and len(configuration.members) > 1:
                 return configuration.without_member(joining.replaces)
             if joining.name not in configuration.names:
-                return configuration.with_member(Member(joining.name, incarnation))
+                return configuration.with_member(VoterIdentity(joining.name, incarnation))
         return None
 
     def _caught_up(self, name: str) -> bool:
         progress = self.replication.progress.get(name)
-        if progress is None or not progress.incarnation or progress.mode is not Mode.REPLICATE:
+        if progress is None or not progress.incarnation or progress.mode is not ReplicationMode.REPLICATE:
             return False
-        log = self.core.log
+        log = self.raft.log
         return progress.match_index >= max(log.configuration_index, log.last_index - CAUGHT_UP_ENTRIES)
 
     def must_step_down(self) -> bool:
         """Return whether a configuration without this leader is committed."""
-        log = self.core.log
-        return not self.core.is_member and log.configuration_index <= self.core.commit_index
+        log = self.raft.log
+        return not self.raft.is_member and log.configuration_index <= self.raft.commit_index
 
     def next_deadline(self) -> float:
         """Return when the change has taken too long."""
@@ -154,11 +154,11 @@
 
     def expire(self) -> None:
         """Answer a change that takes too long; the next step may be taken all the same."""
-        if self.pending is not None and self.pending.deadline <= self.core.now:
+        if self.pending is not None and self.pending.deadline <= self.raft.now:
             self.give_up()
 
     def give_up(self) -> None:
         """Answer as uncertain."""
         if self.pending is not None:
-            self.core.effects.append(ProposalDone(self.pending.token, ChangeUncertain()))
+            self.raft.effects.append(ProposalDone(self.pending.token, ChangeUncertain()))
             self.pending = None
--- a/merlinbay/control/consensus/records.py
+++ b/merlinbay/control/consensus/records.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from merlinbay.control.consensus.log import Log, LogEntry
-from merlinbay.control.consensus.membership import Configuration, Member
+from merlinbay.control.consensus.log import LogEntry, ReplicatedLog
+from merlinbay.control.consensus.membership import Configuration, VoterIdentity
 from merlinbay.control.keyspace import Keyspace, SnapshotError
 
 RECORD_VERSION = 1
@@ -21,7 +21,7 @@
 class IdentityRecord(msgspec.Struct, frozen=True, tag="identity"):
     """The first record of a disk."""
 
-    identity: Member
+    identity: VoterIdentity
     version: int = RECORD_VERSION
 
 
@@ -29,7 +29,7 @@
     """The current term, and the vote in it; stored before either is said."""
 
     term: int
-    voted_for: Member | None
+    voted_for: VoterIdentity | None
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
@@ -52,9 +52,9 @@
 class CheckpointRecord(msgspec.Struct, frozen=True, tag="checkpoint"):
     """All of a voter's state, in place of all records before."""
 
-    identity: Member
+    identity: VoterIdentity
     term: int
-    voted_for: Member | None
+    voted_for: VoterIdentity | None
     commit_index: int
     snapshot: SnapshotData
     base_index: int  # of the entries: those just before the snapshot are kept too, for voters slightly behind
@@ -64,14 +64,14 @@
     version: int = RECORD_VERSION
 
 
-Record = IdentityRecord | TermRecord | EntriesRecord | CheckpointRecord
+VoterRecord = IdentityRecord | TermRecord | EntriesRecord | CheckpointRecord
 
 _encoder = msgspec.msgpack.Encoder()
-_record_decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
+_record_decoder: msgspec.msgpack.Decoder[VoterRecord] = msgspec.msgpack.Decoder(VoterRecord)
 _snapshot_decoder = msgspec.msgpack.Decoder(SnapshotData)
 
 
-def encode_record(record: Record) -> bytes:
+def encode_record(record: VoterRecord) -> bytes:
     """Return the bytes of a record."""
     return _encoder.encode(record)
 
@@ -96,15 +96,15 @@
 class DurableState:
     """What a voter must not forget, and what follows from it."""
 
-    identity: Member | None = None  # None: an empty disk
+    identity: VoterIdentity | None = None  # None: an empty disk
     term: int = 0
-    voted_for: Member | None = None
+    voted_for: VoterIdentity | None = None
     commit_index: int = 0
-    log: Log = field(default_factory=Log)
+    log: ReplicatedLog = field(default_factory=ReplicatedLog)
     snapshot: SnapshotData | None = None
     keyspace: Keyspace = field(default_factory=Keyspace)  # as of the snapshot
 
-    def take(self, record: Record) -> None:
+    def take(self, record: VoterRecord) -> None:
         """Add the next record."""
         match record:
             case IdentityRecord():
@@ -128,7 +128,7 @@
         self.commit_index = record.commit_index
         self.snapshot = snapshot
         self.keyspace = Keyspace.restore(snapshot.keyspace)
-        self.log = Log(record.base_index, record.base_term, record.base_configuration)
+        self.log = ReplicatedLog(record.base_index, record.base_term, record.base_configuration)
         self.log.append(record.entries)
 
 
--- a/merlinbay/control/consensus/roles.py
+++ b/merlinbay/control/consensus/roles.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class Role(Enum):
+class VoterRole(Enum):
     """What a voter is at the moment. Only a leader takes proposals and reads."""
 
     FOLLOWER = "follower"
@@ -15,11 +15,17 @@
     STORAGE_FAILED = "storage_failed"  # for good: a new Voter is built from the records that are stored
 
 
-TRANSITIONS: dict[Role, frozenset[Role]] = {
+TRANSITIONS: dict[VoterRole, frozenset[VoterRole]] = {
     # A candidate by the leader's word (a transfer of leadership) needs no preliminary election.
-    Role.FOLLOWER: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE, Role.STORAGE_FAILED}),
-    Role.PRE_CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE, Role.STORAGE_FAILED}),
-    Role.CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.LEADER, Role.STORAGE_FAILED}),
-    Role.LEADER: frozenset({Role.FOLLOWER, Role.STORAGE_FAILED}),
-    Role.STORAGE_FAILED: frozenset(),
+    VoterRole.FOLLOWER: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.PRE_CANDIDATE: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.CANDIDATE: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.LEADER, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.LEADER: frozenset({VoterRole.FOLLOWER, VoterRole.STORAGE_FAILED}),
+    VoterRole.STORAGE_FAILED: frozenset(),
 }
--- a/merlinbay/control/effects.py
+++ b/merlinbay/control/effects.py
@@ -23,7 +23,7 @@
     replaces_all: bool = False
 
 
-class Send(msgspec.Struct, frozen=True):
+class SendMessage(msgspec.Struct, frozen=True):
     """Send ``message`` to voter ``receiver``. It may get lost, come late, twice or out of order."""
 
     receiver: str
@@ -53,4 +53,4 @@
     revision: int
 
 
-Effect = Persist | Send | ProposalDone | ReadDone | RevisionAdvanced
+VoterEffect = Persist | SendMessage | ProposalDone | ReadDone | RevisionAdvanced
--- a/merlinbay/control/fanout/admission.py
+++ b/merlinbay/control/fanout/admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Admission:
+class AdmissionBucket:
     """A token bucket. Those that it refuses are given times one after the other at its rate."""
 
     def __init__(self, rate: float, burst: int, now: float) -> None:
--- a/merlinbay/control/fanout/assembly.py
+++ b/merlinbay/control/fanout/assembly.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from merlinbay.control.fanout.messages import DeltaMessage, Entry, SnapshotMessage
+from merlinbay.control.fanout.messages import DeltaMessage, SnapshotMessage, WireEntry
 
-Part = DeltaMessage | SnapshotMessage
+MessagePart = DeltaMessage | SnapshotMessage
 
 
 class PartOutOfOrderError(Exception):
@@ -16,11 +16,11 @@
 class WholeMessage(msgspec.Struct, frozen=True):
     """The last part, for what it says of the whole, with the entries of all."""
 
-    last: Part
-    entries: tuple[Entry, ...]
+    last: MessagePart
+    entries: tuple[WireEntry, ...]
 
 
-class Assembly:
+class MessageAssembly:
     """Collects the parts of one message at a time."""
 
     __slots__ = ("_entries", "_first", "_max_bytes", "_next", "_size")
@@ -31,12 +31,12 @@
 
     def clear(self) -> None:
         """Drop what was collected."""
-        self._first: Part | None = None
-        self._entries: list[Entry] = []
+        self._first: MessagePart | None = None
+        self._entries: list[WireEntry] = []
         self._next = 0
         self._size = 0
 
-    def add(self, part: Part, size: int) -> WholeMessage | None:
+    def add(self, part: MessagePart, size: int) -> WholeMessage | None:
         """Take a part whose frame had ``size`` bytes; return the whole with its last part."""
         if self._first is None and part.count == 1 and part.index == 0:
             return WholeMessage(part, part.entries)
@@ -54,7 +54,7 @@
         self.clear()
         return whole
 
-    def _continues(self, part: Part) -> bool:
+    def _continues(self, part: MessagePart) -> bool:
         first = self._first
         if first is None:
             return True
--- a/merlinbay/control/fanout/downstream.py
+++ b/merlinbay/control/fanout/downstream_watch.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from merlinbay.control.fanout.frames import Transfer
-from merlinbay.control.fanout.messages import Laggard, Role, Summary, Watch
+from merlinbay.control.fanout.frames import EncodedUpdate
+from merlinbay.control.fanout.messages import Laggard, Summary, WatcherRole, WatchRequest
 
 
-class Downstream:
+class DownstreamWatch:
     """A connection: first without a watch, then with one."""
 
     __slots__ = (
@@ -30,7 +30,7 @@
     def __init__(self, connection: int, now: float) -> None:
         self.connection = connection
         self.member = ""
-        self.role = Role.FOLLOWER
+        self.role = WatcherRole.FOLLOWER
         self.watching = False
         self.heard_at = now  # the last message came then
         self.last_sent = now  # the last frame was queued then
@@ -39,12 +39,12 @@
         self.unwritten_bytes = 0
         self.queued_revision = 0  # the watch has this once its queue is written
         self.wants_snapshot = False
-        self.transfer: Transfer | None = None  # under way: its frames before ``next_part`` are queued
+        self.transfer: EncodedUpdate | None = None  # under way: its frames before ``next_part`` are queued
         self.next_part = 0
         self.reported_revision = 0
         self.summary: Summary | None = None  # of a relay
 
-    def begin(self, watch: Watch, wants_snapshot: bool) -> None:
+    def begin(self, watch: WatchRequest, wants_snapshot: bool) -> None:
         """Hold the watch."""
         self.watching = True
         self.member, self.role = watch.member, watch.role
--- a/merlinbay/control/fanout/effects.py
+++ b/merlinbay/control/fanout/effects.py
@@ -23,7 +23,7 @@
     reason: GoodbyeReason | None = None  # None: it was not admitted
 
 
-class Connect(msgspec.Struct, frozen=True):
+class ConnectUpstream(msgspec.Struct, frozen=True):
     """Open a stream to an upstream; call ``connected`` or ``closed`` with the attempt's number."""
 
     attempt: int
@@ -55,5 +55,5 @@
 
 
 DownstreamEffect = SendDownstream | CloseDownstream
-UpstreamEffect = Connect | SendUpstream | CloseUpstream | StateAdvanced
+UpstreamEffect = ConnectUpstream | SendUpstream | CloseUpstream | StateAdvanced
 RelayEffect = DownstreamEffect | UpstreamEffect
--- a/merlinbay/control/fanout/follower.py
+++ b/merlinbay/control/fanout/follower.py
@@ -12,19 +12,15 @@
 
 from merlinbay.control.entries import KeyValue, StateSnapshot
 from merlinbay.control.fanout.assembly import PartOutOfOrderError
-from merlinbay.control.fanout.candidates import Candidates
 from merlinbay.control.fanout.counters import FollowerCounters
 from merlinbay.control.fanout.effects import (
     CloseUpstream,
-    Connect,
+    ConnectUpstream,
     SendUpstream,
     UpstreamEffect,
 )
-from merlinbay.control.fanout.link import Link
 from merlinbay.control.fanout.messages import (
     NO_GENERATION,
-    Accepted,
-    Busy,
     DeltaMessage,
     FollowerMessage,
     Generation,
@@ -32,12 +28,14 @@
     GoodbyeReason,
     KeepAlive,
     MalformedMessageError,
-    Progress,
-    Role,
+    ProgressReport,
     ServerMessage,
     SnapshotMessage,
     Summary,
-    Watch,
+    WatchAccepted,
+    WatcherRole,
+    WatchRejected,
+    WatchRequest,
     decode_from_server,
     encode,
     seconds,
@@ -46,6 +44,8 @@
 from merlinbay.control.fanout.settings import FollowerSettings
 from merlinbay.control.fanout.state import InvalidEntriesError, RevisionGapError
 from merlinbay.control.fanout.topology import Location, Upstream
+from merlinbay.control.fanout.upstream_selection import UpstreamSelector
+from merlinbay.control.fanout.watch_attempt import WatchAttempt
 
 
 class Follower:
@@ -78,7 +78,7 @@
         settings: FollowerSettings,
         rng: Random,
         *,
-        role: Role = Role.FOLLOWER,
+        role: WatcherRole = WatcherRole.FOLLOWER,
         generation: Generation = NO_GENERATION,
         saved: StateSnapshot | None = None,
     ) -> None:
@@ -88,11 +88,11 @@
         self.summary: Summary | None = None  # a relay sets it; it goes with the reports
         self._rng = rng
         self._replica = Replica(generation, saved)
-        self._candidates = Candidates(settings, rng)
+        self._candidates = UpstreamSelector(settings, rng)
         self._candidates.set(member, location, upstreams)
         self._effects: list[UpstreamEffect] = []
-        self._watching: Link | None = None
-        self._trying: Link | None = None
+        self._watching: WatchAttempt | None = None
+        self._trying: WatchAttempt | None = None
         self._last_attempt = 0
         self._attempt_at = math.inf
         self._report_at = math.inf
@@ -129,7 +129,7 @@
         if link is not None and link.attempt == attempt:
             link.open = True
             zone = self.location.zone
-            self._send(link, Watch(self.member, self.role, zone, self.generation, self.revision))
+            self._send(link, WatchRequest(self.member, self.role, zone, self.generation, self.revision))
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
         """Take a frame; one that is malformed ends the attempt."""
@@ -226,8 +226,8 @@
         self._last_attempt += 1
         self.counters.attempts += 1
         deadline = now + self.settings.connect_timeout
-        self._trying = Link(self._last_attempt, chosen, deadline, self.settings.snapshot_bytes)
-        self._effects.append(Connect(self._last_attempt, chosen))
+        self._trying = WatchAttempt(self._last_attempt, chosen, deadline, self.settings.snapshot_bytes)
+        self._effects.append(ConnectUpstream(self._last_attempt, chosen))
 
     def _plan(self, now: float) -> None:
         """Set when to try next after an attempt has come to nothing."""
@@ -246,7 +246,7 @@
     def _attempt_by(self, moment: float) -> None:
         self._attempt_at = min(self._attempt_at, moment)
 
-    def _failed(self, link: Link, now: float) -> None:
+    def _failed(self, link: WatchAttempt, now: float) -> None:
         """Go on after a stream has ended that was not given up on purpose."""
         self._candidates.failed(link.upstream)
         if link is self._trying:
@@ -258,16 +258,16 @@
         self._report_at = math.inf
         self._attempt_by(now + self._rng.uniform(0, self.settings.move_spread))
 
-    def _give_up(self, link: Link, reason: GoodbyeReason, now: float) -> None:
+    def _give_up(self, link: WatchAttempt, reason: GoodbyeReason, now: float) -> None:
         self._leave(link, reason)
         self._failed(link, now)
 
-    def _leave(self, link: Link, reason: GoodbyeReason) -> None:
+    def _leave(self, link: WatchAttempt, reason: GoodbyeReason) -> None:
         if link.open:
             self._send(link, Goodbye(reason))
         self._effects.append(CloseUpstream(link.attempt))
 
-    def _link(self, attempt: int) -> Link | None:
+    def _link(self, attempt: int) -> WatchAttempt | None:
         for link in (self._watching, self._trying):
             if link is not None and link.attempt == attempt:
                 return link
@@ -275,10 +275,10 @@
 
     # Messages.
 
-    def _take(self, link: Link, message: ServerMessage, size: int, now: float) -> None:
-        if isinstance(message, Accepted):
+    def _take(self, link: WatchAttempt, message: ServerMessage, size: int, now: float) -> None:
+        if isinstance(message, WatchAccepted):
             self._accepted(link, message, now)
-        elif isinstance(message, (Busy, Goodbye)):
+        elif isinstance(message, (WatchRejected, Goodbye)):
             self._sent_away(link, message, now)
         elif link is not self._watching:
             raise MalformedMessageError("data before the watch was accepted")
@@ -289,7 +289,7 @@
             else:
                 self._data(link, message, size, now)
 
-    def _accepted(self, link: Link, message: Accepted, now: float) -> None:
+    def _accepted(self, link: WatchAttempt, message: WatchAccepted, now: float) -> None:
         if not self._replica.acceptable(message.generation):
             self.counters.refused += 1
             self._candidates.busy(link.upstream, now + self.settings.busy_most, ())
@@ -308,14 +308,14 @@
         self._replica.join(message.generation)
         self._confirmed(link, message.revision, message.staleness_ms, now)
 
-    def _worth_moving(self, message: Accepted, now: float) -> bool:
+    def _worth_moving(self, message: WatchAccepted, now: float) -> bool:
         if self._watching is None or message.generation.number > self.generation.number:
             return True
         theirs = seconds(message.staleness_ms)
         limit = self.settings.stale_limit
         return theirs < limit or theirs + self.settings.keepalive_timeout < self.staleness(now)
 
-    def _move(self, link: Link, now: float) -> None:
+    def _move(self, link: WatchAttempt, now: float) -> None:
         if self._watching is not None:
             self._leave(self._watching, GoodbyeReason.MOVED)
             self.counters.moves += 1
@@ -325,7 +325,7 @@
         self._prefer_again(now)
         self._report_by(now + self._rng.uniform(0, self.settings.progress))
 
-    def _sent_away(self, link: Link, message: Busy | Goodbye, now: float) -> None:
+    def _sent_away(self, link: WatchAttempt, message: WatchRejected | Goodbye, now: float) -> None:
         self._effects.append(CloseUpstream(link.attempt))
         settings = self.settings
         if isinstance(message, Goodbye):
@@ -341,7 +341,9 @@
         self._trying = None  # it takes the watch in a moment: waiting is better than moving twice
         self._attempt_by(now + wait + self._rng.uniform(0, settings.backoff_first))
 
-    def _data(self, link: Link, message: DeltaMessage | SnapshotMessage, size: int, now: float) -> None:
+    def _data(
+        self, link: WatchAttempt, message: DeltaMessage | SnapshotMessage, size: int, now: float
+    ) -> None:
         whole = link.assembly.add(message, size)
         if whole is None:
             return
@@ -356,7 +358,7 @@
         self._effects.append(advanced)
         self._report_by(now + self._rng.uniform(0, self.settings.progress))
 
-    def _confirmed(self, link: Link, revision: int, staleness_ms: int, now: float) -> None:
+    def _confirmed(self, link: WatchAttempt, revision: int, staleness_ms: int, now: float) -> None:
         self._replica.confirm(link.generation, revision, staleness_ms, now)
         stale = seconds(staleness_ms) >= self.settings.stale_limit
         if stale and not link.stale:  # later attempts are planned as this one comes to nothing
@@ -378,9 +380,9 @@
             self._report_at = math.inf
             return
         self._report_at = now + self.settings.report * self._rng.uniform(0.5, 1)
-        self._send(self._watching, Progress(self.generation.number, self.revision, self.summary))
+        self._send(self._watching, ProgressReport(self.generation.number, self.revision, self.summary))
 
-    def _send(self, link: Link, message: FollowerMessage) -> None:
+    def _send(self, link: WatchAttempt, message: FollowerMessage) -> None:
         frame = encode(message)
         self.counters.messages_sent += 1
         self.counters.bytes_sent += len(frame)
--- a/merlinbay/control/fanout/frames.py
+++ b/merlinbay/control/fanout/frames.py
@@ -9,8 +9,8 @@
 from merlinbay.control.entries import Delta, KeyValue
 from merlinbay.control.fanout.messages import (
     DeltaMessage,
-    Entry,
     SnapshotMessage,
+    WireEntry,
     encode,
     wire_entries,
 )
@@ -19,7 +19,7 @@
 ENTRY_OVERHEAD = 16  # bytes of an entry's frame beside its key and value, at most
 
 
-class Transfer(msgspec.Struct, frozen=True):
+class EncodedUpdate(msgspec.Struct, frozen=True):
     """The frames that bring a watch to ``revision``."""
 
     revision: int
@@ -35,17 +35,17 @@
         self.lifetime = lifetime  # a delta is encoded again after so long, for the staleness in it
         self.deltas_encoded = self.snapshots_encoded = 0
         self._store = store
-        self._deltas: dict[int, Transfer] = {}  # by the revision before it; all up to the store's
+        self._deltas: dict[int, EncodedUpdate] = {}  # by the revision before it; all up to the store's
         self._deltas_revision = 0
         self._deltas_at = 0.0
-        self._snapshot: Transfer | None = None
+        self._snapshot: EncodedUpdate | None = None
 
     def clear(self) -> None:
         """Forget everything: the store's history was replaced."""
         self._deltas.clear()
         self._snapshot = None
 
-    def delta(self, revision: int, staleness_ms: int, now: float) -> Transfer | None:
+    def delta(self, revision: int, staleness_ms: int, now: float) -> EncodedUpdate | None:
         """Return the frames from ``revision`` to the store's; None where the changes were compacted."""
         if self._deltas_revision != self._store.revision or now - self._deltas_at > self.lifetime:
             self._deltas.clear()
@@ -58,35 +58,35 @@
             transfer = self._deltas[revision] = self._encode_delta(delta, staleness_ms)
         return transfer
 
-    def snapshot(self) -> Transfer:
+    def snapshot(self) -> EncodedUpdate:
         """Return the frames of the state, or of a former one that deltas continue."""
         kept = self._snapshot
         if kept is None or self._store.delta_after(kept.revision) is None:
             kept = self._snapshot = self._encode_snapshot()
         return kept
 
-    def _encode_delta(self, delta: Delta, staleness_ms: int) -> Transfer:
-        def part(entries: tuple[Entry, ...], index: int, count: int) -> bytes:
+    def _encode_delta(self, delta: Delta, staleness_ms: int) -> EncodedUpdate:
+        def part(entries: tuple[WireEntry, ...], index: int, count: int) -> bytes:
             return encode(
                 DeltaMessage(delta.after_revision, delta.revision, staleness_ms, entries, index, count)
             )
 
         self.deltas_encoded += 1
-        return Transfer(delta.revision, self._parts(delta.entries, part), snapshot=False)
+        return EncodedUpdate(delta.revision, self._parts(delta.entries, part), snapshot=False)
 
-    def _encode_snapshot(self) -> Transfer:
+    def _encode_snapshot(self) -> EncodedUpdate:
         state = self._store.snapshot()
 
-        def part(entries: tuple[Entry, ...], index: int, count: int) -> bytes:
+        def part(entries: tuple[WireEntry, ...], index: int, count: int) -> bytes:
             return encode(SnapshotMessage(state.revision, entries, index, count))
 
         self.snapshots_encoded += 1
-        return Transfer(state.revision, self._parts(state.entries, part), snapshot=True)
+        return EncodedUpdate(state.revision, self._parts(state.entries, part), snapshot=True)
 
     def _parts(
-        self, entries: Iterable[KeyValue], part: Callable[[tuple[Entry, ...], int, int], bytes]
+        self, entries: Iterable[KeyValue], part: Callable[[tuple[WireEntry, ...], int, int], bytes]
     ) -> tuple[bytes, ...]:
-        groups: list[list[Entry]] = [[]]
+        groups: list[list[WireEntry]] = [[]]
         size = 0
         for entry in wire_entries(entries):
             if size > self.chunk_bytes:
--- a/merlinbay/control/fanout/messages.py
+++ b/merlinbay/control/fanout/messages.py
@@ -1,9 +1,9 @@
 """The watch protocol: msgpack arrays, one message a frame, tagged by a number.
 
-A follower sends ``Watch`` first, then ``Progress``; a server answers with ``Accepted``, ``Busy`` or
-``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at
-the end with a default, so that a reader of the same version takes messages of a newer program; an
-incompatible change raises ``PROTOCOL_VERSION``.
+A follower sends ``WatchRequest`` first, then ``ProgressReport``. A server answers with ``WatchAccepted``,
+``WatchRejected`` or ``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at the end
+with a default, so that a reader of the same version accepts messages of a newer program; an incompatible
+change raises ``PROTOCOL_VERSION``.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 MAX_NAMES = 64  # names in one message
 NEVER_MS = 2**40  # staleness of data that was never known to be the latest
 
-Name = Annotated[str, msgspec.Meta(max_length=255)]
-Key = Annotated[str, msgspec.Meta(min_length=1, max_length=1024)]
+MemberName = Annotated[str, msgspec.Meta(max_length=255)]
+WireKey = Annotated[str, msgspec.Meta(min_length=1, max_length=1024)]
 Revision = Annotated[int, msgspec.Meta(ge=0)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=NEVER_MS)]
-Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
+UpstreamNames = Annotated[tuple[MemberName, ...], msgspec.Meta(max_length=MAX_NAMES)]
 
 
 class MalformedMessageError(Exception):
     """The bytes are no message of this protocol that may come from that side."""
 
 
-class Role(enum.StrEnum):
+class WatcherRole(enum.StrEnum):
     """What watches."""
 
     FOLLOWER = "follower"
     RELAY = "relay"
 
 
-class BusyReason(enum.StrEnum):
+class RejectionReason(enum.StrEnum):
     """Why a server does not take a watch now."""
 
     RATE = "rate"  # too many new watches at once
@@ -71,16 +71,16 @@
     """
 
     number: Revision
-    log_id: Name
+    log_id: MemberName
 
 
 NO_GENERATION = Generation(0, "")  # of who has no state yet
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class WireEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A ``KeyValue`` on the wire, without the names of its fields."""
 
-    key: Key
+    key: WireKey
     value: bytes | None
     revision: Revision
 
@@ -95,7 +95,7 @@
 class Laggard(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A follower by name with the last revision that it reported."""
 
-    member: Name
+    member: MemberName
     revision: Revision
 
 
@@ -107,18 +107,18 @@
     absent: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # lost a short time ago
 
 
-class Watch(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class WatchRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """The first message of a connection: who watches, and from which state on."""
 
-    member: Name
-    role: Role
-    zone: Name
+    member: MemberName
+    role: WatcherRole
+    zone: MemberName
     generation: Generation
     revision: Revision
     version: int = PROTOCOL_VERSION
 
 
-class Progress(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class ProgressReport(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """The revision that the sender has in force; from a relay with a summary of what is below it."""
 
     generation: Revision  # the number of the generation that the revision belongs to
@@ -126,7 +126,7 @@
     summary: Summary | None = None
 
 
-class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class WatchAccepted(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """The watch is held. A generation above the watcher's is followed by a snapshot that replaces all."""
 
     generation: Generation
@@ -143,7 +143,7 @@
     after_revision: Revision
     revision: Revision
     staleness_ms: Milliseconds
-    entries: tuple[Entry, ...]
+    entries: tuple[WireEntry, ...]
     index: Revision = 0
     count: Annotated[int, msgspec.Meta(ge=1)] = 1
 
@@ -155,7 +155,7 @@
     """
 
     revision: Revision
-    entries: tuple[Entry, ...]
+    entries: tuple[WireEntry, ...]
     index: Revision = 0
     count: Annotated[int, msgspec.Meta(ge=1)] = 1
 
@@ -167,23 +167,23 @@
     staleness_ms: Milliseconds
 
 
-class Busy(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class WatchRejected(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The watch is not taken now: come back after the time, or go to one of the others, best first."""
 
-    reason: BusyReason
+    reason: RejectionReason
     retry_after_ms: Milliseconds
-    upstreams: Names = ()
+    upstreams: UpstreamNames = ()
 
 
 class Goodbye(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """The last message of a side; a server may name others to go to, best first."""
 
     reason: GoodbyeReason
-    upstreams: Names = ()
+    upstreams: UpstreamNames = ()
 
 
-FollowerMessage = Watch | Progress | Goodbye
-ServerMessage = Accepted | DeltaMessage | SnapshotMessage | KeepAlive | Busy | Goodbye
+FollowerMessage = WatchRequest | ProgressReport | Goodbye
+ServerMessage = WatchAccepted | DeltaMessage | SnapshotMessage | KeepAlive | WatchRejected | Goodbye
 
 _Message = TypeVar("_Message")
 _encoder = msgspec.msgpack.Encoder()
@@ -225,11 +225,6 @@
     return math.inf if sent >= NEVER_MS else sent / 1000
 
 
-def wire_entries(entries: Iterable[KeyValue]) -> tuple[Entry, ...]:
+def wire_entries(entries: Iterable[KeyValue]) -> tuple[WireEntry, ...]:
     """Return entries as they are sent."""
-    return tuple([Entry(entry.key, entry.value, entry.revision) for entry in entries])
-
-
-def key_values(entries: Iterable[Entry]) -> list[KeyValue]:
-    """Return received entries as the rest of the program holds them."""
-    return [KeyValue(entry.key, entry.value, entry.revision) for entry in entries]
+    return tuple([WireEntry(entry.key, entry.value, entry.revision) for entry in entries])
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -10,10 +10,10 @@
 from merlinbay.control.fanout.changes import RecentChanges
 from merlinbay.control.fanout.effects import RelayEffect, StateAdvanced
 from merlinbay.control.fanout.follower import Follower
-from merlinbay.control.fanout.messages import NO_GENERATION, Generation, Role
+from merlinbay.control.fanout.messages import NO_GENERATION, Generation, WatcherRole
 from merlinbay.control.fanout.settings import RelaySettings
-from merlinbay.control.fanout.source import WatchServer
 from merlinbay.control.fanout.topology import Location, Upstream
+from merlinbay.control.fanout.watch_server import WatchServer
 
 
 class InvalidTierError(ValueError):
@@ -73,7 +73,7 @@
             self._checked(upstreams),
             settings.follower,
             rng,
-            role=Role.RELAY,
+            role=WatcherRole.RELAY,
             generation=generation,
             saved=saved,
         )
--- a/merlinbay/control/fanout/replica.py
+++ b/merlinbay/control/fanout/replica.py
@@ -10,8 +10,8 @@
 from merlinbay.control.fanout.messages import (
     NO_GENERATION,
     DeltaMessage,
-    Entry,
     Generation,
+    WireEntry,
     seconds,
 )
 from merlinbay.control.fanout.state import InvalidEntriesError, ReplicaState
@@ -53,7 +53,7 @@
         return self._snapshot(theirs, message.revision, whole.entries)
 
     def _delta(
-        self, theirs: Generation, message: DeltaMessage, entries: tuple[Entry, ...], now: float
+        self, theirs: Generation, message: DeltaMessage, entries: tuple[WireEntry, ...], now: float
     ) -> StateAdvanced | None:
         if theirs != self.generation:
             raise InvalidEntriesError("a delta of another generation")
@@ -62,7 +62,7 @@
         return None if changed is None else StateAdvanced(message.revision, tuple(changed))
 
     def _snapshot(
-        self, theirs: Generation, revision: int, entries: tuple[Entry, ...]
+        self, theirs: Generation, revision: int, entries: tuple[WireEntry, ...]
     ) -> StateAdvanced | None:
         if theirs == self.generation and revision <= self.state.revision:
             return None
--- a/merlinbay/control/fanout/simulate.py
+++ b/merlinbay/control/fanout/simulate.py
@@ -12,18 +12,18 @@
 import msgspec
 
 from merlinbay.control.fanout.counters import FollowerCounters, ServerCounters
-from merlinbay.control.fanout.simulated_fleet import FRAME_HEADER, Fleet, FleetPlan
+from merlinbay.control.fanout.simulated_fleet import FRAME_HEADER_BYTES, FleetPlan, SimulatedFleet
 
-SETTLE = 30.0  # after the last start, after the last change, and after trouble
-STEP = 0.25  # how often it is looked whether something has come about
+SETTLE_S = 30.0  # after the last start, after the last change, and after trouble
+POLL_INTERVAL_S = 0.25  # how often it is looked whether something has come about
 CUT_REGION = "r2"  # has one voter of five
 DEAD_RELAY = "relay5"  # alone in its zone
 LOST_ZONE = "z5"
 RESTARTS_SHARE = 700 / 2500  # of the members, within ten minutes
-RESTARTS_TIME = 600.0
+RESTARTS_WITHIN_S = 600.0
 
 
-class Load(msgspec.Struct, frozen=True):
+class ChangeLoad(msgspec.Struct, frozen=True):
     """The changes that are asked for, and how fast the followers start."""
 
     rate: float = 1.0  # changes a second
@@ -33,7 +33,7 @@
     cut: float = 3600.0  # how long a region is cut off
 
 
-class Times(msgspec.Struct, frozen=True):
+class PropagationTimes(msgspec.Struct, frozen=True):
     """Seconds from a change's request to its being in force, over all changes and followers."""
 
     samples: int
@@ -43,7 +43,7 @@
     most: float
 
 
-class Totals(msgspec.Struct, frozen=True):
+class TrafficTotals(msgspec.Struct, frozen=True):
     """Bytes and messages of one process, each message with the length before it, without TCP's headers."""
 
     sent_bytes: float
@@ -52,11 +52,11 @@
     received_messages: float
 
 
-class Traffic(msgspec.Struct, frozen=True):
+class RoleTraffic(msgspec.Struct, frozen=True):
     """A role's bytes and messages a second: the mean of its processes, and the most, each by itself."""
 
-    mean: Totals
-    most: Totals
+    mean: TrafficTotals
+    most: TrafficTotals
 
 
 class SimulatedRun(msgspec.Struct, frozen=True):
@@ -65,29 +65,31 @@
     scenario: str
     followers: int
     seed: int
-    times: Times | None
-    times_disturbed: Times | None  # at followers whose relay, zone, region or process was taken away
+    times: PropagationTimes | None
+    times_disturbed: (
+        PropagationTimes | None
+    )  # at followers whose relay, zone, region or process was taken away
     started_after: float  # from the last start until every follower held a state
     watched_after: float  # from the trouble, or its end, until every follower that is there held a watch
     known_after: float  # from the last change until the voters' summaries said that it is in force everywhere
     most_watches: int  # at one relay at a time
     most_admissions: int  # new watches at one relay in one second, after the start
     most_admissions_start: int
-    traffic: dict[str, Traffic]  # while changes come
+    traffic: dict[str, RoleTraffic]  # while changes come
     differing: int  # followers that held another state than the log's in the end
     broken: tuple[str, ...]
 
 
-def play(scenario: str, plan: FleetPlan, load: Load, seed: int) -> SimulatedRun:
+def play(scenario: str, plan: FleetPlan, load: ChangeLoad, seed: int) -> SimulatedRun:
     """Start a fleet, change keys, make the scenario's trouble half-way, and look at what came of it."""
-    fleet = Fleet(plan, seed)
+    fleet = SimulatedFleet(plan, seed)
     network = fleet.network
     for number in range(plan.followers):
         moment = 1.0 + fleet.rng.uniform(0, load.start_within)
         network.at(moment, lambda number=number: fleet.start_follower(number))  # type: ignore[misc]
     network.run(1.0 + load.start_within)
     started_after = _wait(fleet, lambda: all(one.revision for one in fleet.followers.values()))
-    network.run(network.now + SETTLE)
+    network.run(network.now + SETTLE_S)
     admissions_start = fleet.most_admissions(0.0)
 
     began, before = network.now, _totals(fleet)
@@ -100,7 +102,7 @@
     fleet.change()
     last = len(fleet.log)
     known_after = _wait(fleet, lambda: fleet.force_status(last).in_force == fleet.alive())
-    network.run(network.now + SETTLE)
+    network.run(network.now + SETTLE_S)
     return SimulatedRun(
         scenario=scenario,
         followers=plan.followers,
@@ -122,26 +124,26 @@
 # Troubles: each returns how long it took until all followers that are there held a watch again.
 
 
-def quiet(fleet: Fleet, load: Load) -> float:
+def quiet(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """Let nothing happen."""
     return _wait(fleet, lambda: fleet.without_watch() == 0)
 
 
-def relay_killed(fleet: Fleet, load: Load) -> float:
+def relay_killed(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """End a relay's process: its streams are closed."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
     fleet.stop(DEAD_RELAY, told=True)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
-def relay_lost(fleet: Fleet, load: Load) -> float:
+def relay_lost(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """Lose a relay's machine: nobody is told."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
     fleet.stop(DEAD_RELAY, told=False)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
-def zone_lost(fleet: Fleet, load: Load) -> float:
+def zone_lost(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """Lose a zone with its relay and its followers; they are back after a minute, all at once."""
     lost = [name for name, host in fleet.network.hosts.items() if host.location.zone == LOST_ZONE]
     fleet.disturb(lambda follower: follower.location.zone == LOST_ZONE)
@@ -155,7 +157,7 @@
     return _wait(fleet, lambda: fleet.without_watch() == 0)
 
 
-def region_cut(fleet: Fleet, load: Load) -> float:
+def region_cut(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """Cut a region off, and heal it."""
     fleet.disturb(lambda follower: follower.location.region == CUT_REGION)
     fleet.network.cut_regions.add(CUT_REGION)
@@ -165,20 +167,20 @@
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.behind(len(fleet.log)))
 
 
-def restarts(fleet: Fleet, load: Load) -> float:
+def restarts(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """Restart more than a quarter of the members within ten minutes."""
     count = round(RESTARTS_SHARE * fleet.plan.followers)
     chosen = fleet.rng.sample(range(fleet.plan.followers), count)
     names = {f"member{number}" for number in chosen}
     fleet.disturb(lambda follower: follower.member in names)
     for number in chosen:
-        moment = fleet.network.now + fleet.rng.uniform(0, RESTARTS_TIME)
+        moment = fleet.network.now + fleet.rng.uniform(0, RESTARTS_WITHIN_S)
         fleet.network.at(moment, lambda number=number: fleet.restart_follower(number))  # type: ignore[misc]
-    fleet.network.run(fleet.network.now + RESTARTS_TIME)
+    fleet.network.run(fleet.network.now + RESTARTS_WITHIN_S)
     return _wait(fleet, lambda: fleet.without_watch() == 0)
 
 
-SCENARIOS: dict[str, Callable[[Fleet, Load], float]] = {
+SCENARIOS: dict[str, Callable[[SimulatedFleet, ChangeLoad], float]] = {
     "quiet": quiet,
     "relay-killed": relay_killed,
     "relay-lost": relay_lost,
@@ -188,7 +190,7 @@
 }
 
 
-def _schedule_changes(fleet: Fleet, load: Load) -> None:
+def _schedule_changes(fleet: SimulatedFleet, load: ChangeLoad) -> None:
     network = fleet.network
     for count in range(int(load.rate * load.duration)):
         network.at(network.now + count / load.rate, fleet.change)
@@ -196,15 +198,15 @@
         network.at(network.now + 0.75 * load.duration, lambda: fleet.change(load.burst))
 
 
-def _wait(fleet: Fleet, reached: Callable[[], bool], most: float = 300.0) -> float:
+def _wait(fleet: SimulatedFleet, reached: Callable[[], bool], most: float = 300.0) -> float:
     """Let time pass until something has come about; return how long it took, ``most`` if it has not."""
     began = fleet.network.now
     while not reached() and fleet.network.now < began + most:
-        fleet.network.run(fleet.network.now + STEP)
+        fleet.network.run(fleet.network.now + POLL_INTERVAL_S)
     return fleet.network.now - began
 
 
-def _times(times: Iterable[float]) -> Times | None:
+def _times(times: Iterable[float]) -> PropagationTimes | None:
     ordered = sorted(times)
     if not ordered:
         return None
@@ -212,13 +214,13 @@
     def at(share: float) -> float:
         return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 4)
 
-    return Times(len(ordered), at(0.5), at(0.99), at(0.999), round(ordered[-1], 4))
+    return PropagationTimes(len(ordered), at(0.5), at(0.99), at(0.999), round(ordered[-1], 4))
 
 
 # Traffic.
 
 
-def _totals(fleet: Fleet) -> dict[str, list[Totals]]:
+def _totals(fleet: SimulatedFleet) -> dict[str, list[TrafficTotals]]:
     """Return the counts of every process by role; those that were started anew count from there."""
     return {
         "follower": [_counted(one.counters) for one in fleet.followers.values()],
@@ -227,31 +229,31 @@
     }
 
 
-def _counted(*counters: FollowerCounters | ServerCounters) -> Totals:
+def _counted(*counters: FollowerCounters | ServerCounters) -> TrafficTotals:
     sent = sum(one.messages_sent for one in counters)
     received = sum(one.messages_received for one in counters)
-    return Totals(
-        sum(one.bytes_sent for one in counters) + FRAME_HEADER * sent,
-        sum(one.bytes_received for one in counters) + FRAME_HEADER * received,
+    return TrafficTotals(
+        sum(one.bytes_sent for one in counters) + FRAME_HEADER_BYTES * sent,
+        sum(one.bytes_received for one in counters) + FRAME_HEADER_BYTES * received,
         sent,
         received,
     )
 
 
 def _traffic(
-    before: dict[str, list[Totals]], after: dict[str, list[Totals]], elapsed: float
-) -> dict[str, Traffic]:
+    before: dict[str, list[TrafficTotals]], after: dict[str, list[TrafficTotals]], elapsed: float
+) -> dict[str, RoleTraffic]:
     return {role: _rates(before[role], after[role], elapsed) for role in after}
 
 
-def _rates(before: list[Totals], after: list[Totals], elapsed: float) -> Traffic:
+def _rates(before: list[TrafficTotals], after: list[TrafficTotals], elapsed: float) -> RoleTraffic:
     columns = []
-    for name in Totals.__struct_fields__:
+    for name in TrafficTotals.__struct_fields__:
         pairs = zip(before, after, strict=True)
         columns.append([max(0.0, getattr(new, name) - getattr(old, name)) / elapsed for old, new in pairs])
-    return Traffic(
-        mean=Totals(*[round(sum(column) / len(column), 1) for column in columns]),
-        most=Totals(*[round(max(column), 1) for column in columns]),
+    return RoleTraffic(
+        mean=TrafficTotals(*[round(sum(column) / len(column), 1) for column in columns]),
+        most=TrafficTotals(*[round(max(column), 1) for column in columns]),
     )
 
 
@@ -270,7 +272,7 @@
     parser.add_argument("--cut", type=float, default=3600.0, help="seconds that a region is cut off")
     parser.add_argument("--start-within", type=float, default=60.0, help="seconds in which all start")
     options = parser.parse_args()
-    load = Load(options.rate, options.duration, options.burst, options.start_within, options.cut)
+    load = ChangeLoad(options.rate, options.duration, options.burst, options.start_within, options.cut)
     for scenario in options.scenario or ["quiet"]:
         run = play(scenario, FleetPlan(followers=options.followers), load, options.seed)
         print(msgspec.json.encode(run).decode())
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -19,21 +19,21 @@
 from merlinbay.control.fanout.relay import Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
 from merlinbay.control.fanout.simulated_network import (
-    OTHER_REGION_DELAY,
+    OTHER_REGION_DELAY_S,
+    FanoutNetwork,
     SimulatedMachine,
-    SimulatedNetwork,
     follower_machine,
     relay_machine,
     server_machine,
 )
-from merlinbay.control.fanout.source import WatchServer
 from merlinbay.control.fanout.status import ForceStatus, force_status, merge
 from merlinbay.control.fanout.topology import Location, Upstream
+from merlinbay.control.fanout.watch_server import WatchServer
 
 GENERATION = Generation(1, "simulated")
-HEARTBEAT = 0.25  # from the leader to the other voters
-COMMIT_DELAY = 2 * OTHER_REGION_DELAY  # to a majority and back
-FRAME_HEADER = 4  # bytes of the length before each message
+HEARTBEAT_S = 0.25  # from the leader to the other voters
+COMMIT_DELAY_S = 2 * OTHER_REGION_DELAY_S  # to a majority and back
+FRAME_HEADER_BYTES = 4  # bytes of the length before each message
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class Voter:
+class SimulatedVoter:
     """A voter's store and what serves it."""
 
     store: SourceStore
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class FleetMeasurements:
     """What followers went through."""
 
     times_to_force: list[float] = field(default_factory=list)  # of every change at every follower
@@ -110,17 +110,17 @@
     admissions: Counter[tuple[str, int]] = field(default_factory=Counter)  # by relay and second
 
 
-class Fleet:
+class SimulatedFleet:
     """Voters, relays, followers and the log."""
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan = plan
-        self.network = SimulatedNetwork(seed)
+        self.network = FanoutNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
         self.asked_at: list[float] = []  # by revision: when the leader was asked for the change
         self.disturbed: set[str] = set()  # followers whose relay, zone, region or process was taken away
-        self.measured = Measured()
+        self.measured = FleetMeasurements()
         self.voters = [self._voter(number) for number in range(plan.voters)]
         self.relays: dict[str, Relay] = {}
         self.followers: dict[str, Follower] = {}
@@ -175,7 +175,7 @@
     def change(self, keys: int = 1) -> None:
         """Ask for changes of so many keys now; they are in force at the leader a little later."""
         first = len(self.log)
-        self.network.at(self.network.now + COMMIT_DELAY, lambda: self._spread(first + keys))
+        self.network.at(self.network.now + COMMIT_DELAY_S, lambda: self._spread(first + keys))
         for _ in range(keys):
             self._append(self.rng.randrange(self.plan.keys))
 
@@ -196,9 +196,9 @@
 
     def _heartbeat(self) -> None:
         self._spread(self.voters[0].store.revision)
-        self.network.at(self.network.now + HEARTBEAT, self._heartbeat)
+        self.network.at(self.network.now + HEARTBEAT_S, self._heartbeat)
 
-    def _catch_up(self, voter: Voter, revision: int, sent_at: float) -> None:
+    def _catch_up(self, voter: SimulatedVoter, revision: int, sent_at: float) -> None:
         if not self.network.reachable(self.voters[0].host, voter.host):
             return
         now = self.network.now
@@ -298,9 +298,9 @@
         plan = self.plan
         return [Upstream(f"relay{n}", "", plan.location(n)) for n in range(plan.relays)]
 
-    def _voter(self, number: int) -> Voter:
+    def _voter(self, number: int) -> SimulatedVoter:
         name, location = f"voter{number}", self.plan.location(number)
         store = SourceStore(self.plan.kept_changes)
         rng = Random(self.rng.getrandbits(64))
         server = WatchServer(store, GENERATION, self.plan.server, rng, 0.0)
-        return Voter(store, server, server_machine(self.network, name, location, server))
+        return SimulatedVoter(store, server, server_machine(self.network, name, location, server))
--- a/merlinbay/control/fanout/simulated_network.py
+++ b/merlinbay/control/fanout/simulated_network.py
@@ -12,7 +12,7 @@
 from merlinbay.control.fanout.effects import (
     CloseDownstream,
     CloseUpstream,
-    Connect,
+    ConnectUpstream,
     RelayEffect,
     SendDownstream,
     SendUpstream,
@@ -21,12 +21,12 @@
 from merlinbay.control.fanout.follower import Follower
 from merlinbay.control.fanout.messages import GoodbyeReason
 from merlinbay.control.fanout.relay import Relay
-from merlinbay.control.fanout.source import WatchServer
 from merlinbay.control.fanout.topology import Location
+from merlinbay.control.fanout.watch_server import WatchServer
 
-SAME_ZONE_DELAY = 0.0005  # one way, seconds
-SAME_REGION_DELAY = 0.002
-OTHER_REGION_DELAY = 0.040
+SAME_ZONE_DELAY_S = 0.0005  # one way, seconds
+SAME_REGION_DELAY_S = 0.002
+OTHER_REGION_DELAY_S = 0.040
 DELAY_SPREAD = 0.5  # a message takes up to this share longer
 
 
@@ -86,7 +86,7 @@
         self.up_free = self.down_free = 0.0  # the last message each way arrives then: order is kept
 
 
-class SimulatedNetwork:
+class FanoutNetwork:
     """The clock, the events to come, and who cannot reach whom."""
 
     def __init__(self, seed: int) -> None:
@@ -118,8 +118,8 @@
     def delay(self, here: Location, there: Location) -> float:
         """Return the time of one message one way, without its spread."""
         if here == there:
-            return SAME_ZONE_DELAY
-        return SAME_REGION_DELAY if here.region == there.region else OTHER_REGION_DELAY
+            return SAME_ZONE_DELAY_S
+        return SAME_REGION_DELAY_S if here.region == there.region else OTHER_REGION_DELAY_S
 
     def reachable(self, one: SimulatedMachine, other: SimulatedMachine) -> bool:
         """Return whether messages pass between two hosts."""
@@ -138,7 +138,7 @@
 
     def __init__(
         self,
-        network: SimulatedNetwork,
+        network: FanoutNetwork,
         name: str,
         location: Location,
         core: TimedCore,
@@ -186,7 +186,7 @@
                 self._send_down(connection, frame)
             case SendUpstream(attempt, frame):
                 self._send_up(attempt, frame)
-            case Connect(attempt, upstream):
+            case ConnectUpstream(attempt, upstream):
                 self._connect(attempt, self.network.hosts[upstream.name])
             case CloseUpstream(attempt):
                 self._close(self._attempts.pop(attempt, None), after_frames=True)
@@ -284,7 +284,7 @@
 
 
 def follower_machine(
-    network: SimulatedNetwork,
+    network: FanoutNetwork,
     follower: Follower,
     heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
 ) -> SimulatedMachine:
@@ -292,13 +292,13 @@
     return SimulatedMachine(network, follower.member, follower.location, follower, follower, heard=heard)
 
 
-def relay_machine(network: SimulatedNetwork, relay: Relay) -> SimulatedMachine:
+def relay_machine(network: FanoutNetwork, relay: Relay) -> SimulatedMachine:
     """Return a relay."""
     return SimulatedMachine(network, relay.follower.member, relay.follower.location, relay, relay, relay)
 
 
 def server_machine(
-    network: SimulatedNetwork, name: str, location: Location, server: WatchServer
+    network: FanoutNetwork, name: str, location: Location, server: WatchServer
 ) -> SimulatedMachine:
     """Return a voter, as far as the fan-out sees it."""
     return SimulatedMachine(network, name, location, server, down=server)
--- a/merlinbay/control/fanout/state.py
+++ b/merlinbay/control/fanout/state.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 
 from merlinbay.control.entries import KeyValue, StateSnapshot
-from merlinbay.control.fanout.messages import Entry
+from merlinbay.control.fanout.messages import WireEntry
 
 
 class RevisionGapError(Exception):
@@ -33,7 +33,9 @@
         """Return the whole state."""
         return StateSnapshot(self.revision, tuple(self._values.values()))
 
-    def apply(self, after_revision: int, revision: int, entries: Sequence[Entry]) -> list[KeyValue] | None:
+    def apply(
+        self, after_revision: int, revision: int, entries: Sequence[WireEntry]
+    ) -> list[KeyValue] | None:
         """Apply a delta; return what it changed, or None where all of it was held already.
 
         A delta that begins below the held revision is taken from there on: it has the last state of each key,
@@ -58,7 +60,7 @@
         self.revision = revision
         return changed
 
-    def replace(self, revision: int, entries: Iterable[Entry]) -> None:
+    def replace(self, revision: int, entries: Iterable[WireEntry]) -> None:
         """Take a whole state in place of the held one."""
         values = {}
         for entry in entries:
--- a/merlinbay/control/fanout/candidates.py
+++ b/merlinbay/control/fanout/upstream_selection.py
@@ -9,7 +9,7 @@
 from merlinbay.control.fanout.topology import Location, Upstream, ordered_candidates
 
 
-class Candidates:
+class UpstreamSelector:
     """The upstreams in order of preference, with what failed of late."""
 
     __slots__ = ("_blocked", "_failures", "_hinted", "_rng", "_settings", "ordered")
--- a/merlinbay/control/fanout/link.py
+++ b/merlinbay/control/fanout/watch_attempt.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from merlinbay.control.fanout.assembly import Assembly
+from merlinbay.control.fanout.assembly import MessageAssembly
 from merlinbay.control.fanout.messages import NO_GENERATION
 from merlinbay.control.fanout.topology import Upstream
 
 
-class Link:
+class WatchAttempt:
     """The stream of one attempt."""
 
     __slots__ = ("assembly", "attempt", "deadline", "generation", "open", "stale", "upstream")
@@ -18,4 +18,4 @@
         self.open = False
         self.stale = False  # its upstream's data were older than the limit when it last said
         self.generation = NO_GENERATION  # set with Accepted
-        self.assembly = Assembly(max_bytes)
+        self.assembly = MessageAssembly(max_bytes)
--- a/merlinbay/control/fanout/source.py
+++ b/merlinbay/control/fanout/watch_server.py
@@ -7,29 +7,29 @@
 from random import Random
 
 from merlinbay.control.fanout import status
-from merlinbay.control.fanout.admission import Admission
+from merlinbay.control.fanout.admission import AdmissionBucket
 from merlinbay.control.fanout.counters import ServerCounters
-from merlinbay.control.fanout.downstream import Downstream
+from merlinbay.control.fanout.downstream_watch import DownstreamWatch
 from merlinbay.control.fanout.effects import CloseDownstream, DownstreamEffect, SendDownstream
-from merlinbay.control.fanout.frames import FrameCache, Transfer
+from merlinbay.control.fanout.frames import EncodedUpdate, FrameCache
 from merlinbay.control.fanout.messages import (
     MAX_NAMES,
     NO_GENERATION,
     PROTOCOL_VERSION,
-    Accepted,
-    Busy,
-    BusyReason,
     Generation,
     Goodbye,
     GoodbyeReason,
     KeepAlive,
     Laggard,
     MalformedMessageError,
-    Progress,
-    Role,
+    ProgressReport,
+    RejectionReason,
     ServerMessage,
     Summary,
-    Watch,
+    WatchAccepted,
+    WatcherRole,
+    WatchRejected,
+    WatchRequest,
     decode_from_follower,
     encode,
     milliseconds,
@@ -62,10 +62,10 @@
         self.frames = FrameCache(store, settings.chunk_bytes, settings.keepalive)
         self._rng = rng
         self._effects: list[DownstreamEffect] = []
-        self._downstreams: dict[int, Downstream] = {}
-        self._by_member: dict[str, Downstream] = {}
+        self._downstreams: dict[int, DownstreamWatch] = {}
+        self._by_member: dict[str, DownstreamWatch] = {}
         self._absent: dict[str, tuple[float, Laggard]] = {}  # oldest first: until when it is named
-        self._admission = Admission(settings.admit_rate, settings.admit_burst, now)
+        self._admission = AdmissionBucket(settings.admit_rate, settings.admit_burst, now)
         self._current_at = -math.inf  # the store's state was known to be the latest then
         self._flushed_at = -math.inf
         self._flush_at = math.inf
@@ -79,7 +79,7 @@
         if len(self._downstreams) >= UNWATCHED_SHARE * self.settings.max_watches:
             self._effects.append(CloseDownstream(connection))
             return
-        self._downstreams[connection] = Downstream(connection, now)
+        self._downstreams[connection] = DownstreamWatch(connection, now)
         if self._sweep_at == math.inf:
             self._sweep_at = now + self.settings.keepalive / SWEEPS
 
@@ -100,9 +100,9 @@
         if isinstance(message, Goodbye):
             self._drop(downstream)
             self._effects.append(CloseDownstream(connection, message.reason))
-        elif isinstance(message, Watch) and not downstream.watching:
+        elif isinstance(message, WatchRequest) and not downstream.watching:
             self._watch(downstream, message, now)
-        elif isinstance(message, Progress) and downstream.watching:
+        elif isinstance(message, ProgressReport) and downstream.watching:
             self._progress(downstream, message)
         else:
             self.counters.malformed += 1
@@ -178,7 +178,7 @@
         self._forget_absent(now)
         most, names = self.settings.summary_counts, self.settings.summary_laggards
         direct = status.summarize(
-            (one.last_known() for one in self._by_member.values() if one.role is Role.FOLLOWER),
+            (one.last_known() for one in self._by_member.values() if one.role is WatcherRole.FOLLOWER),
             self.store.revision,
             most,
             names,
@@ -198,14 +198,14 @@
 
     # Taking a watch.
 
-    def _watch(self, downstream: Downstream, watch: Watch, now: float) -> None:
+    def _watch(self, downstream: DownstreamWatch, watch: WatchRequest, now: float) -> None:
         same = watch.generation == self.generation
         if watch.version != PROTOCOL_VERSION:
             self._end(downstream, GoodbyeReason.VERSION, now)
         elif self._draining:
             self._end(downstream, GoodbyeReason.STOPPING, now)
         elif self.generation == NO_GENERATION:
-            self._refuse(downstream, BusyReason.NO_DATA, now)
+            self._refuse(downstream, RejectionReason.NO_DATA, now)
         elif not same and watch.generation.number == self.generation.number:
             self.counters.foreign += 1
             self._end(downstream, GoodbyeReason.FOREIGN, now)
@@ -213,15 +213,15 @@
             same and watch.revision > self.store.revision
         ):
             self.counters.from_the_future += 1
-            self._refuse(downstream, BusyReason.BEHIND, now)
+            self._refuse(downstream, RejectionReason.BEHIND, now)
         elif len(self._by_member) >= self.settings.max_watches and watch.member not in self._by_member:
-            self._refuse(downstream, BusyReason.FULL, now)
+            self._refuse(downstream, RejectionReason.FULL, now)
         elif not self._admission.take(now):
-            self._refuse(downstream, BusyReason.RATE, now)
+            self._refuse(downstream, RejectionReason.RATE, now)
         else:
             self._admit(downstream, watch, now)
 
-    def _admit(self, downstream: Downstream, watch: Watch, now: float) -> None:
+    def _admit(self, downstream: DownstreamWatch, watch: WatchRequest, now: float) -> None:
         former = self._by_member.get(watch.member)
         if former is not None:
             self._end(former, GoodbyeReason.REPLACED, now)
@@ -234,37 +234,37 @@
         self._accept(downstream, now)
         self._pump(downstream, now)
 
-    def _accept(self, downstream: Downstream, now: float) -> None:
-        message = Accepted(self.generation, self.store.revision, milliseconds(self.staleness(now)))
+    def _accept(self, downstream: DownstreamWatch, now: float) -> None:
+        message = WatchAccepted(self.generation, self.store.revision, milliseconds(self.staleness(now)))
         self._send(downstream, encode(message), now)
 
-    def _refuse(self, downstream: Downstream, reason: BusyReason, now: float) -> None:
+    def _refuse(self, downstream: DownstreamWatch, reason: RejectionReason, now: float) -> None:
         self.counters.busy += 1
         least, most = self.settings.retry_least, self.settings.retry_most
-        if reason is BusyReason.RATE:
+        if reason is RejectionReason.RATE:
             wait = self._admission.retry_after(now, least, most)
-        elif reason is BusyReason.FULL:
+        elif reason is RejectionReason.FULL:
             wait = most
         else:  # passes as soon as this side has caught up
             wait = least * (1 + self._rng.random())
-        self._send(downstream, encode(Busy(reason, milliseconds(wait), self.others)), now)
+        self._send(downstream, encode(WatchRejected(reason, milliseconds(wait), self.others)), now)
         self._effects.append(CloseDownstream(downstream.connection))
         self._drop(downstream)
 
-    def _progress(self, downstream: Downstream, progress: Progress) -> None:
+    def _progress(self, downstream: DownstreamWatch, progress: ProgressReport) -> None:
         if progress.generation != self.generation.number:
             return  # sent before it heard of the reset
         revision = min(progress.revision, self.store.revision)
         if (revision, progress.summary) == (downstream.reported_revision, downstream.summary):
             return
         downstream.reported_revision = revision
-        if downstream.role is Role.RELAY:
+        if downstream.role is WatcherRole.RELAY:
             downstream.summary = progress.summary
         self.reports += 1
 
     # Sending.
 
-    def _pump(self, downstream: Downstream, now: float) -> None:
+    def _pump(self, downstream: DownstreamWatch, now: float) -> None:
         """Queue frames until the watch has everything or its queue is full."""
         settings = self.settings
         while downstream.room(settings.queue_messages, settings.queue_bytes):
@@ -276,7 +276,7 @@
             if downstream.next_part == len(transfer.frames):
                 self._transferred(downstream, transfer, now)
 
-    def _next_transfer(self, downstream: Downstream, now: float) -> Transfer | None:
+    def _next_transfer(self, downstream: DownstreamWatch, now: float) -> EncodedUpdate | None:
         transfer = None
         if not downstream.wants_snapshot:
             if downstream.queued_revision >= self.store.revision:
@@ -287,7 +287,7 @@
         downstream.next_part = 0
         return downstream.transfer
 
-    def _transferred(self, downstream: Downstream, transfer: Transfer, now: float) -> None:
+    def _transferred(self, downstream: DownstreamWatch, transfer: EncodedUpdate, now: float) -> None:
         downstream.transfer = None
         downstream.wants_snapshot = False
         downstream.queued_revision = transfer.revision
@@ -301,13 +301,13 @@
     def _keepalive(self, now: float) -> bytes:
         return encode(KeepAlive(self.store.revision, milliseconds(self.staleness(now))))
 
-    def _send(self, downstream: Downstream, frame: bytes, now: float) -> None:
+    def _send(self, downstream: DownstreamWatch, frame: bytes, now: float) -> None:
         downstream.queued(len(frame), now)
         self.counters.messages_sent += 1
         self.counters.bytes_sent += len(frame)
         self._effects.append(SendDownstream(downstream.connection, frame))
 
-    def _say(self, downstream: Downstream, message: ServerMessage, now: float) -> None:
+    def _say(self, downstream: DownstreamWatch, message: ServerMessage, now: float) -> None:
         self._send(downstream, encode(message), now)
 
     # Ending.
@@ -329,19 +329,19 @@
             elif downstream.watching and downstream.last_sent <= due and not downstream.unwritten_messages:
                 self._send(downstream, keepalive, now)
 
-    def _end(self, downstream: Downstream, reason: GoodbyeReason, now: float) -> None:
+    def _end(self, downstream: DownstreamWatch, reason: GoodbyeReason, now: float) -> None:
         """End a stream with a last message."""
         others = self.others if reason is GoodbyeReason.STOPPING else ()
         self._say(downstream, Goodbye(reason, others), now)
         self._effects.append(CloseDownstream(downstream.connection, reason))
         self._drop(downstream)
 
-    def _cut(self, downstream: Downstream, reason: GoodbyeReason, now: float) -> None:
+    def _cut(self, downstream: DownstreamWatch, reason: GoodbyeReason, now: float) -> None:
         """End a stream that takes or sends nothing any more."""
         self._effects.append(CloseDownstream(downstream.connection, reason))
         self._lose(downstream, now)
 
-    def _lose(self, downstream: Downstream, now: float) -> None:
+    def _lose(self, downstream: DownstreamWatch, now: float) -> None:
         """Forget a stream that ended unasked, and name its member for some time."""
         self._drop(downstream)
         if not downstream.watching:
@@ -351,7 +351,7 @@
         if len(self._absent) > MOST_ABSENT:
             del self._absent[next(iter(self._absent))]
 
-    def _drop(self, downstream: Downstream) -> None:
+    def _drop(self, downstream: DownstreamWatch) -> None:
         del self._downstreams[downstream.connection]
         if downstream.watching and self._by_member.get(downstream.member) is downstream:
             del self._by_member[downstream.member]
--- a/merlinbay/control/keyspace.py
+++ b/merlinbay/control/keyspace.py
@@ -31,7 +31,7 @@
     """The bytes are not a snapshot of a keyspace, or one of another version."""
 
 
-class Decision(msgspec.Struct, frozen=True, array_like=True):
+class ChangeDecision(msgspec.Struct, frozen=True, array_like=True):
     """What became of a change, kept under its id."""
 
     revision: int  # where it was applied; of the keyspace where it was rejected
@@ -51,7 +51,7 @@
     revision: int
     compacted_revision: int
     entries: list[KeyValue]
-    decisions: list[tuple[str, Decision]]
+    decisions: list[tuple[str, ChangeDecision]]
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -65,7 +65,7 @@
         self.revision = 0
         self.compacted_revision = 0  # deltas start at it or later
         self._entries: dict[str, KeyValue] = {}  # in the order of revisions
-        self._decisions: dict[str, Decision] = {}  # in the order of being decided
+        self._decisions: dict[str, ChangeDecision] = {}  # in the order of being decided
 
     def apply(self, change: Change) -> ChangeResult:
         """Apply a committed change. A repeated id gets the first answer, also where that was a conflict."""
@@ -74,12 +74,12 @@
             return decided.result()
         current = self.key_revision(change.key)
         if change.expected_revision is not None and change.expected_revision != current:
-            decision = Decision(self.revision, current)
+            decision = ChangeDecision(self.revision, current)
         else:
             self.revision += 1
             self._entries.pop(change.key, None)  # the new one stands last
             self._entries[change.key] = KeyValue(change.key, change.value, self.revision)
-            decision = Decision(self.revision)
+            decision = ChangeDecision(self.revision)
         self._decisions[change.change_id] = decision
         self._forget_decisions()
         return decision.result()
--- a/merlinbay/control/simulation/checker.py
+++ b/merlinbay/control/simulation/checker.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass
 
 from merlinbay.control.entries import ChangeApplied, ChangeRejected
-from merlinbay.control.simulation.history import Attempt, EntrySeen, History, LogSeen, Operation, StateSeen
+from merlinbay.control.simulation.history import (
+    EntrySeen,
+    History,
+    LogSeen,
+    Operation,
+    ProposalAttempt,
+    StateSeen,
+)
 from merlinbay.control.simulation.linearizability import Verdict, check_key
 
 FINAL_REASONS = ("conflict", "invalid")  # rejections that a repeat of the change cannot turn round
@@ -175,7 +182,7 @@
 def rejected_changes_have_no_effect(history: History) -> Iterator[str]:
     """Check that a change rejected for good, or by every attempt, is never applied."""
     values = {seen.entry.value for seen in history.applied}
-    by_change: dict[str, list[Attempt]] = defaultdict(list)
+    by_change: dict[str, list[ProposalAttempt]] = defaultdict(list)
     for attempt in history.attempts:
         by_change[attempt.change.change_id].append(attempt)
     for change_id, attempts in by_change.items():
--- a/merlinbay/control/simulation/client.py
+++ b/merlinbay/control/simulation/client.py
@@ -9,7 +9,7 @@
 
 from merlinbay.control.effects import ProposalDone, ReadDone
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, KeyValue
-from merlinbay.control.simulation.history import History, Kind, Operation
+from merlinbay.control.simulation.history import History, Operation, OperationKind
 from merlinbay.control.simulation.scenario import KEYS
 from merlinbay.control.simulation.scheduler import Scheduler
 
@@ -23,7 +23,7 @@
 OnAnswer = Callable[[Answer], None]
 
 
-class Surroundings(Protocol):
+class ClientEnvironment(Protocol):
     """What a client needs of the world."""
 
     scheduler: Scheduler
@@ -47,11 +47,11 @@
     revision: int
 
 
-class Client:
+class SimulatedClient:
     """Does one operation after the other until it is stopped."""
 
     def __init__(
-        self, name: str, world: Surroundings, random: Random, voters: tuple[str, ...], think_time: float
+        self, name: str, world: ClientEnvironment, random: Random, voters: tuple[str, ...], think_time: float
     ) -> None:
         """Be ready; ``start`` begins."""
         self.name = name
@@ -96,9 +96,9 @@
         if self.acknowledged and self.random.random() < REPEATS:
             self._repeat()
         elif self.random.random() < 0.4:
-            self.begin(Operation(self.name, Kind.READ, key, now))
+            self.begin(Operation(self.name, OperationKind.READ, key, now))
         else:
-            self.begin(Operation(self.name, Kind.CHANGE, key, now, self._draw_change(key)))
+            self.begin(Operation(self.name, OperationKind.CHANGE, key, now, self._draw_change(key)))
 
     def _draw_change(self, key: str) -> Change:
         self.number += 1
--- a/merlinbay/control/simulation/core.py
+++ b/merlinbay/control/simulation/core_under_test.py
@@ -12,8 +12,16 @@
 from merlinbay.control.consensus.messages import VoteRequest, VoteResponse, decode
 from merlinbay.control.consensus.settings import VoterSettings
 from merlinbay.control.entries import StateSnapshot
-from merlinbay.control.simulation.ports import Boot, Core, Extent, LogEntry, LogView, Vote, VoterPort
-from merlinbay.control.voter import Role, Voter
+from merlinbay.control.simulation.ports import (
+    CoreUnderTest,
+    LogExtent,
+    LogView,
+    ObservedEntry,
+    ObservedVote,
+    VoterPort,
+    VoterStart,
+)
+from merlinbay.control.voter import Voter, VoterRole
 
 ONE_ENTRY = 150  # bytes of a batch into which two entries do not fit
 
@@ -33,16 +41,16 @@
     )
 
 
-def raft(seed: int, one_entry_a_message: bool = False) -> Core:
+def raft(seed: int, one_entry_a_message: bool = False) -> CoreUnderTest:
     """Return the core under test, with the settings of a seed."""
 
-    def start(boot: Boot) -> VoterPort:
+    def start(boot: VoterStart) -> VoterPort:
         settings = settings_of(seed, boot.first_voters)
         if one_entry_a_message:
             settings = replace(settings, max_batch_bytes=ONE_ENTRY, max_messages_in_flight=1)
         return Voter(boot.name, settings, boot.records, boot.random, boot.now)
 
-    return Core(start, _snapshot, _leading_term, _voters, _admitted, _extent, _log, _vote)
+    return CoreUnderTest(start, _snapshot, _leading_term, _voters, _admitted, _extent, _log, _vote)
 
 
 def _snapshot(voter: VoterPort) -> StateSnapshot:
@@ -51,7 +59,7 @@
 
 def _leading_term(voter: VoterPort) -> int | None:
     raft_voter = cast(Voter, voter)
-    return raft_voter.term if raft_voter.role is Role.LEADER else None
+    return raft_voter.term if raft_voter.role is VoterRole.LEADER else None
 
 
 def _voters(voter: VoterPort) -> frozenset[str]:
@@ -59,21 +67,21 @@
 
 
 def _admitted(voter: VoterPort) -> bool:
-    return cast(Voter, voter)._core.is_member
+    return cast(Voter, voter)._raft.is_member
 
 
-def _extent(voter: VoterPort) -> Extent:
+def _extent(voter: VoterPort) -> LogExtent:
     raft_voter = cast(Voter, voter)
-    log = raft_voter._core.log
-    return Extent(log.last_index, log.last_term, raft_voter.commit_index)
+    log = raft_voter._raft.log
+    return LogExtent(log.last_index, log.last_term, raft_voter.commit_index)
 
 
 def _log(voter: VoterPort, index: int) -> LogView:
     raft_voter = cast(Voter, voter)
-    log = raft_voter._core.log
+    log = raft_voter._raft.log
     first = max(index, log.base_index + 1)
     entries = tuple(
-        LogEntry(entry.index, entry.term, _content(entry.command)) for entry in log.entries_from(first)
+        ObservedEntry(entry.index, entry.term, _content(entry.command)) for entry in log.entries_from(first)
     )
     return LogView(
         term=raft_voter.term,
@@ -84,16 +92,16 @@
     )
 
 
-def _vote(sender: str, message: bytes) -> Vote | None:
+def _vote(sender: str, message: bytes) -> ObservedVote | None:
     if b"vote" not in message:  # both kinds of message have it in their tag
         return None
     envelope = decode(message)
     voter = f"{sender}/{envelope.incarnation}"
     match envelope.message:
         case VoteRequest(pre=False, term=term):
-            return Vote(voter, term, voter)  # a candidate votes for itself
+            return ObservedVote(voter, term, voter)  # a candidate votes for itself
         case VoteResponse(pre=False, granted=True, term=term, candidate=candidate):
-            return Vote(voter, term, f"{candidate.name}/{candidate.incarnation}")
+            return ObservedVote(voter, term, f"{candidate.name}/{candidate.incarnation}")
         case _:
             return None
 
--- a/merlinbay/control/simulation/faults.py
+++ b/merlinbay/control/simulation/fault_injection.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from itertools import product
 
-from merlinbay.control.simulation.host import AfterVote, Host
-from merlinbay.control.simulation.network import Network
+from merlinbay.control.simulation.network import FaultyNetwork
+from merlinbay.control.simulation.process import AfterVote, SimulatedProcess
 from merlinbay.control.simulation.scenario import (
     Crash,
     CrashAfterVote,
@@ -27,16 +27,16 @@
 Pairs = list[tuple[str, str]]
 
 
-class Faults:
+class FaultInjector:
     """Plans all faults of a scenario; ``end`` takes back what still holds."""
 
     def __init__(
         self,
         scenario: Scenario,
         scheduler: Scheduler,
-        network: Network,
-        hosts: dict[str, Host],
-        leader: Callable[[], Host | None],
+        network: FaultyNetwork,
+        hosts: dict[str, SimulatedProcess],
+        leader: Callable[[], SimulatedProcess | None],
         move_voters: Callable[[tuple[float, ...]], None],
         trace: Callable[[str], None],
     ) -> None:
--- a/merlinbay/control/simulation/follower.py
+++ b/merlinbay/control/simulation/follower.py
@@ -16,17 +16,17 @@
 POLL_EVERY = 0.3  # seconds, mean
 MOVES = 0.1  # share of the polls after which the follower goes to another voter
 
-News = Delta | StateSnapshot
+StateUpdate = Delta | StateSnapshot
 
 
-class Surroundings(Protocol):
+class FollowerEnvironment(Protocol):
     """What a follower needs of the world."""
 
     scheduler: Scheduler
     history: History
 
     def request_news(
-        self, follower: str, voter: str, revision: int, on_answer: Callable[[News], None]
+        self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
         """Ask a voter for what came after a revision; not answered where it has nothing newer."""
 
@@ -40,10 +40,12 @@
     return hashlib.blake2b(msgspec.msgpack.encode(existing), digest_size=16).digest()
 
 
-class Follower:
+class SimulatedFollower:
     """Keeps a copy of all keys; an answer to the last request is taken as it is, so that faults show."""
 
-    def __init__(self, name: str, world: Surroundings, random: Random, voters: tuple[str, ...]) -> None:
+    def __init__(
+        self, name: str, world: FollowerEnvironment, random: Random, voters: tuple[str, ...]
+    ) -> None:
         """Start empty at revision 0."""
         self.name = name
         self.world = world
@@ -64,7 +66,7 @@
         self.world.request_news(self.name, self.voter, self.revision, lambda news: self._take(request, news))
         self.world.scheduler.after(POLL_EVERY * (0.5 + self.random.random()), self.poll)
 
-    def _take(self, request: int, news: News) -> None:
+    def _take(self, request: int, news: StateUpdate) -> None:
         if request != self.request:
             return  # late, or a second copy
         self.request += 1
--- a/merlinbay/control/simulation/history.py
+++ b/merlinbay/control/simulation/history.py
@@ -13,7 +13,7 @@
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, ChangeResult, KeyValue
 
 
-class Kind(Enum):
+class OperationKind(Enum):
     """What a client asked for."""
 
     CHANGE = "change"
@@ -29,7 +29,7 @@
     """
 
     client: str
-    kind: Kind
+    kind: OperationKind
     key: str
     invoked: float
     change: Change | None = None
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Attempt:
+class ProposalAttempt:
     """One change handed to one voter; ``result`` stays None where the voter stopped before it answered."""
 
     time: float
@@ -142,7 +142,7 @@
     """All records of one run, each list in the order of virtual time."""
 
     operations: list[Operation] = field(default_factory=list)
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[ProposalAttempt] = field(default_factory=list)
     leaders: list[LeaderSeen] = field(default_factory=list)
     votes: list[VoteSeen] = field(default_factory=list)
     entries: list[EntrySeen] = field(default_factory=list)
--- a/merlinbay/control/simulation/linearizability.py
+++ b/merlinbay/control/simulation/linearizability.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from merlinbay.control.entries import ChangeApplied, ChangeRejected
-from merlinbay.control.simulation.history import Kind, Operation
+from merlinbay.control.simulation.history import Operation, OperationKind
 
 MOST_CONFIGURATIONS = 200_000  # some 100 MB of visited configurations
 UNKNOWN = -1  # the revision of a change whose client never learned it
@@ -76,7 +76,7 @@
 
 def step(register: Register, operation: Operation) -> Register | None:
     """Return the register after the operation, or None where the operation's outcome rules this out."""
-    if operation.kind is Kind.READ:
+    if operation.kind is OperationKind.READ:
         return _after_read(register, operation)
     return _after_change(register, operation)
 
@@ -84,7 +84,8 @@
 def check_key(operations: list[Operation], most: int = MOST_CONFIGURATIONS) -> Verdict:
     """Search an order of one key's operations that explains all outcomes."""
     ordered = sorted(
-        (one for one in operations if one.complete or one.kind is Kind.CHANGE), key=lambda one: one.invoked
+        (one for one in operations if one.complete or one.kind is OperationKind.CHANGE),
+        key=lambda one: one.invoked,
     )
     must = sum(1 << number for number, one in enumerate(ordered) if one.complete)
     stack = [(0, Register())]
--- a/merlinbay/control/simulation/machine.py
+++ b/merlinbay/control/simulation/machine.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Clock:
+class SkewedClock:
     """A clock that is off by a constant and runs a little too fast or too slow."""
 
     offset: float
@@ -21,7 +21,7 @@
         return (local - self.offset) / (1.0 + self.drift)
 
 
-class Disk:
+class SimulatedDisk:
     """Durable records. A snapshot replaces the records before it at once."""
 
     def __init__(self) -> None:
--- a/merlinbay/control/simulation/network.py
+++ b/merlinbay/control/simulation/network.py
@@ -23,7 +23,7 @@
     held_back: float  # up to so many seconds
 
 
-class Network:
+class FaultyNetwork:
     """Decides when the copies of a message arrive. Places are machines by name; each is in a region."""
 
     def __init__(self, settings: NetworkSettings, regions: dict[str, str], random: Random) -> None:
--- a/merlinbay/control/simulation/observer.py
+++ b/merlinbay/control/simulation/observer.py
@@ -14,19 +14,19 @@
     LogSeen,
     StateSeen,
 )
-from merlinbay.control.simulation.host import Host
-from merlinbay.control.simulation.ports import Core, Extent, VoterPort
+from merlinbay.control.simulation.ports import CoreUnderTest, LogExtent, VoterPort
+from merlinbay.control.simulation.process import SimulatedProcess
 
-NOTHING = Extent(0, 0, 0)
+NOTHING = LogExtent(0, 0, 0)
 
 
 @dataclass
-class Seen:
+class ObservedStart:
     """What was last seen of one start of one voter."""
 
     voter: VoterPort
     revision: int = 0
-    extent: Extent = NOTHING
+    extent: LogExtent = NOTHING
     committed: int = 0
     entries: dict[int, tuple[int, bool]] = field(default_factory=dict)  # term and whether committed
 
@@ -34,20 +34,20 @@
 class Observer:
     """Keeps what was seen of each voter, so that only news are recorded."""
 
-    def __init__(self, core: Core, history: History) -> None:
+    def __init__(self, core: CoreUnderTest, history: History) -> None:
         """Start with nothing seen."""
         self.core = core
         self.history = history
-        self.seen: dict[str, Seen] = {}
+        self.seen: dict[str, ObservedStart] = {}
         self.led: set[tuple[str, int]] = set()
 
-    def observe(self, host: Host, time: float) -> str:
+    def observe(self, host: SimulatedProcess, time: float) -> str:
         """Record what is new at a voter; return a line for the trace where it began to lead."""
         voter = host.voter
         assert voter is not None
         seen = self.seen.get(host.name)
         if seen is None or seen.voter is not voter:
-            seen = self.seen[host.name] = Seen(voter)
+            seen = self.seen[host.name] = ObservedStart(voter)
         self._observe_state(host.name, seen, time)
         extent = self.core.extent(voter) or NOTHING
         if extent != seen.extent:
@@ -59,7 +59,7 @@
         self.history.leaders.append(LeaderSeen(time, host.name, term, extent.last_index))
         return f"{host.name} leads term {term}"
 
-    def _observe_state(self, name: str, seen: Seen, time: float) -> None:
+    def _observe_state(self, name: str, seen: ObservedStart, time: float) -> None:
         revision = seen.voter.keyspace.revision
         if revision == seen.revision:
             return
@@ -70,7 +70,9 @@
         self.history.states.append(StateSeen(time, name, revision, state_digest(snapshot.entries)))
         seen.revision = revision
 
-    def _observe_log(self, host: Host, seen: Seen, extent: Extent, time: float) -> None:
+    def _observe_log(
+        self, host: SimulatedProcess, seen: ObservedStart, extent: LogExtent, time: float
+    ) -> None:
         seen.extent = extent
         log = self.core.log(seen.voter, seen.committed + 1)
         self.history.logs.append(
@@ -97,7 +99,7 @@
             previous = entry.term
         seen.committed = max(seen.committed, extent.commit_index)
 
-    def finish(self, hosts: list[Host]) -> None:
+    def finish(self, hosts: list[SimulatedProcess]) -> None:
         """Record what voters end with."""
         self.history.expected_finals = len(hosts)
         for host in hosts:
--- a/merlinbay/control/simulation/ports.py
+++ b/merlinbay/control/simulation/ports.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Protocol
 
-from merlinbay.control.effects import Effect
+from merlinbay.control.effects import VoterEffect
 from merlinbay.control.entries import Change, Delta, StateSnapshot
 
 
@@ -50,15 +50,15 @@
     def transfer_leadership(self, now: float) -> None:
         """Hand the leadership to another voter."""
 
-    def storage_failed(self, now: float, dropped: Sequence[Effect] = ()) -> None:
+    def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
         """Give up: a record could not be made durable; the effects from it on are dropped."""
 
-    def take_effects(self) -> list[Effect]:
+    def take_effects(self) -> list[VoterEffect]:
         """Return the effects since the last call."""
 
 
 @dataclass(frozen=True)
-class LogEntry:
+class ObservedEntry:
     """An entry as the checks compare it."""
 
     index: int
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class Extent:
+class LogExtent:
     """How far a voter's log goes, and how far it is committed."""
 
     last_index: int
@@ -83,11 +83,11 @@
     first_index: int
     state_digest: str  # of all that is applied up to the commit index, ids of changes included
     previous_term: int | None  # of the entry before the first one
-    entries: tuple[LogEntry, ...]
+    entries: tuple[ObservedEntry, ...]
 
 
 @dataclass(frozen=True)
-class Vote:
+class ObservedVote:
     """A vote that a voter gives; ``voter`` names its disk too."""
 
     voter: str
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class Boot:
+class VoterStart:
     """What a voter is started with."""
 
     name: str
@@ -107,14 +107,14 @@
 
 
 @dataclass(frozen=True)
-class Core:
+class CoreUnderTest:
     """The code under test: how to start a voter, and how to look into it."""
 
-    start: Callable[[Boot], VoterPort]
+    start: Callable[[VoterStart], VoterPort]
     snapshot: Callable[[VoterPort], StateSnapshot]
     leading_term: Callable[[VoterPort], int | None]  # the term that the voter takes itself for the leader of
     voters: Callable[[VoterPort], frozenset[str]]  # the configuration that the voter goes by
     admitted: Callable[[VoterPort], bool]  # whether its vote counts, with the disk that it has
-    extent: Callable[[VoterPort], Extent | None]  # None: it shows no log
+    extent: Callable[[VoterPort], LogExtent | None]  # None: it shows no log
     log: Callable[[VoterPort, int], LogView]  # from an index on
-    vote: Callable[[str, bytes], Vote | None]  # what a message of a sender says, if it is a vote
+    vote: Callable[[str, bytes], ObservedVote | None]  # what a message of a sender says, if it is a vote
--- a/merlinbay/control/simulation/host.py
+++ b/merlinbay/control/simulation/process.py
@@ -16,11 +16,18 @@
 from random import Random
 from typing import Protocol
 
-from merlinbay.control.effects import Effect, Persist, ProposalDone, ReadDone, RevisionAdvanced, Send
+from merlinbay.control.effects import (
+    Persist,
+    ProposalDone,
+    ReadDone,
+    RevisionAdvanced,
+    SendMessage,
+    VoterEffect,
+)
 from merlinbay.control.entries import Change
-from merlinbay.control.simulation.history import Attempt
-from merlinbay.control.simulation.machine import Clock, Disk
-from merlinbay.control.simulation.ports import Boot, Core, VoterPort
+from merlinbay.control.simulation.history import ProposalAttempt
+from merlinbay.control.simulation.machine import SimulatedDisk, SkewedClock
+from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort, VoterStart
 from merlinbay.control.simulation.scheduler import Scheduler
 
 LEAST_TICK = 0.001  # seconds between ticks, where a deadline stays in the past
@@ -28,11 +35,11 @@
 SLOW_SYNC = 0.02  # share of the syncs that take up to SLOWEST_SYNC
 SYNC, SLOWEST_SYNC = 0.002, 0.1  # seconds
 
-Input = Callable[[VoterPort, float], None]
+VoterInput = Callable[[VoterPort, float], None]
 ReplyTo = Callable[[ProposalDone | ReadDone], None]
 
 
-class World(Protocol):
+class ProcessEnvironment(Protocol):
     """What a process needs of its surroundings."""
 
     scheduler: Scheduler
@@ -40,13 +47,13 @@
     def send(self, sender: str, receiver: str, message: bytes) -> bool:
         """Send a message to another voter; return whether it is a vote."""
 
-    def observe(self, host: Host) -> None:
+    def observe(self, host: SimulatedProcess) -> None:
         """Look at a voter whose effects are all carried out."""
 
-    def attempted(self, attempt: Attempt) -> None:
+    def attempted(self, attempt: ProposalAttempt) -> None:
         """Record that a change was handed to a voter."""
 
-    def failed(self, host: Host, problem: str) -> None:
+    def failed(self, host: SimulatedProcess, problem: str) -> None:
         """Record an exception of the code under test."""
 
     def trace(self, text: str) -> None:
@@ -54,11 +61,11 @@
 
 
 @dataclass
-class Pending:
+class PendingRequest:
     """A proposal or read that the core has not answered yet."""
 
     reply: ReplyTo
-    attempt: Attempt | None
+    attempt: ProposalAttempt | None
 
 
 @dataclass(frozen=True)
@@ -69,15 +76,15 @@
     loses_disk: bool
 
 
-class Host:
+class SimulatedProcess:
     """One process, its clock and its disk, over all its starts."""
 
     def __init__(
         self,
         name: str,
-        core: Core,
-        world: World,
-        clock: Clock,
+        core: CoreUnderTest,
+        world: ProcessEnvironment,
+        clock: SkewedClock,
         random: Random,
         first_voters: tuple[str, ...],
         batches: bool,
@@ -90,7 +97,7 @@
         self.random = random
         self.first_voters = first_voters
         self.batches = batches
-        self.disk = Disk()
+        self.disk = SimulatedDisk()
         self.voter: VoterPort | None = None
         self.starts = 0
         self.paused = False
@@ -100,10 +107,10 @@
         self.crash_for = 0.0
         self.crash_after_vote: AfterVote | None = None
         self.leader_crash_in: int | None = None  # effects until a crash, once it leads
-        self.effects: deque[Effect] = deque()
-        self.inputs: deque[Input] = deque()
-        self.pending: dict[int, Pending] = {}
-        self.answered: dict[int, Attempt] = {}
+        self.effects: deque[VoterEffect] = deque()
+        self.inputs: deque[VoterInput] = deque()
+        self.pending: dict[int, PendingRequest] = {}
+        self.answered: dict[int, ProposalAttempt] = {}
         self.tick_at = math.inf
 
     @property
@@ -122,7 +129,7 @@
         self.starts += 1
         self.world.trace(f"{self.name} starts with {len(self.disk.records)} records")
         random = Random(self.random.random())
-        boot = Boot(self.name, self.first_voters, tuple(self.disk.records), random, self.now())
+        boot = VoterStart(self.name, self.first_voters, tuple(self.disk.records), random, self.now())
         try:
             self.voter = self.core.start(boot)
             self.effects.extend(self.voter.take_effects())
@@ -173,7 +180,7 @@
             self.paused = False
             self._work()
 
-    def give(self, call: Input) -> None:
+    def give(self, call: VoterInput) -> None:
         """Hand an input to the process, or lose it where the process is down."""
         if self.voter is not None:
             self.inputs.append(call)
@@ -183,9 +190,9 @@
         """Hand a client's change to the core."""
 
         def call(voter: VoterPort, now: float) -> None:
-            attempt = Attempt(self.world.scheduler.time, self.name, change)
+            attempt = ProposalAttempt(self.world.scheduler.time, self.name, change)
             self.world.attempted(attempt)
-            self.pending[token] = Pending(reply, attempt)
+            self.pending[token] = PendingRequest(reply, attempt)
             voter.propose(now, change, token)
 
         self.give(call)
@@ -194,7 +201,7 @@
         """Hand a client's read to the core."""
 
         def call(voter: VoterPort, now: float) -> None:
-            self.pending[token] = Pending(reply, None)
+            self.pending[token] = PendingRequest(reply, None)
             voter.read(now, key, token)
 
         self.give(call)
@@ -203,7 +210,7 @@
         """Hand an operator's change of voters to the core."""
 
         def call(voter: VoterPort, now: float) -> None:
-            self.pending[token] = Pending(reply, None)
+            self.pending[token] = PendingRequest(reply, None)
             voter.change_voters(now, add, remove, token)
 
         self.give(call)
@@ -234,7 +241,7 @@
         # Records first, so that one sync does for all of them.
         self.effects = deque(sorted(self.effects, key=lambda effect: not isinstance(effect, Persist)))
 
-    def _call(self, calls: list[Input]) -> None:
+    def _call(self, calls: list[VoterInput]) -> None:
         assert self.voter is not None
         now = self.now()
         try:
@@ -271,7 +278,7 @@
         self.crash(self.crash_for)
         return True
 
-    def _maybe_durable(self, effect: Effect) -> None:
+    def _maybe_durable(self, effect: VoterEffect) -> None:
         """Let the record that was being written at a crash be durable or lost."""
         if isinstance(effect, Persist) and not self.disk.full and self.random.random() < 0.5:
             self.disk.append(effect.record, effect.replaces_all)
@@ -305,9 +312,9 @@
                 self._answer(effect)
         self.crash(RESTART_AFTER)
 
-    def _carry_one(self, effect: Effect) -> None:
+    def _carry_one(self, effect: VoterEffect) -> None:
         match effect:
-            case Send():
+            case SendMessage():
                 voted = self.world.send(self.name, effect.receiver, effect.message)
                 if voted:
                     self._has_voted()
--- a/merlinbay/control/simulation/shrink.py
+++ b/merlinbay/control/simulation/shrink.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from merlinbay.control.simulation.scenario import Scenario
-from merlinbay.control.simulation.world import Run
+from merlinbay.control.simulation.simulation import SimulationRun
 
 MOST_RUNS = 200
 
@@ -26,7 +26,9 @@
         yield replace(scenario, followers=())
 
 
-def shrink(run: Run, play: Callable[[Scenario], Run], most_runs: int = MOST_RUNS) -> Run:
+def shrink(
+    run: SimulationRun, play: Callable[[Scenario], SimulationRun], most_runs: int = MOST_RUNS
+) -> SimulationRun:
     """Return the smallest run found that breaks the check that the given one broke first."""
     wanted = run.violations[0].check
     left = most_runs
--- a/merlinbay/control/simulation/world.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -12,15 +12,15 @@
 from merlinbay.control.effects import ProposalDone, ReadDone
 from merlinbay.control.entries import Change
 from merlinbay.control.simulation.checker import Violation, check
-from merlinbay.control.simulation.client import Client, OnAnswer
-from merlinbay.control.simulation.faults import Faults
-from merlinbay.control.simulation.follower import Follower, News
-from merlinbay.control.simulation.history import Attempt, History, Kind, Operation, VoteSeen
-from merlinbay.control.simulation.host import Host
-from merlinbay.control.simulation.machine import Clock
-from merlinbay.control.simulation.network import Network
+from merlinbay.control.simulation.client import OnAnswer, SimulatedClient
+from merlinbay.control.simulation.fault_injection import FaultInjector
+from merlinbay.control.simulation.follower import SimulatedFollower, StateUpdate
+from merlinbay.control.simulation.history import History, Operation, OperationKind, ProposalAttempt, VoteSeen
+from merlinbay.control.simulation.machine import SkewedClock
+from merlinbay.control.simulation.network import FaultyNetwork
 from merlinbay.control.simulation.observer import Observer
-from merlinbay.control.simulation.ports import Core, VoterPort
+from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort
+from merlinbay.control.simulation.process import SimulatedProcess
 from merlinbay.control.simulation.scenario import KEYS, Scenario
 from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Run:
+class SimulationRun:
     """What came out of a run. ``fingerprint`` is equal for two runs that went the same way."""
 
     scenario: Scenario
@@ -42,10 +42,10 @@
     steps: int
 
 
-class World:
+class Simulation:
     """All that a run consists of."""
 
-    def __init__(self, scenario: Scenario, core: Core) -> None:
+    def __init__(self, scenario: Scenario, core: CoreUnderTest) -> None:
         """Set everything up; ``run`` plays it."""
         self.scenario = scenario
         self.core = core
@@ -55,15 +55,15 @@
         self.tokens = itertools.count(1)
         self.observer = Observer(core, self.history)
         regions = {**scenario.regions, FINAL: scenario.regions[scenario.voters[0]]}
-        self.network = Network(scenario.network, regions, self._random("network"))
+        self.network = FaultyNetwork(scenario.network, regions, self._random("network"))
         self.hosts = {name: self._host(name) for name in scenario.machines}
         think = scenario.think_time
         self.clients = [self._client(name, think) for name in scenario.clients]
         self.final = self._client(FINAL, FINAL_EVERY)
         self.followers = [
-            Follower(name, self, self._random(name), scenario.voters) for name in scenario.followers
+            SimulatedFollower(name, self, self._random(name), scenario.voters) for name in scenario.followers
         ]
-        self.faults = Faults(
+        self.faults = FaultInjector(
             scenario,
             self.scheduler,
             self.network,
@@ -76,13 +76,13 @@
     def _random(self, purpose: str) -> Random:
         return Random(f"control {self.scenario.seed} {purpose}")
 
-    def _host(self, name: str) -> Host:
-        clock = Clock(*self.scenario.clocks[name])
+    def _host(self, name: str) -> SimulatedProcess:
+        clock = SkewedClock(*self.scenario.clocks[name])
         random, scenario = self._random(name), self.scenario
-        return Host(name, self.core, self, clock, random, scenario.voters, scenario.batches)
+        return SimulatedProcess(name, self.core, self, clock, random, scenario.voters, scenario.batches)
 
-    def _client(self, name: str, think_time: float) -> Client:
-        return Client(name, self, self._random(name), self.scenario.machines, think_time)
+    def _client(self, name: str, think_time: float) -> SimulatedClient:
+        return SimulatedClient(name, self, self._random(name), self.scenario.machines, think_time)
 
     def run(self) -> History:
         """Play the scenario; return its history."""
@@ -122,14 +122,14 @@
             self._finally((number + 0.5) * FINAL_EVERY, key, None)
 
     def _finally(self, after: float, key: str, change: Change | None) -> None:
-        kind = Kind.READ if change is None else Kind.CHANGE
+        kind = OperationKind.READ if change is None else OperationKind.CHANGE
 
         def begin() -> None:
             self.final.begin(Operation(FINAL, kind, key, self.scheduler.time, change))
 
         self.scheduler.after(after, begin)
 
-    def leader(self) -> Host | None:
+    def leader(self) -> SimulatedProcess | None:
         """Return the running voter that leads the highest term."""
         leading = [
             (term, host)
@@ -196,7 +196,7 @@
             self.scheduler.after(delay, partial(on_answer, answer))
 
     def request_news(
-        self, follower: str, voter: str, revision: int, on_answer: Callable[[News], None]
+        self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
         """Ask a voter for what came after a revision; one that has nothing newer does not answer."""
 
@@ -210,17 +210,17 @@
         for delay in self.network.arrivals(follower, voter):
             self.scheduler.after(delay, lambda: self.hosts[voter].give(call))
 
-    def observe(self, host: Host) -> None:
+    def observe(self, host: SimulatedProcess) -> None:
         """Record what is new at a voter."""
         line = self.observer.observe(host, self.scheduler.time)
         if line:
             self.trace(line)
 
-    def attempted(self, attempt: Attempt) -> None:
+    def attempted(self, attempt: ProposalAttempt) -> None:
         """Record that a change was handed to a voter."""
         self.history.attempts.append(attempt)
 
-    def failed(self, host: Host, problem: str) -> None:
+    def failed(self, host: SimulatedProcess, problem: str) -> None:
         """Record an exception of the code under test."""
         self.trace(f"{host.name} fails: {problem}")
         self.history.failures.append(f"{host.name} at {self.scheduler.time:.3f}: {problem}")
@@ -230,11 +230,11 @@
         self.lines.append(f"{self.scheduler.time:9.3f} {text}")
 
 
-def play(scenario: Scenario, core: Core) -> Run:
+def play(scenario: Scenario, core: CoreUnderTest) -> SimulationRun:
     """Play a scenario and check its history."""
-    world = World(scenario, core)
+    world = Simulation(scenario, core)
     history = world.run()
     violations = check(history)
     text = "\n".join([*world.lines, repr(history.states), repr(history.entries), repr(history.operations)])
     fingerprint = hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
-    return Run(scenario, history, violations, world.lines, fingerprint, world.scheduler.steps)
+    return SimulationRun(scenario, history, violations, world.lines, fingerprint, world.scheduler.steps)
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -6,32 +6,32 @@
 from collections.abc import Iterable, Sequence
 from random import Random
 
-from merlinbay.control.consensus.core import Core, Counters
 from merlinbay.control.consensus.election import Election
-from merlinbay.control.consensus.following import Following
+from merlinbay.control.consensus.follower_replication import FollowerReplication
 from merlinbay.control.consensus.leadership import Leadership
-from merlinbay.control.consensus.log import MAX_COUNT, change_bytes
-from merlinbay.control.consensus.membership import Member
+from merlinbay.control.consensus.log import MAX_LOG_NUMBER, change_bytes
+from merlinbay.control.consensus.membership import VoterIdentity
 from merlinbay.control.consensus.messages import (
     AppendRequest,
     AppendResponse,
-    Message,
     SnapshotRequest,
     SnapshotResponse,
     TimeoutNow,
     UnreadableMessageError,
     VoteRequest,
     VoteResponse,
+    VoterMessage,
     decode,
 )
+from merlinbay.control.consensus.raft_state import RaftState, VoterCounters
 from merlinbay.control.consensus.records import CorruptRecordsError
-from merlinbay.control.consensus.roles import Role
+from merlinbay.control.consensus.roles import VoterRole
 from merlinbay.control.consensus.settings import Placement, VoterSettings
-from merlinbay.control.effects import Effect, ProposalDone, ReadDone, RevisionAdvanced
+from merlinbay.control.effects import ProposalDone, ReadDone, RevisionAdvanced, VoterEffect
 from merlinbay.control.entries import Change, ChangeRejected, ChangeResult, ChangeUncertain
 from merlinbay.control.keyspace import Keyspace
 
-__all__ = ["CorruptRecordsError", "Placement", "Role", "Voter", "VoterSettings"]
+__all__ = ["CorruptRecordsError", "Placement", "Voter", "VoterRole", "VoterSettings"]
 
 
 class Voter:
@@ -45,9 +45,9 @@
         self, name: str, settings: VoterSettings, records: Iterable[bytes], random: Random, now: float
     ) -> None:
         self.settings = settings
-        self._core = Core(name, settings, records, random, now)
-        self._election = Election(self._core)
-        self._following = Following(self._core)
+        self._raft = RaftState(name, settings, records, random, now)
+        self._election = Election(self._raft)
+        self._following = FollowerReplication(self._raft)
         self._leadership: Leadership | None = None
         self._announced_revision = 0
 
@@ -56,63 +56,63 @@
     @property
     def name(self) -> str:
         """Return this voter's name."""
-        return self._core.name
+        return self._raft.name
 
     @property
     def incarnation(self) -> str:
         """Return the identity of this voter's disk."""
-        return self._core.identity.incarnation
+        return self._raft.identity.incarnation
 
     @property
     def keyspace(self) -> Keyspace:
         """Return the applied state. It may be stale, see ``age``; another object after a snapshot."""
-        return self._core.keyspace
+        return self._raft.keyspace
 
     @property
-    def role(self) -> Role:
+    def role(self) -> VoterRole:
         """Return what this voter is."""
-        return self._core.role
+        return self._raft.role
 
     @property
     def term(self) -> int:
         """Return the current term."""
-        return self._core.term
+        return self._raft.term
 
     @property
     def leader(self) -> str:
         """Return the leader's name as far as known, empty where none was heard lately."""
-        core = self._core
+        raft = self._raft
         if (
-            core.role is Role.FOLLOWER
-            and core.now - core.heard_leader_at >= 2 * self.settings.election_timeout
+            raft.role is VoterRole.FOLLOWER
+            and raft.now - raft.heard_leader_at >= 2 * self.settings.election_timeout
         ):
             return ""
-        return core.leader
+        return raft.leader
 
     @property
     def voters(self) -> tuple[str, ...]:
         """Return the names of the voters of the last configuration known, committed or not."""
-        return self._core.log.configuration.names
+        return self._raft.log.configuration.names
 
     @property
     def is_voter(self) -> bool:
         """Return whether this voter, with the disk that it has, holds a vote as far as it knows."""
-        return self._core.is_member
+        return self._raft.is_member
 
     @property
     def joining(self) -> tuple[str, ...]:
         """Return the names of the servers that catch up to become voters."""
-        return tuple(one.name for one in self._core.log.configuration.joining)
+        return tuple(one.name for one in self._raft.log.configuration.joining)
 
     @property
     def commit_index(self) -> int:
         """Return up to where the log is known to be committed; ``keyspace`` has all of that."""
-        return self._core.commit_index
+        return self._raft.commit_index
 
     @property
     def last_index(self) -> int:
         """Return the last entry of the own log."""
-        return self._core.log.last_index
+        return self._raft.log.last_index
 
     @property
     def lease_until(self) -> float:
@@ -120,13 +120,13 @@
         return self._leadership.lease_until if self._leadership is not None else 0.0
 
     @property
-    def counters(self) -> Counters:
+    def counters(self) -> VoterCounters:
         """Return what happened since the start."""
-        return self._core.counters
+        return self._raft.counters
 
     def age(self, now: float) -> float:
         """Return for how long ``keyspace`` may be stale: since a majority last confirmed its leader."""
-        current_at = self._core.current_at
+        current_at = self._raft.current_at
         if self._leadership is not None:
             current_at = self._leadership.replication.confirmed_at()
         return max(now - current_at, 0.0)
@@ -140,12 +140,12 @@
         try:
             envelope = decode(message)
         except UnreadableMessageError:
-            self._core.counters.unreadable_messages += 1
+            self._raft.counters.unreadable_messages += 1
             return
-        self._dispatch(Member(sender, envelope.incarnation), envelope.message)
+        self._dispatch(VoterIdentity(sender, envelope.incarnation), envelope.message)
         self._end()
 
-    def _dispatch(self, sender: Member, message: Message) -> None:
+    def _dispatch(self, sender: VoterIdentity, message: VoterMessage) -> None:
         match message:
             case VoteRequest():
                 self._election.on_request(sender, message)
@@ -159,48 +159,48 @@
             case TimeoutNow():
                 self._timeout_now(sender, message)
 
-    def _from_leader(self, sender: Member, message: AppendRequest | SnapshotRequest) -> None:
-        core = self._core
-        if message.term < core.term:
+    def _from_leader(self, sender: VoterIdentity, message: AppendRequest | SnapshotRequest) -> None:
+        raft = self._raft
+        if message.term < raft.term:
             # Tells a leader that was replaced about the newer term.
-            core.send(sender.name, AppendResponse(core.term, message.round, 0, False))
+            raft.send(sender.name, AppendResponse(raft.term, message.round, 0, False))
             return
-        if message.term == core.term and core.role is Role.LEADER:
-            core.counters.impossible_messages += 1
+        if message.term == raft.term and raft.role is VoterRole.LEADER:
+            raft.counters.impossible_messages += 1
             return
-        core.step_down(message.term, sender.name)
-        core.heard_leader_at = core.now
-        core.restart_election_timer()
+        raft.step_down(message.term, sender.name)
+        raft.heard_leader_at = raft.now
+        raft.restart_election_timer()
         if isinstance(message, AppendRequest):
-            core.current_at = max(core.current_at, core.now - message.age)
+            raft.current_at = max(raft.current_at, raft.now - message.age)
             self._following.on_append(sender.name, message)
         else:
             self._following.on_snapshot(sender.name, message)
 
-    def _from_receiver(self, sender: Member, message: AppendResponse | SnapshotResponse) -> None:
-        core = self._core
-        if message.term > core.term:
-            core.step_down(message.term)
-        elif message.term == core.term and self._leadership is not None:
+    def _from_receiver(self, sender: VoterIdentity, message: AppendResponse | SnapshotResponse) -> None:
+        raft = self._raft
+        if message.term > raft.term:
+            raft.step_down(message.term)
+        elif message.term == raft.term and self._leadership is not None:
             if isinstance(message, AppendResponse):
                 self._leadership.replication.on_append_response(sender, message)
             else:
                 self._leadership.replication.on_snapshot_response(sender, message)
 
-    def _timeout_now(self, sender: Member, message: TimeoutNow) -> None:
-        core = self._core
-        asked = message.term == core.term and sender.name == core.leader and core.role is Role.FOLLOWER
-        if asked and core.is_member and self._election.start(Role.CANDIDATE, transfer=True):
+    def _timeout_now(self, sender: VoterIdentity, message: TimeoutNow) -> None:
+        raft = self._raft
+        asked = message.term == raft.term and sender.name == raft.leader and raft.role is VoterRole.FOLLOWER
+        if asked and raft.is_member and self._election.start(VoterRole.CANDIDATE, transfer=True):
             self._won()
 
     def _won(self) -> None:
         """Go on with the real election, or lead."""
-        if self._core.role is Role.PRE_CANDIDATE and not self._election.start(Role.CANDIDATE):
+        if self._raft.role is VoterRole.PRE_CANDIDATE and not self._election.start(VoterRole.CANDIDATE):
             return
-        self._core.become(Role.LEADER)
-        self._core.leader = self._core.name
+        self._raft.become(VoterRole.LEADER)
+        self._raft.leader = self._raft.name
         founders = self._election.founders() if self._election.founding else ()
-        self._leadership = Leadership(self._core, founders)
+        self._leadership = Leadership(self._raft, founders)
 
     def tick(self, now: float) -> None:
         """Do what is due."""
@@ -208,25 +208,25 @@
             return
         if self._leadership is not None:
             self._leadership.tick()
-        elif now >= self._core.election_deadline:
+        elif now >= self._raft.election_deadline:
             self._election_due()
         self._end()
 
     def _election_due(self) -> None:
         if self._election.may_stand:
-            if self._election.start(Role.PRE_CANDIDATE):
+            if self._election.start(VoterRole.PRE_CANDIDATE):
                 self._won()
         else:
-            self._core.step_down(self._core.term)
-            self._core.restart_election_timer()
+            self._raft.step_down(self._raft.term)
+            self._raft.restart_election_timer()
 
     def next_deadline(self) -> float:
         """Return when ``tick`` is due; infinity where nothing is."""
-        if self._core.role is Role.STORAGE_FAILED:
+        if self._raft.role is VoterRole.STORAGE_FAILED:
             return math.inf
         if self._leadership is not None:
             return self._leadership.next_deadline()
-        return self._core.election_deadline
+        return self._raft.election_deadline
 
     # Requests.
 
@@ -241,13 +241,13 @@
         self._end()
 
     def _answer(self, token: int, result: ChangeResult) -> None:
-        self._core.effects.append(ProposalDone(token, result))
+        self._raft.effects.append(ProposalDone(token, result))
 
     def _refusal(self) -> ChangeRejected | None:
         """Return why this voter takes no proposals, None where it leads."""
         if self._leadership is not None:
             return None
-        if self.role is Role.STORAGE_FAILED:
+        if self.role is VoterRole.STORAGE_FAILED:
             return ChangeRejected("not_leader", "this voter's storage failed")
         if not self.leader:
             return ChangeRejected("no_quorum", "this voter hears no leader")
@@ -256,7 +256,7 @@
     def _problem(self, change: Change) -> ChangeRejected | None:
         if not change.change_id or not change.key:
             return ChangeRejected("invalid", "a change needs an id and a key")
-        if not 0 <= (change.expected_revision or 0) <= MAX_COUNT:
+        if not 0 <= (change.expected_revision or 0) <= MAX_LOG_NUMBER:
             return ChangeRejected("invalid", "the expected revision is none")
         try:
             size = change_bytes(change)
@@ -274,7 +274,7 @@
             return ChangeRejected("overloaded", "leadership is being handed over")
         if len(leadership.requests.proposals) >= self.settings.max_proposals:
             return ChangeRejected("overloaded", f"{self.settings.max_proposals} proposals are in flight")
-        if len(self._core.log) >= self.settings.max_log_entries:
+        if len(self._raft.log) >= self.settings.max_log_entries:
             return ChangeRejected("overloaded", f"{self.settings.max_log_entries} entries are not compacted")
         return None
 
@@ -284,7 +284,7 @@
         leadership = self._leadership
         if leadership is None or len(leadership.requests.reads) >= self.settings.max_reads:
             failed = ReadDone(token, None, self.keyspace.revision, True, self.leader)
-            self._core.effects.append(failed)
+            self._raft.effects.append(failed)
         else:
             leadership.requests.read(key, token)
         self._end()
@@ -311,7 +311,7 @@
             self._leadership.start_transfer()
         self._end()
 
-    def storage_failed(self, now: float, dropped: Sequence[Effect] = ()) -> None:
+    def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
         """Take part in nothing more: a ``Persist`` could not be stored.
 
         ``dropped`` are the effects from that one on, none of which may be carried out; answers among them
@@ -319,44 +319,44 @@
         """
         if not self._begin(now):
             return
-        core = self._core
-        undone = [*dropped, *core.effects]
-        core.effects.clear()
-        core.leader = ""
+        raft = self._raft
+        undone = [*dropped, *raft.effects]
+        raft.effects.clear()
+        raft.leader = ""
         for effect in undone:
             if isinstance(effect, ProposalDone):
                 self._answer(effect.token, _undone(effect.result))
             elif isinstance(effect, ReadDone):
-                core.effects.append(ReadDone(effect.token, None, 0, True))
-        core.become(Role.STORAGE_FAILED)
+                raft.effects.append(ReadDone(effect.token, None, 0, True))
+        raft.become(VoterRole.STORAGE_FAILED)
         self._end()
 
-    def take_effects(self) -> list[Effect]:
+    def take_effects(self) -> list[VoterEffect]:
         """Return what has to be done, in order, and forget it."""
         if self._leadership is not None and not self._leadership.advance():
-            self._core.step_down(self._core.term)
+            self._raft.step_down(self._raft.term)
         self._end()
-        if self.keyspace.revision > self._announced_revision and self.role is not Role.STORAGE_FAILED:
+        if self.keyspace.revision > self._announced_revision and self.role is not VoterRole.STORAGE_FAILED:
             self._announced_revision = self.keyspace.revision
-            self._core.effects.append(RevisionAdvanced(self._announced_revision))
-        effects, self._core.effects = self._core.effects, []
+            self._raft.effects.append(RevisionAdvanced(self._announced_revision))
+        effects, self._raft.effects = self._raft.effects, []
         return effects
 
     # Around each event.
 
     def _begin(self, now: float) -> bool:
         """Take the time; return whether this voter takes part at all."""
-        core = self._core
-        core.now = max(core.now, now)
-        if self._leadership is not None and self._leadership.lease_until <= core.now:
+        raft = self._raft
+        raft.now = max(raft.now, now)
+        if self._leadership is not None and self._leadership.lease_until <= raft.now:
             # A leader that was stopped, or cut off: it answers no more as if it led.
-            core.step_down(core.term)
+            raft.step_down(raft.term)
             self._end()
-        return core.role is not Role.STORAGE_FAILED
+        return raft.role is not VoterRole.STORAGE_FAILED
 
     def _end(self) -> None:
-        if self._leadership is not None and self._core.role is not Role.LEADER:
-            self._core.current_at = self._leadership.replication.confirmed_at()
+        if self._leadership is not None and self._raft.role is not VoterRole.LEADER:
+            self._raft.current_at = self._leadership.replication.confirmed_at()
             self._leadership.give_up()
             self._leadership = None
 
--- a/merlinbay/control_service/upstream_host.py
+++ b/merlinbay/control_service/upstream_host.py
@@ -9,7 +9,7 @@
 
 from merlinbay.control.fanout.effects import (
     CloseUpstream,
-    Connect,
+    ConnectUpstream,
     RelayEffect,
     SendUpstream,
     StateAdvanced,
@@ -87,5 +87,5 @@
         if isinstance(effect, StateAdvanced):
             if self.on_advance is not None:
                 self.on_advance(effect)
-        elif isinstance(effect, Connect | SendUpstream | CloseUpstream):
+        elif isinstance(effect, ConnectUpstream | SendUpstream | CloseUpstream):
             self._upstream.carry_out(effect)
--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -15,11 +15,18 @@
 import trio
 
 from merlinbay.control.consensus.settings import VoterSettings
-from merlinbay.control.effects import Effect, Persist, ProposalDone, ReadDone, RevisionAdvanced, Send
+from merlinbay.control.effects import (
+    Persist,
+    ProposalDone,
+    ReadDone,
+    RevisionAdvanced,
+    SendMessage,
+    VoterEffect,
+)
 from merlinbay.control.entries import Change, ChangeRejected, ChangeResult
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.settings import WatchServerSettings
-from merlinbay.control.voter import Role, Voter
+from merlinbay.control.voter import Voter, VoterRole
 from merlinbay.control_service.connection import FramedConnection, QueueOverflow
 from merlinbay.control_service.durable_log import DurableLog, NotDurableError
 from merlinbay.control_service.listening import Acceptor
@@ -135,7 +142,7 @@
             self._log_role()
             self.watches.turn(self.voter.keyspace, self.voter.age(trio.current_time()))
 
-    async def _carry_out(self, effects: list[Effect], nursery: trio.Nursery) -> None:
+    async def _carry_out(self, effects: list[VoterEffect], nursery: trio.Nursery) -> None:
         """Store all records first, in one commit, then carry out the other effects in order."""
         records = [effect for effect in effects if isinstance(effect, Persist)]
         if records:
@@ -147,7 +154,7 @@
         for effect in effects:
             self._carry_out_one(effect)
 
-    def _drop_unstored(self, effects: list[Effect], error: NotDurableError) -> list[Effect]:
+    def _drop_unstored(self, effects: list[VoterEffect], error: NotDurableError) -> list[VoterEffect]:
         """Report the failure to the core; return the effects that may still be carried out."""
         self.storage_failures += 1
         self.log.event("control_storage_failed", level="error", error=str(error))
@@ -168,9 +175,9 @@
         self.voter = self._build()
         self.log.event("control_storage_recovered", revision=self.voter.keyspace.revision)
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _carry_out_one(self, effect: VoterEffect) -> None:
         match effect:
-            case Send():
+            case SendMessage():
                 self.peers.send(effect.receiver, effect.message)
             case ProposalDone() | ReadDone():
                 self._answer(effect)
@@ -182,7 +189,7 @@
         role = self.voter.role
         if role is not self._role:
             self._role = role
-            level = "info" if role in (Role.LEADER, Role.FOLLOWER) else "debug"
+            level = "info" if role in (VoterRole.LEADER, VoterRole.FOLLOWER) else "debug"
             self.log.event("control_role", level=level, role=role.value, term=self.voter.term)
 
     def _answer(self, effect: ProposalDone | ReadDone) -> None:
--- a/merlinbay/control_service/watch_service.py
+++ b/merlinbay/control_service/watch_service.py
@@ -13,7 +13,7 @@
 from merlinbay.control.entries import Delta, StateSnapshot
 from merlinbay.control.fanout.messages import Generation, Summary
 from merlinbay.control.fanout.settings import WatchServerSettings
-from merlinbay.control.fanout.source import WatchServer
+from merlinbay.control.fanout.watch_server import WatchServer
 from merlinbay.control.keyspace import Keyspace
 from merlinbay.control_service.watch_streams import DownstreamStreams
 
--- a/merlinbay/control_service/watch_streams.py
+++ b/merlinbay/control_service/watch_streams.py
@@ -11,7 +11,7 @@
 from merlinbay.control.fanout.effects import (
     CloseDownstream,
     CloseUpstream,
-    Connect,
+    ConnectUpstream,
     DownstreamEffect,
     SendDownstream,
     SendUpstream,
@@ -44,9 +44,9 @@
         self._scopes: dict[int, trio.CancelScope] = {}
         self._connections: dict[int, FramedConnection] = {}
 
-    def carry_out(self, effect: Connect | SendUpstream | CloseUpstream) -> None:
+    def carry_out(self, effect: ConnectUpstream | SendUpstream | CloseUpstream) -> None:
         """Carry out an effect of the follower."""
-        if isinstance(effect, Connect):
+        if isinstance(effect, ConnectUpstream):
             scope = self._scopes[effect.attempt] = trio.CancelScope()
             self._nursery.start_soon(self._run, effect, scope)
         elif isinstance(effect, SendUpstream):
@@ -70,7 +70,7 @@
         elif scope is not None:
             scope.cancel()
 
-    async def _run(self, effect: Connect, scope: trio.CancelScope) -> None:
+    async def _run(self, effect: ConnectUpstream, scope: trio.CancelScope) -> None:
         attempt = effect.attempt
         with scope:
             try:
--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -11,9 +11,16 @@
 
 from merlinbay.control.consensus.log import LogEntry
 from merlinbay.control.consensus.membership import Configuration
-from merlinbay.control.effects import Effect, Persist, ProposalDone, ReadDone, RevisionAdvanced, Send
+from merlinbay.control.effects import (
+    Persist,
+    ProposalDone,
+    ReadDone,
+    RevisionAdvanced,
+    SendMessage,
+    VoterEffect,
+)
 from merlinbay.control.entries import Change, ChangeApplied, ChangeResult
-from merlinbay.control.voter import Role, Voter, VoterSettings
+from merlinbay.control.voter import Voter, VoterRole, VoterSettings
 
 NAMES = ("a", "b", "c", "d", "e")
 
@@ -90,17 +97,17 @@
             if isinstance(effect, Persist) and name in self.full:
                 voter.storage_failed(self.clock(name), [effect, *effects])
                 effects = voter.take_effects()
-                assert not any(isinstance(one, (Persist, Send)) for one in effects)
+                assert not any(isinstance(one, (Persist, SendMessage)) for one in effects)
             else:
                 self.do(name, effect)
         self.check(name, voter)
 
-    def do(self, name: str, effect: Effect) -> None:
+    def do(self, name: str, effect: VoterEffect) -> None:
         """Carry out one effect."""
         match effect:
             case Persist():
                 self.disks[name] = [*([] if effect.replaces_all else self.disks[name]), effect.record]
-            case Send():
+            case SendMessage():
                 self.send(name, effect)
             case ProposalDone():
                 assert effect.token not in self.results
@@ -111,7 +118,7 @@
             case RevisionAdvanced():
                 assert effect.revision == self.voters[name].keyspace.revision
 
-    def send(self, name: str, effect: Send) -> None:
+    def send(self, name: str, effect: SendMessage) -> None:
         """Put a message on its way, none, one or two times."""
         self.sent[name] += 1
         if (name, effect.receiver) in self.cut or self.rng.random() < self.loss:
@@ -122,11 +129,11 @@
 
     def check(self, name: str, voter: Voter) -> None:
         """Check election safety, state machine safety and the digests."""
-        if voter.role is Role.LEADER:
+        if voter.role is VoterRole.LEADER:
             leader = (name, voter.incarnation)
             assert self.leaders.setdefault(voter.term, leader) == leader
         for index in range(self.seen[name] + 1, voter.commit_index + 1):
-            entry = voter._core.log.get(index)
+            entry = voter._raft.log.get(index)
             if entry is not None:
                 assert self.committed.setdefault(index, entry) == entry
                 self.check_configuration(entry)
@@ -186,12 +193,12 @@
 
         def found() -> list[str]:
             running = {name: one for name, one in self.voters.items() if name not in self.stopped}
-            leading = [name for name, one in running.items() if one.role is Role.LEADER]
+            leading = [name for name, one in running.items() if one.role is VoterRole.LEADER]
             top = max((self.voters[name].term for name in leading), default=0)
             return [
                 name
                 for name in leading
-                if self.voters[name].term == top and self.voters[name]._core.own_term_committed
+                if self.voters[name].term == top and self.voters[name]._raft.own_term_committed
             ]
 
         assert self.run(60, found), "no leader"
@@ -262,7 +269,7 @@
         if old and self.rng.random() < 0.2:
             change = self.rng.choice(old)
         self.open[token] = change
-        leading = [name for name in running if self.cluster.voters[name].role is Role.LEADER]
+        leading = [name for name in running if self.cluster.voters[name].role is VoterRole.LEADER]
         self.cluster.call(self.rng.choice(leading or running), "propose", change, token)
 
     def read(self) -> None:
@@ -280,7 +287,7 @@
             cluster.start(self.rng.choice(down))
             return
         name = self.rng.choice(sorted(cluster.disks))
-        again = {one for one in self.lost if one in cluster.voters and cluster.voters[one]._core.is_member}
+        again = {one for one in self.lost if one in cluster.voters and cluster.voters[one]._raft.is_member}
         settled = all(not voter.joining for voter in cluster.voters.values())
         self.lost -= again if settled else set()
         may_lose = len(self.lost | {name}) <= (len(cluster.disks) - 1) // 2 and len(cluster.committed) > 0
@@ -313,7 +320,7 @@
         cluster = self.cluster
         if cluster.full:
             name = cluster.full.pop()
-            if name in cluster.voters and cluster.voters[name].role is Role.STORAGE_FAILED:
+            if name in cluster.voters and cluster.voters[name].role is VoterRole.STORAGE_FAILED:
                 cluster.crash(name)
                 cluster.start(name)
         else:
@@ -339,7 +346,7 @@
         for name in sorted(cluster.stopped):
             cluster.wake(name)
         for name in sorted(cluster.disks):
-            if name not in cluster.voters or cluster.voters[name].role is Role.STORAGE_FAILED:
+            if name not in cluster.voters or cluster.voters[name].role is VoterRole.STORAGE_FAILED:
                 cluster.crash(name)
                 cluster.start(name)
         assert cluster.run(90, self.is_settled), "not settled"
@@ -355,7 +362,7 @@
         """Return whether all are voters again, with the same log."""
         voters = self.cluster.voters.values()
         return (
-            all(voter._core.is_member and not voter.joining for voter in voters)
+            all(voter._raft.is_member and not voter.joining for voter in voters)
             and len({(voter.commit_index, voter.last_index) for voter in voters}) == 1
-            and any(voter.role is Role.LEADER for voter in voters)
+            and any(voter.role is VoterRole.LEADER for voter in voters)
         )
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -10,20 +10,20 @@
 
 from merlinbay.control.consensus import messages as wire
 from merlinbay.control.consensus import records
-from merlinbay.control.consensus.core import new_incarnation
 from merlinbay.control.consensus.log import LogEntry
-from merlinbay.control.consensus.membership import Configuration, Member
-from merlinbay.control.effects import Persist, ProposalDone, ReadDone, Send
+from merlinbay.control.consensus.membership import Configuration, VoterIdentity
+from merlinbay.control.consensus.raft_state import new_incarnation
+from merlinbay.control.effects import Persist, ProposalDone, ReadDone, SendMessage
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, ChangeResult, ChangeUncertain
-from merlinbay.control.voter import CorruptRecordsError, Role, Voter, VoterSettings
+from merlinbay.control.voter import CorruptRecordsError, Voter, VoterRole, VoterSettings
 from tests.consensus_cluster import NAMES, Cluster, Trouble, settings
 
 LATER = 100.0  # past each election timeout
 
 
-def disk(name: str) -> Member:
+def disk(name: str) -> VoterIdentity:
     """Return a voter's identity."""
-    return Member(name, f"disk-{name}")
+    return VoterIdentity(name, f"disk-{name}")
 
 
 def entry(index: int, term: int) -> LogEntry:
@@ -35,7 +35,7 @@
     """Return the records of a log: a configuration, and entries of these terms after it."""
     first = LogEntry(1, 1, Configuration(tuple(disk(name) for name in names)))
     entries = [first, *(entry(index, one) for index, one in enumerate(terms, 2))]
-    found: list[records.Record] = [
+    found: list[records.VoterRecord] = [
         records.IdentityRecord(disk(me)),
         records.TermRecord(max(term, *terms, 1), None),
         records.EntriesRecord(commit, entries),
@@ -53,9 +53,9 @@
         self.reads: dict[int, ReadDone] = {}
         self.take()
 
-    def take(self) -> list[tuple[str, wire.Message]]:
+    def take(self) -> list[tuple[str, wire.VoterMessage]]:
         """Carry the effects out; return what is sent, of which nothing precedes what it rests on."""
-        sent: list[tuple[str, wire.Message]] = []
+        sent: list[tuple[str, wire.VoterMessage]] = []
         for effect in self.voter.take_effects():
             if isinstance(effect, Persist):
                 self.kept = [*([] if effect.replaces_all else self.kept), effect.record]
@@ -63,12 +63,12 @@
                 self.answers[effect.token] = effect.result
             elif isinstance(effect, ReadDone):
                 self.reads[effect.token] = effect
-            elif isinstance(effect, Send):
+            elif isinstance(effect, SendMessage):
                 sent.append((effect.receiver, wire.decode(effect.message).message))
                 self.check_stored(sent[-1][1])
         return sent
 
-    def check_stored(self, message: wire.Message) -> None:
+    def check_stored(self, message: wire.VoterMessage) -> None:
         """Check that what a message says would survive a crash now."""
         state = records.load("a", self.kept)
         match message:
@@ -81,7 +81,7 @@
             case wire.AppendRequest(entries=(*_, last)):
                 assert state.log.last_index >= last.index
 
-    def say(self, sender: str, message: wire.Message, incarnation: str = "") -> list[Any]:
+    def say(self, sender: str, message: wire.VoterMessage, incarnation: str = "") -> list[Any]:
         """Give it a message; return what it sends back."""
         self.voter.receive(self.now, sender, wire.encode(incarnation or f"disk-{sender}", message))
         return [sent for receiver, sent in self.take() if receiver == sender]
@@ -96,10 +96,10 @@
 
     def terms(self) -> list[int]:
         """Return the terms in its log."""
-        return [one.term for one in self.voter._core.log.entries_from(1)]
+        return [one.term for one in self.voter._raft.log.entries_from(1)]
 
     @property
-    def roles(self) -> list[Role]:
+    def roles(self) -> list[VoterRole]:
         """Return its role."""
         return [self.voter.role]
 
@@ -111,7 +111,7 @@
             term = self.voter.term + pre
             for name in granting:
                 self.say(name, wire.VoteResponse(term, disk("a"), True, pre))
-        assert self.voter.role is Role.LEADER
+        assert self.voter.role is VoterRole.LEADER
 
     def acknowledge(self, sender: str, index: int, incarnation: str = "") -> list[Any]:
         """Answer as a follower whose log agrees up to ``index``."""
@@ -174,21 +174,23 @@
     [
         ("c", "disk-c2", disk("a"), 2),  # its disk was lost: not the voter that the log names
         ("x", "disk-x", disk("a"), 2),
-        ("c", "disk-c", Member("a", "disk-a0"), 2),  # for the disk that the candidate has lost
+        ("c", "disk-c", VoterIdentity("a", "disk-a0"), 2),  # for the disk that the candidate has lost
         ("c", "disk-c", disk("a"), 1),
     ],
 )
-def test_a_vote_that_does_not_count(sender: str, incarnation: str, candidate: Member, term: int) -> None:
+def test_a_vote_that_does_not_count(
+    sender: str, incarnation: str, candidate: VoterIdentity, term: int
+) -> None:
     """Only those of the configuration's disks, for this candidacy."""
     lone = Lone(stored())
     lone.now = LATER
     lone.voter.tick(LATER)
     lone.say("b", wire.VoteResponse(2, disk("a"), True, pre=True))
-    assert lone.roles == [Role.CANDIDATE]
+    assert lone.roles == [VoterRole.CANDIDATE]
     lone.say(sender, wire.VoteResponse(term, candidate, True), incarnation)
-    assert lone.roles == [Role.CANDIDATE]
+    assert lone.roles == [VoterRole.CANDIDATE]
     lone.say("c", wire.VoteResponse(2, disk("a"), True))
-    assert lone.roles == [Role.LEADER]
+    assert lone.roles == [VoterRole.LEADER]
 
 
 # Entries.
@@ -237,7 +239,7 @@
     """All of it is committed: it needs no look at entries that are gone."""
     lone = Lone(stored())
     lone.append((1, 1), *(entry(index, 2) for index in range(2, 41)), commit=40)
-    assert lone.voter._core.log.base_index == 32
+    assert lone.voter._raft.log.base_index == 32
     assert lone.append((1, 1), entry(2, 2)) == wire.AppendResponse(9, 1, 40, True)
     assert lone.append((39, 2), entry(40, 2), entry(41, 2)) == wire.AppendResponse(9, 1, 41, True)
     assert Lone(lone.kept).voter.last_index == 41
@@ -247,7 +249,7 @@
     """Return a snapshot of the log that ``stored`` and ``entry`` make, up to an index."""
     lone = Lone(stored())
     lone.append((1, 1), *(entry(index, 2) for index in range(2, last + 1)), commit=last)
-    configuration = lone.voter._core.log.configuration
+    configuration = lone.voter._raft.log.configuration
     return records.encode_snapshot(
         records.SnapshotData(last, 2, configuration, lone.voter.keyspace.snapshot())
     )
@@ -334,7 +336,7 @@
     lone.lead()
     lone.voter.propose(lone.now, Change("1", "k", b""), 1)
     lone.append((1, 1), term=term) if term > 9 else lone.say("b", wire.AppendRequest(9, 1, 1, 1, 0))
-    assert lone.voter.role is (Role.FOLLOWER if term > 9 else Role.LEADER)
+    assert lone.voter.role is (VoterRole.FOLLOWER if term > 9 else VoterRole.LEADER)
     assert lone.answers == ({1: ChangeUncertain()} if term > 9 else {})
     assert lone.voter.counters.impossible_messages == (term == 9)
 
@@ -449,7 +451,7 @@
         lone.now += 0.5
         lone.voter.tick(lone.now)
         lone.take()
-    assert lone.roles == [Role.LEADER] and lone.reads[2].failed
+    assert lone.roles == [VoterRole.LEADER] and lone.reads[2].failed
 
 
 @pytest.mark.parametrize("request_first", [True, False])
@@ -493,7 +495,7 @@
     leader = cluster.leader()
     others = set(NAMES) - {leader}
     cluster.cut = {(leader, one) if not heard else (one, leader) for one in others}
-    assert cluster.run(4, lambda: cluster.voters[leader].role is not Role.LEADER)
+    assert cluster.run(4, lambda: cluster.voters[leader].role is not VoterRole.LEADER)
     assert cluster.commit("k") == ChangeApplied(1)
 
 
@@ -576,11 +578,11 @@
     lone = Lone([])
     lone.now = LATER
     lone.voter.tick(LATER)
-    me = Member("a", lone.voter.incarnation)
+    me = VoterIdentity("a", lone.voter.incarnation)
     for pre in (True, False):
         for sender, incarnation in (("b", "1"), ("b", "2"), ("c", "1")):
             lone.say(sender, wire.VoteResponse(1, me, True, pre), incarnation)
-    assert lone.roles == [Role.LEADER] and lone.voter.voters == ("a", "b", "c")
+    assert lone.roles == [VoterRole.LEADER] and lone.voter.voters == ("a", "b", "c")
 
 
 def test_each_disk_has_its_own_identity() -> None:
@@ -597,7 +599,7 @@
     cluster.full.add(leader)
     token, read = cluster.propose(leader, "k", "2"), cluster.read(leader, "k")
     voter = cluster.voters[leader]
-    assert voter.role is Role.STORAGE_FAILED and voter.next_deadline() == math.inf
+    assert voter.role is VoterRole.STORAGE_FAILED and voter.next_deadline() == math.inf
     assert cluster.results[token] == ChangeUncertain() and cluster.reads[read].failed
     assert cluster.commit("k", "3") == ChangeApplied(2)
     cluster.full.clear()
@@ -699,7 +701,7 @@
         lone.acknowledge("b", 3)
     lone.voter.propose(lone.now, Change("2", "k", b""), 2)
     lone.take()
-    assert lone.roles == [Role.LEADER] and 1 in lone.answers and 2 not in lone.answers
+    assert lone.roles == [VoterRole.LEADER] and 1 in lone.answers and 2 not in lone.answers
 
 
 @pytest.mark.parametrize("sender, term, stands", [("b", 9, True), ("c", 9, False), ("b", 8, False)])
@@ -708,7 +710,7 @@
     lone = Lone(stored())
     lone.append((1, 1))
     lone.say(sender, wire.TimeoutNow(term))
-    assert lone.roles == [Role.CANDIDATE if stands else Role.FOLLOWER]
+    assert lone.roles == [VoterRole.CANDIDATE if stands else VoterRole.FOLLOWER]
 
 
 def test_who_holds_no_vote_forgets_a_leader_that_is_gone() -> None:
@@ -722,7 +724,7 @@
     lone.voter.propose(lone.now, Change("1", "k", b""), 2)
     lone.now = LATER
     lone.voter.tick(lone.now)
-    assert lone.take() == [] and lone.roles == [Role.FOLLOWER]
+    assert lone.take() == [] and lone.roles == [VoterRole.FOLLOWER]
     assert lone.answers == {
         1: ChangeRejected("not_leader", leader="b"),
         2: ChangeRejected("no_quorum", "this voter hears no leader"),
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -12,7 +12,7 @@
 import pytest
 
 from bench.control_mutants import MUTANTS
-from merlinbay.control.effects import Effect, ProposalDone, ReadDone
+from merlinbay.control.effects import ProposalDone, ReadDone, VoterEffect
 from merlinbay.control.entries import (
     Change,
     ChangeApplied,
@@ -23,22 +23,22 @@
     StateSnapshot,
 )
 from merlinbay.control.simulation.checker import CHECKS, check
-from merlinbay.control.simulation.core import raft
+from merlinbay.control.simulation.core_under_test import raft
 from merlinbay.control.simulation.history import (
     AppliedSeen,
-    Attempt,
     EntrySeen,
     FinalState,
     History,
-    Kind,
     LeaderSeen,
     LogSeen,
     Operation,
+    OperationKind,
+    ProposalAttempt,
     StateSeen,
     VoteSeen,
 )
 from merlinbay.control.simulation.linearizability import Verdict, check_key
-from merlinbay.control.simulation.ports import Boot, Core, LogView, VoterPort
+from merlinbay.control.simulation.ports import CoreUnderTest, LogView, VoterPort, VoterStart
 from merlinbay.control.simulation.scenario import CUT_OFF_AT, HOUR, REGIONS, Scenario, draw, draw_partition
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
@@ -46,7 +46,7 @@
     voters_of_two_leaders,
 )
 from merlinbay.control.simulation.shrink import shrink
-from merlinbay.control.simulation.world import Run, play
+from merlinbay.control.simulation.simulation import SimulationRun, play
 from tests.net import ROOT
 
 KEY = "k"
@@ -62,7 +62,7 @@
 ) -> Operation:
     """Return a write of the value ``v<number>``, applied as a revision, in conflict, or open."""
     change = Change(f"c{number}", KEY, f"v{number}".encode(), expected)
-    operation = Operation("client", Kind.CHANGE, KEY, start, change, end)
+    operation = Operation("client", OperationKind.CHANGE, KEY, start, change, end)
     if conflict is not None:
         operation.result = ChangeRejected("conflict", current_revision=conflict)
     elif revision:
@@ -73,7 +73,7 @@
 def read(start: float, end: float, number: int = 0, revision: int = 0) -> Operation:
     """Return a read that saw the value ``v<number>``, or no value."""
     value = KeyValue(KEY, f"v{number}".encode(), revision) if number else None
-    return Operation("client", Kind.READ, KEY, start, None, end, None, value)
+    return Operation("client", OperationKind.READ, KEY, start, None, end, None, value)
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     operations = [put(number, 0) for number in range(1, 13)] + [read(1, 2, 99, 1)]
     assert check_key(operations, most=500) is Verdict.UNDECIDED
     history = History(operations=operations)
-    history.attempts += [Attempt(0, "a", one.change) for one in operations if one.change is not None]
+    history.attempts += [ProposalAttempt(0, "a", one.change) for one in operations if one.change is not None]
     assert [one.check for one in check(history)] == ["linearizable_by_key"]
 
 
@@ -119,10 +119,10 @@
     return AppliedSeen(0, "a", KeyValue(KEY, f"v{number}".encode(), revision))
 
 
-def attempt(number: int, *results: ChangeApplied | ChangeRejected | ChangeUncertain) -> list[Attempt]:
+def attempt(number: int, *results: ChangeApplied | ChangeRejected | ChangeUncertain) -> list[ProposalAttempt]:
     """Return attempts of one change with their results."""
     change = Change(f"c{number}", KEY, f"v{number}".encode())
-    return [Attempt(0, "a", change, result, 1) for result in results]
+    return [ProposalAttempt(0, "a", change, result, 1) for result in results]
 
 
 CONFLICT = ChangeRejected("conflict")
@@ -270,7 +270,7 @@
         """Join."""
         self.keyspace = keyspace
         self.name = name
-        self.effects: list[Effect] = []
+        self.effects: list[VoterEffect] = []
 
     def receive(self, now: float, sender: str, message: bytes) -> None:
         """Take no notice."""
@@ -299,20 +299,20 @@
     def transfer_leadership(self, now: float) -> None:
         """Do nothing."""
 
-    def storage_failed(self, now: float, dropped: Sequence[Effect] = ()) -> None:
+    def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
         """Do nothing."""
 
-    def take_effects(self) -> list[Effect]:
+    def take_effects(self) -> list[VoterEffect]:
         """Return the answers."""
         effects, self.effects = self.effects, []
         return effects
 
 
-def stand_in(voters: tuple[str, ...]) -> Core:
+def stand_in(voters: tuple[str, ...]) -> CoreUnderTest:
     """Return a fresh set of stand-ins."""
     keyspace = SharedKeyspace()
 
-    def start(boot: Boot) -> VoterPort:
+    def start(boot: VoterStart) -> VoterPort:
         return StandIn(keyspace, boot.name)
 
     def snapshot(voter: VoterPort) -> StateSnapshot:
@@ -320,7 +320,7 @@
         return StateSnapshot(keyspace.revision, tuple(live))
 
     names = frozenset(voters)
-    return Core(
+    return CoreUnderTest(
         start=start,
         snapshot=snapshot,
         leading_term=lambda voter: None,
@@ -389,7 +389,7 @@
     """Faults that a violation does not need are left out."""
     mutant = next(one for one in MUTANTS if one.name == "half is a majority")
 
-    def broken(scenario: Scenario) -> Run:
+    def broken(scenario: Scenario) -> SimulationRun:
         with mutant.applied():
             return play(scenario, raft(3))
 
