--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -13,42 +13,42 @@
 
 from merlinbay.control.entries import KeyValue, StateSnapshot
 from merlinbay.control.fanout import messages, simulate, status
-from merlinbay.control.fanout.admission import Admission
+from merlinbay.control.fanout.admission import AdmissionBucket
 from merlinbay.control.fanout.changes import RecentChanges
 from merlinbay.control.fanout.effects import (
     CloseDownstream,
     CloseUpstream,
-    Connect,
+    ConnectUpstream,
     SendDownstream,
     SendUpstream,
     StateAdvanced,
 )
 from merlinbay.control.fanout.follower import Follower
 from merlinbay.control.fanout.messages import (
-    Accepted,
-    Busy,
-    BusyReason,
     DeltaMessage,
-    Entry,
     Generation,
     Goodbye,
     GoodbyeReason,
     KeepAlive,
     Laggard,
     MalformedMessageError,
-    Progress,
+    ProgressReport,
+    RejectionReason,
     RevisionCount,
-    Role,
     ServerMessage,
     SnapshotMessage,
     Summary,
-    Watch,
+    WatchAccepted,
+    WatcherRole,
+    WatchRejected,
+    WatchRequest,
+    WireEntry,
 )
 from merlinbay.control.fanout.relay import InvalidTierError, Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
-from merlinbay.control.fanout.simulated_fleet import Fleet, FleetPlan, SourceStore
-from merlinbay.control.fanout.source import WatchServer
+from merlinbay.control.fanout.simulated_fleet import FleetPlan, SimulatedFleet, SourceStore
 from merlinbay.control.fanout.topology import Location, Upstream, ordered_candidates
+from merlinbay.control.fanout.watch_server import WatchServer
 
 HERE = Location("r0", "z0")
 GENERATION = Generation(1, "log")
@@ -91,7 +91,7 @@
         """Open a watch."""
         self.server.opened(self.connection, now)
         member = name or f"m{self.connection}"
-        self.say(Watch(member, Role.FOLLOWER, "z0", generation, revision), now)
+        self.say(WatchRequest(member, WatcherRole.FOLLOWER, "z0", generation, revision), now)
 
     def say(self, message: messages.FollowerMessage, now: float = 0.0) -> None:
         """Send a message."""
@@ -123,31 +123,33 @@
     return made
 
 
-def attempt(one: Follower, now: float = 1.0) -> Connect:
-    """Let a follower begin its next attempt and say Watch."""
+def attempt(one: Follower, now: float = 1.0) -> ConnectUpstream:
+    """Let a follower begin its next attempt and say WatchRequest."""
     one.tick(now)
-    connect = [effect for effect in one.take_effects() if isinstance(effect, Connect)][-1]
+    connect = [effect for effect in one.take_effects() if isinstance(effect, ConnectUpstream)][-1]
     one.upstream_connected(connect.attempt, now)
     return connect
 
 
-def give(one: Follower, link: Connect, *said: ServerMessage, now: float = 1.0) -> list[object]:
+def give(one: Follower, link: ConnectUpstream, *said: ServerMessage, now: float = 1.0) -> list[object]:
     """Hand messages to a follower; return what it wants done."""
     for message in said:
         one.upstream_received(link.attempt, messages.encode(message), now)
     return list(one.take_effects())
 
 
-def watching(one: Follower, revision: int, now: float = 1.0) -> Connect:
+def watching(one: Follower, revision: int, now: float = 1.0) -> ConnectUpstream:
     """Let a follower hold a watch."""
     link = attempt(one, now)
-    give(one, link, Accepted(GENERATION, revision, 0), now=now)
+    give(one, link, WatchAccepted(GENERATION, revision, 0), now=now)
     return link
 
 
 def delta(after: int, revision: int, index: int = 0, count: int = 1) -> DeltaMessage:
     """Return a delta, or a part of one, that sets a key at each of its revisions."""
-    entries = tuple(Entry(f"k{number}", b"%d" % number, number) for number in range(after + 1, revision + 1))
+    entries = tuple(
+        WireEntry(f"k{number}", b"%d" % number, number) for number in range(after + 1, revision + 1)
+    )
     return DeltaMessage(after, revision, 0, entries[index::count], index, count)
 
 
@@ -183,7 +185,7 @@
         b"\x93\x02\xff\x01",
         b"\x94\x02\x01\xd3" + b"\xff" * 8 + b"\xc0",
         b"x" * (messages.MAX_FRAME_BYTES + 1),
-        messages.encode(Watch("m", Role.FOLLOWER, "z", GENERATION, 0)),  # a second one
+        messages.encode(WatchRequest("m", WatcherRole.FOLLOWER, "z", GENERATION, 0)),  # a second one
     ],
 )
 def test_a_malformed_or_misplaced_message_is_counted_and_the_stream_ended(frame: bytes) -> None:
@@ -200,7 +202,7 @@
 
 def test_a_frame_over_the_bound_is_malformed_though_it_could_be_read() -> None:
     """Whatever carries it."""
-    large = SnapshotMessage(1, (Entry("k", b"x" * messages.MAX_FRAME_BYTES, 1),))
+    large = SnapshotMessage(1, (WireEntry("k", b"x" * messages.MAX_FRAME_BYTES, 1),))
     with pytest.raises(MalformedMessageError):
         messages.decode_from_server(messages.encode(large))
 
@@ -209,7 +211,7 @@
     """With its reason."""
     server = serve(source(3))
     server.opened(1, 0.0)
-    Watcher(server).say(Watch("m", Role.FOLLOWER, "z", GENERATION, 0, version=99))
+    Watcher(server).say(WatchRequest("m", WatcherRole.FOLLOWER, "z", GENERATION, 0, version=99))
     assert sent(server) == [Goodbye(GoodbyeReason.VERSION)]
 
 
@@ -223,7 +225,9 @@
     Watcher(server, 1).watch(4)
     (busy,) = sent(server)
     assert (
-        isinstance(busy, Busy) and busy.reason is BusyReason.BEHIND and server.counters.from_the_future == 1
+        isinstance(busy, WatchRejected)
+        and busy.reason is RejectionReason.BEHIND
+        and server.counters.from_the_future == 1
     )
     one = follower(saved=StateSnapshot(4, ()))
     link = attempt(one)
@@ -232,7 +236,7 @@
     change(store, "key0")
     server.advanced(1.0)
     Watcher(server, 2).watch(4)
-    assert sent(server) == [Accepted(GENERATION, 4, 0)]
+    assert sent(server) == [WatchAccepted(GENERATION, 4, 0)]
 
 
 def test_a_follower_from_before_compaction_gets_a_snapshot() -> None:
@@ -245,7 +249,7 @@
     assert {(one.key, one.value) for one in snapshot.entries} == {
         (k, v.value) for k, v in store.values.items()
     }
-    assert (accepted, keepalive) == (Accepted(GENERATION, 40, 0), KeepAlive(40, 0))
+    assert (accepted, keepalive) == (WatchAccepted(GENERATION, 40, 0), KeepAlive(40, 0))
     change(store, "key1")
     server.advanced(5.0)
     server.tick(5.0)
@@ -258,11 +262,11 @@
     server = serve(source(9))
     Watcher(server).watch(3, generation=Generation(2, "restored"))
     (busy,) = sent(server)
-    assert isinstance(busy, Busy) and busy.reason is BusyReason.BEHIND
+    assert isinstance(busy, WatchRejected) and busy.reason is RejectionReason.BEHIND
     one = Follower("m", HERE, [FIRST], FOLLOWER, Random(3), generation=Generation(2, "restored"), saved=STATE)
     one.start(0.0)
     link = attempt(one)
-    give(one, link, Accepted(GENERATION, 9, 0), SnapshotMessage(9, ()))
+    give(one, link, WatchAccepted(GENERATION, 9, 0), SnapshotMessage(9, ()))
     assert one.snapshot() == STATE and one.counters.refused == 1
 
 
@@ -273,7 +277,7 @@
     assert sent(server) == [Goodbye(GoodbyeReason.FOREIGN)]
     one = follower(saved=STATE)
     link = attempt(one)
-    effects = give(one, link, Accepted(Generation(1, "other"), 9, 0), SnapshotMessage(9, ()))
+    effects = give(one, link, WatchAccepted(Generation(1, "other"), 9, 0), SnapshotMessage(9, ()))
     assert CloseUpstream(link.attempt) in effects
     assert one.snapshot() == STATE and one.counters.refused == 1
 
@@ -290,7 +294,7 @@
     server.confirm(1.0)
     server.tick(1.0)
     said = sent(server)
-    assert [type(one) for one in said] == [Accepted, SnapshotMessage, KeepAlive]
+    assert [type(one) for one in said] == [WatchAccepted, SnapshotMessage, KeepAlive]
     one = follower(saved=STATE)
     link = watching(one, 3)
     give(one, link, KeepAlive(3, 0), SnapshotMessage(1, ()))
@@ -299,9 +303,9 @@
     assert one.snapshot() == STATE
     give(one, link, *said[1:])
     assert one.snapshot() == store.snapshot() and one.generation.number == 2
-    Watcher(server).say(Progress(1, 9))  # a report that was sent before the reset counts for nothing
+    Watcher(server).say(ProgressReport(1, 9))  # a report that was sent before the reset counts for nothing
     assert status.force_status(server.summary(1.0), 2).in_force == 0
-    Watcher(server).say(Progress(2, 2))
+    Watcher(server).say(ProgressReport(2, 2))
     assert status.force_status(server.summary(1.0), 2).in_force == 1
 
 
@@ -325,7 +329,7 @@
     """Even where its revisions would fit."""
     one = follower(saved=STATE)
     link = watching(one, 3)
-    effects = give(one, link, Accepted(Generation(2, "restored"), 5, 0), delta(3, 5))
+    effects = give(one, link, WatchAccepted(Generation(2, "restored"), 5, 0), delta(3, 5))
     assert one.snapshot() == STATE and CloseUpstream(link.attempt) in effects
 
 
@@ -349,8 +353,8 @@
         [delta(3, 7, 0, 2), delta(3, 8, 1, 2)],  # parts of two
         [delta(3, 7, 1, 2)],  # the first is missing
         [delta(3, 7, 0, 2), delta(3, 4)],  # something between
-        [DeltaMessage(3, 4, 0, (Entry("a", b"", 4), Entry("b", b"", 9)))],  # an entry from after it
-        [SnapshotMessage(9, (Entry("a", b"", 9), Entry("b", None, 9)))],  # a deletion
+        [DeltaMessage(3, 4, 0, (WireEntry("a", b"", 4), WireEntry("b", b"", 9)))],  # an entry from after it
+        [SnapshotMessage(9, (WireEntry("a", b"", 9), WireEntry("b", None, 9)))],  # a deletion
     ],
 )
 def test_what_is_out_of_order_or_contradicts_itself_changes_nothing(said: list[ServerMessage]) -> None:
@@ -372,7 +376,7 @@
     one = Follower("m", HERE, [FIRST], settings, Random(3), generation=GENERATION, saved=STATE)
     one.start(0.0)
     link = watching(one, 3)
-    parts = [SnapshotMessage(9, (Entry(f"k{n}", b"x" * 400, n + 1),), n, 4) for n in range(4)]
+    parts = [SnapshotMessage(9, (WireEntry(f"k{n}", b"x" * 400, n + 1),), n, 4) for n in range(4)]
     assert CloseUpstream(link.attempt) in give(one, link, *parts) and one.snapshot() == STATE
 
 
@@ -436,7 +440,7 @@
         Watcher(server, connection).watch(0)
         change(store, "key0")
     last = [type(message) for connection, message in sent_to(server) if connection == 2]
-    assert last == [Accepted, SnapshotMessage, DeltaMessage, DeltaMessage]
+    assert last == [WatchAccepted, SnapshotMessage, DeltaMessage, DeltaMessage]
     assert server.frames.snapshots_encoded == 1
     for number in range(5):
         change(store, f"key{number}")
@@ -520,10 +524,10 @@
     for connection in range(100):
         Watcher(server, connection).watch(3)
     said = sent(server)
-    times = [one.retry_after_ms for one in said if isinstance(one, Busy)]
+    times = [one.retry_after_ms for one in said if isinstance(one, WatchRejected)]
     assert server.counters.admitted == SERVER.admit_burst and len(times) == 100 - SERVER.admit_burst
     assert times == sorted(times) and 0 <= times[-1] - 75 / SERVER.admit_rate * 1000 <= 1
-    admission = Admission(50.0, 25, 0.0)
+    admission = AdmissionBucket(50.0, 25, 0.0)
     for second in range(1, 10):
         assert sum(admission.take(second + step / 1000) for step in range(1000)) <= 75
 
@@ -536,11 +540,11 @@
     Watcher(server, 1).watch(3)
     Watcher(server, 2).watch(3)
     full = sent(server)[-1]
-    assert full == Busy(BusyReason.FULL, round(SERVER.retry_most * 1000), ("b", "c"))
+    assert full == WatchRejected(RejectionReason.FULL, round(SERVER.retry_most * 1000), ("b", "c"))
     relay = Relay("r", HERE, [], RelaySettings(), Random(1), 0.0)
     Watcher(relay.server).watch(0)
     (busy,) = sent(relay.server)
-    assert isinstance(busy, Busy) and busy.reason is BusyReason.NO_DATA
+    assert isinstance(busy, WatchRejected) and busy.reason is RejectionReason.NO_DATA
 
 
 def test_a_second_process_under_one_name_ends_the_first_watch() -> None:
@@ -561,7 +565,7 @@
     while now < SERVER.silence + 2:
         now += 0.25
         if now % 10 == 0:
-            Watcher(server, 3).say(Progress(1, 3), now)
+            Watcher(server, 3).say(ProgressReport(1, 3), now)
         server.tick(now)
         sent_to(server, now)
         assert server.watches == (2 if now <= SERVER.silence + 0.3 else 1)
@@ -602,16 +606,16 @@
     relay = Relay("r", HERE, [Upstream("voter", "", HERE, tier=0)], RelaySettings(), Random(1), 0.0)
     relay.start(0.0)
     relay.tick(1.0)
-    (connect,) = [effect for effect in relay.take_effects() if isinstance(effect, Connect)]
+    (connect,) = [effect for effect in relay.take_effects() if isinstance(effect, ConnectUpstream)]
     relay.upstream_connected(connect.attempt, 1.0)
-    relay.upstream_received(connect.attempt, messages.encode(Accepted(GENERATION, 3, 0)), 1.0)
+    relay.upstream_received(connect.attempt, messages.encode(WatchAccepted(GENERATION, 3, 0)), 1.0)
     Watcher(relay.server, 1).watch(0, now=1.0)
     (busy,) = sent(relay.server)
-    assert isinstance(busy, Busy) and busy.reason is BusyReason.NO_DATA
-    for message in (SnapshotMessage(3, (Entry("a", b"", 3),)), KeepAlive(3, 0)):
+    assert isinstance(busy, WatchRejected) and busy.reason is RejectionReason.NO_DATA
+    for message in (SnapshotMessage(3, (WireEntry("a", b"", 3),)), KeepAlive(3, 0)):
         relay.upstream_received(connect.attempt, messages.encode(message), 1.0)
     Watcher(relay.server, 2).watch(0, now=2.0)
-    assert [type(one) for one in sent(relay.server)] == [Accepted, SnapshotMessage, KeepAlive]
+    assert [type(one) for one in sent(relay.server)] == [WatchAccepted, SnapshotMessage, KeepAlive]
 
 
 # The follower's one watch.
@@ -633,14 +637,14 @@
     """Moving twice costs more than waiting."""
     one = follower()
     link = attempt(one)
-    give(one, link, Busy(BusyReason.RATE, 400))
+    give(one, link, WatchRejected(RejectionReason.RATE, 400))
     assert 1.4 <= one.next_deadline() <= 1.4 + FOLLOWER.backoff_first
     again = attempt(one, 2.0)
     assert again.upstream == FIRST
-    give(one, again, Busy(BusyReason.FULL, 20_000), now=2.0)
+    give(one, again, WatchRejected(RejectionReason.FULL, 20_000), now=2.0)
     assert attempt(one, 4.0).upstream == SECOND
     alone = follower(upstreams=(FIRST,))
-    give(alone, attempt(alone), Busy(BusyReason.FULL, messages.NEVER_MS))
+    give(alone, attempt(alone), WatchRejected(RejectionReason.FULL, messages.NEVER_MS))
     wait = alone.next_deadline() - 1.0
     assert FOLLOWER.busy_most <= wait <= FOLLOWER.busy_most + 4 * FOLLOWER.backoff_first  # one round is over
 
@@ -674,14 +678,16 @@
     assert attempt(one, now + 20).upstream == FIRST
 
 
-def tried_beside(one: Follower, link: Connect, said: KeepAlive, now: float) -> tuple[Connect, float]:
+def tried_beside(
+    one: Follower, link: ConnectUpstream, said: KeepAlive, now: float
+) -> tuple[ConnectUpstream, float]:
     """Return the next attempt beside a watch that hears the same each second, and when."""
     while True:
         now += 1.0
         give(one, link, said, now=now)
         one.tick(now)
         for effect in one.take_effects():
-            if isinstance(effect, Connect):
+            if isinstance(effect, ConnectUpstream):
                 one.upstream_connected(effect.attempt, now)
                 return effect, now
 
@@ -697,12 +703,12 @@
     other = tried_beside(one, link, KeepAlive(0, 30_000), 30.0)
     now = other[1]
     assert now - 30.0 <= FOLLOWER.stale_limit + 1 and other[0].upstream == SECOND
-    give(one, other[0], Accepted(GENERATION, 0, 30_000), now=now)  # no better
+    give(one, other[0], WatchAccepted(GENERATION, 0, 30_000), now=now)  # no better
     assert one.upstream == FIRST
     again, later = tried_beside(one, link, KeepAlive(0, 30_000), now)
     assert FOLLOWER.prefer_again <= later - now <= 2 * FOLLOWER.prefer_again + 1
     now = later
-    effects = give(one, again, Accepted(GENERATION, 0, 100), now=now)
+    effects = give(one, again, WatchAccepted(GENERATION, 0, 100), now=now)
     assert one.upstream == SECOND and CloseUpstream(link.attempt) in effects
     assert any(isinstance(effect, SendUpstream) and effect.attempt == link.attempt for effect in effects)
     assert one.staleness(now) == pytest.approx(0.1)
@@ -720,9 +726,9 @@
         give(one, far, KeepAlive(0, 0), now=now)
         one.tick(now)
         for effect in one.take_effects():
-            if isinstance(effect, Connect):
+            if isinstance(effect, ConnectUpstream):
                 one.upstream_connected(effect.attempt, now)
-                give(one, effect, Accepted(GENERATION, 0, 0), now=now)
+                give(one, effect, WatchAccepted(GENERATION, 0, 0), now=now)
     assert one.upstream == FIRST and one.counters.lost == 0
     assert FOLLOWER.prefer_again <= now - 5.0 <= 2 * FOLLOWER.prefer_again + 1
 
@@ -755,26 +761,30 @@
 def test_an_upstream_that_asked_for_time_is_not_tried_before() -> None:
     """Even where another has failed as often."""
     one = follower()
-    give(one, attempt(one), Busy(BusyReason.FULL, 20_000))
+    give(one, attempt(one), WatchRejected(RejectionReason.FULL, 20_000))
     one.upstream_closed(attempt(one, 4.0).attempt, 4.0)
     assert attempt(one, 9.0).upstream == SECOND
 
 
-def relayed(relay: Relay, link: Connect, *said: ServerMessage, now: float = 1.0) -> None:
+def relayed(relay: Relay, link: ConnectUpstream, *said: ServerMessage, now: float = 1.0) -> None:
     """Give messages to a relay from upstream."""
     for message in said:
         relay.upstream_received(link.attempt, messages.encode(message), now)
 
 
-def relay_watching(now: float = 1.0) -> tuple[Relay, Connect]:
+def relay_watching(now: float = 1.0) -> tuple[Relay, ConnectUpstream]:
     """Return a relay that holds a state of one key at revision 3."""
     relay = Relay("r", HERE, [Upstream("voter", "", HERE, tier=0)], RelaySettings(), Random(1), 0.0)
     relay.start(0.0)
     relay.tick(now)
-    (connect,) = [effect for effect in relay.take_effects() if isinstance(effect, Connect)]
+    (connect,) = [effect for effect in relay.take_effects() if isinstance(effect, ConnectUpstream)]
     relay.upstream_connected(connect.attempt, now)
     relayed(
-        relay, connect, Accepted(GENERATION, 3, 0), SnapshotMessage(3, (Entry("a", b"", 3),)), KeepAlive(3, 0)
+        relay,
+        connect,
+        WatchAccepted(GENERATION, 3, 0),
+        SnapshotMessage(3, (WireEntry("a", b"", 3),)),
+        KeepAlive(3, 0),
     )
     return relay, connect
 
@@ -784,18 +794,18 @@
     relay, link = relay_watching()
     relayed(relay, link, delta(3, 4))
     Watcher(relay.server, 1).watch(3)
-    assert [type(one) for one in sent(relay.server)] == [Accepted, DeltaMessage]
+    assert [type(one) for one in sent(relay.server)] == [WatchAccepted, DeltaMessage]
     relayed(relay, link, SnapshotMessage(9, ()), now=2.0)
     relay.server.tick(2.0)
     Watcher(relay.server, 2).watch(4)
     said = [type(message) for _, message in sent_to(relay.server)]
-    assert said == [SnapshotMessage, KeepAlive, Accepted, SnapshotMessage, KeepAlive]
+    assert said == [SnapshotMessage, KeepAlive, WatchAccepted, SnapshotMessage, KeepAlive]
     relay.take_effects()
-    relayed(relay, link, Accepted(Generation(2, "restored"), 1, 0), SnapshotMessage(1, ()), now=3.0)
+    relayed(relay, link, WatchAccepted(Generation(2, "restored"), 1, 0), SnapshotMessage(1, ()), now=3.0)
     relay.tick(3.0)
     frames = [effect.frame for effect in relay.take_effects() if isinstance(effect, SendDownstream)]
     replaced = [messages.decode_from_server(frame) for frame in frames]
-    assert replaced[:2] == [Accepted(Generation(2, "restored"), 1, messages.NEVER_MS)] * 2
+    assert replaced[:2] == [WatchAccepted(Generation(2, "restored"), 1, messages.NEVER_MS)] * 2
     assert [type(one) for one in replaced[2:]] == [SnapshotMessage, KeepAlive] * 2
 
 
@@ -808,7 +818,7 @@
     sent_up = 0
     for step in range(45):  # in less than the write timeout
         now = 1.0 + step / 10
-        report = messages.encode(Progress(1, 3 * (step // 20 % 2)))
+        report = messages.encode(ProgressReport(1, 3 * (step // 20 % 2)))
         relay.received(step % 20, report, now)
         relayed(relay, link, KeepAlive(3, 0), now=now)
         relay.tick(now)
@@ -856,9 +866,9 @@
     server = serve(store)
     Watcher(server, 1).watch(9)
     server.opened(2, 0.0)
-    Watcher(server, 2).say(Watch("relay", Role.RELAY, "z1", GENERATION, 9))
+    Watcher(server, 2).say(WatchRequest("relay", WatcherRole.RELAY, "z1", GENERATION, 9))
     below = Summary((RevisionCount(9, 40), RevisionCount(7, 1)), (Laggard("late", 7),))
-    Watcher(server, 2).say(Progress(1, 9, below))
+    Watcher(server, 2).say(ProgressReport(1, 9, below))
     found = status.force_status(server.summary(0.0), 9, expected=43)
     assert (found.followers, found.in_force, found.oldest, found.lacking) == (42, 41, 7, 2)
     assert found.laggards == (Laggard("late", 7),) and not found.everywhere
@@ -866,7 +876,7 @@
     lost = status.force_status(server.summary(1.0), 9)
     assert (lost.followers, lost.absent) == (1, (Laggard("relay", 9),))
     assert server.summary(1.0 + SERVER.absent_for).absent == ()
-    Watcher(server, 1).say(Progress(1, 99))  # nobody has in force what is not there
+    Watcher(server, 1).say(ProgressReport(1, 99))  # nobody has in force what is not there
     assert status.force_status(server.summary(2.0), 50).in_force == 0
     twice = [Summary((), (Laggard("moved", 7),)), Summary((), (Laggard("moved", 8), Laggard("late", 6)))]
     assert status.merge(twice, 4, 4).laggards == (Laggard("late", 6), Laggard("moved", 8))
@@ -891,13 +901,15 @@
 
 # Whole fleets in virtual time.
 
-LOAD = simulate.Load(rate=1.0, duration=60.0, burst=100, start_within=60.0, cut=3600.0)
+LOAD = simulate.ChangeLoad(rate=1.0, duration=60.0, burst=100, start_within=60.0, cut=3600.0)
 MOVE_AFTER_CLOSE = FOLLOWER.move_spread + 0.5  # connecting and being accepted take some milliseconds
 MOVE_AFTER_SILENCE = FOLLOWER.keepalive_timeout + MOVE_AFTER_CLOSE
 AIM = 3.0  # seconds from a change to its being in force everywhere
 
 
-def played(scenario: str, followers: int, seed: int, load: simulate.Load = LOAD) -> simulate.SimulatedRun:
+def played(
+    scenario: str, followers: int, seed: int, load: simulate.ChangeLoad = LOAD
+) -> simulate.SimulatedRun:
     """Play a scenario; the states must be equal in the end, and no revision has gone back."""
     run = simulate.play(scenario, FleetPlan(followers=followers), load, seed)
     assert run.broken == () and run.differing == 0
@@ -954,7 +966,7 @@
 
 def test_a_cut_off_follower_says_how_old_its_data_are() -> None:
     """By way of its relay and its region's voter, which hear nothing either."""
-    fleet = Fleet(FleetPlan(followers=24), seed=6)
+    fleet = SimulatedFleet(FleetPlan(followers=24), seed=6)
     for number in range(24):
         fleet.start_follower(number)
     fleet.network.run(20.0)
@@ -994,7 +1006,7 @@
 ) -> None:
     """Deltas, snapshots, deaths, cuts, moves: no revision goes back, and all come to the log's state."""
     plan = FleetPlan(followers=9, relays=6, zones=6, keys=6, kept_changes=4)
-    fleet = Fleet(plan, seed)
+    fleet = SimulatedFleet(plan, seed)
     for number in range(plan.followers):
         fleet.start_follower(number)
     for what, which in steps:
