--- a/merlinbay/control/consensus/election.py
+++ b/merlinbay/control/consensus/election.py
@@ -9,16 +9,16 @@
 
 
 class Election:
-    """One voter's part in elections: as a candidate, and as one who is asked."""
+    """Elections as one voter sees them: as a candidate and as a voter."""
 
     def __init__(self, raft: RaftState) -> None:
         self.raft = raft
         self.granted: set[VoterIdentity] = set()
-        self.founding: tuple[str, ...] = ()  # of the election under way
+        self.founding: tuple[str, ...] = ()  # initial voters, in the first election of all
 
     @property
     def is_founder(self) -> bool:
-        """Return whether this voter may form the first configuration: one may, and there is none."""
+        """Return whether this voter may found the first configuration: one voter may, and none exists."""
         initial = self.raft.settings.initial_voters
         return not self.raft.log.configuration.members and bool(initial) and self.raft.name == min(initial)
 
@@ -28,10 +28,10 @@
         return self.raft.is_member or self.is_founder
 
     def start(self, role: VoterRole, transfer: bool = False) -> bool:
-        """Become a candidate, preliminary or real; return whether that is won already."""
+        """Become a candidate, preliminary or real; return whether the election is already won."""
         raft = self.raft
         raft.become(role)
-        raft.leader = ""
+        raft.set_leader("")
         raft.restart_candidacy_timer()
         self.granted = {raft.identity}
         self.founding = tuple(sorted(raft.settings.initial_voters)) if self.is_founder else ()
@@ -47,20 +47,20 @@
         return self.is_won()
 
     def is_won(self) -> bool:
-        """Return whether enough votes are there."""
+        """Return whether enough votes were granted."""
         if self.founding:
-            # All, not a majority: a voter that forgot the first configuration with its disk grants this too.
+            # Guards against a second first configuration: a voter that lost its disk grants this vote too.
             return {member.name for member in self.granted} >= set(self.founding)
         configuration = self.raft.log.configuration
         return len(self.granted.intersection(configuration.members)) >= configuration.quorum
 
     def founders(self) -> tuple[VoterIdentity, ...]:
-        """Return the members of the first configuration: the disks that voted, one of each voter."""
+        """Return the members of the first configuration: one incarnation of each voter."""
         by_name = {member.name: member for member in self.granted}
         return tuple(by_name[name] for name in sorted(by_name))
 
     def on_response(self, sender: VoterIdentity, response: VoteResponse) -> bool:
-        """Count a vote; return whether the election is won by it."""
+        """Count a vote; return whether the election is won with it."""
         raft = self.raft
         expected = VoterRole.PRE_CANDIDATE if response.pre else VoterRole.CANDIDATE
         if not response.granted:
@@ -68,7 +68,7 @@
                 raft.step_down(response.term)
             return False
         term = raft.term + 1 if response.pre else raft.term
-        # The disk too: guards against a vote for the one that this voter has lost, come late.
+        # Guards against a late vote for an earlier disk of this voter.
         if raft.role is not expected or response.term != term or response.candidate != raft.identity:
             return False
         self.granted.add(sender)
@@ -78,7 +78,7 @@
         """Answer a candidate."""
         raft = self.raft
         if self._has_leader() and not request.transfer:
-            # The term too stays as it is: guards a working leader against one voter that does not hear it.
+            # Guards a working leader against a voter that is cut off from it: the term is not adopted either.
             self._answer(candidate, request, granted=False)
             return
         if request.term > raft.term and not request.pre:
--- a/merlinbay/control/consensus/follower_replication.py
+++ b/merlinbay/control/consensus/follower_replication.py
@@ -15,12 +15,12 @@
 from merlinbay.control.consensus.records import decode_snapshot
 from merlinbay.control.keyspace import SnapshotError
 
-MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # a voter's whole memory budget: more is no state of this log
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # a voter's whole memory budget
 
 
 @dataclass(slots=True)
 class SnapshotAssembly:
-    """A snapshot of which some chunks have arrived."""
+    """A snapshot of which some chunks were received."""
 
     leader: str
     term: int
@@ -29,18 +29,18 @@
 
 
 class FollowerReplication:
-    """Takes what the leader of the current term sends."""
+    """Processes entries and snapshots of the leader of the current term."""
 
     def __init__(self, raft: RaftState) -> None:
         self.raft = raft
         self.assembly: SnapshotAssembly | None = None
 
     def on_append(self, leader: str, request: AppendRequest) -> None:
-        """Add entries after the one on which both logs agree, and answer."""
+        """Append the entries after the one on which both logs match, and answer."""
         raft = self.raft
         previous, entries = request.previous_index, request.entries
         if previous < raft.commit_index:
-            # What is committed is the same on both sides: an old or repeated message needs no look at it.
+            # Committed entries are the same on both sides: those of an old or repeated message are skipped.
             end = previous + len(entries)
             entries = entries[raft.commit_index - previous :]
             previous = raft.commit_index
@@ -55,14 +55,14 @@
         self._answer(leader, request, matched, success=True)
 
     def _hint(self, previous: int) -> int:
-        """Return where the logs may agree: before the whole term that differs, so that tries are few."""
+        """Return where the logs may match: before the whole conflicting term, so that retries are few."""
         log = self.raft.log
         if previous > log.last_index:
             return log.last_index
         return max(log.first_index_of_term(previous) - 1, self.raft.commit_index)
 
     def _add(self, entries: tuple[LogEntry, ...]) -> None:
-        """Add those that are new. Those that agree stay, also where the message ends before the log does."""
+        """Append from the first conflicting entry on. Matching entries stay, also beyond the message."""
         for position, entry in enumerate(entries):
             if self.raft.log.term_at(entry.index) != entry.term:
                 self.raft.append(list(entries[position:]))
@@ -72,7 +72,7 @@
         self.raft.send(leader, AppendResponse(self.raft.term, request.round, index, success))
 
     def on_snapshot(self, leader: str, request: SnapshotRequest) -> None:
-        """Take a chunk; install the snapshot with the last one."""
+        """Add a chunk; install the snapshot with the last one."""
         raft = self.raft
         if request.index <= raft.commit_index:
             self.assembly = None
@@ -110,7 +110,7 @@
 
     def _reject(self) -> None:
         self.assembly = None
-        self.raft.counters.impossible_messages += 1
+        self.raft.count_impossible_message()
 
     def _answer_snapshot(self, leader: str, request: SnapshotRequest, received: int, installed: bool) -> None:
         self.raft.send(
--- a/merlinbay/control/consensus/leadership.py
+++ b/merlinbay/control/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader has beside a voter's state, and what it does after each event."""
+"""The state of a leader beside that of a voter, and its steps after each event."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class LeadershipTransfer:
-    """Leadership that is being handed over. No proposals are taken in the meantime."""
+    """A leadership transfer under way. No proposals are accepted meanwhile."""
 
     target: str
     deadline: float
-    asked: bool = False
+    timeout_now_sent: bool = False
 
 
 class Leadership:
-    """The time from one won election to the step down."""
+    """One term as leader, from the won election to the step-down."""
 
     def __init__(self, raft: RaftState, founders: tuple[VoterIdentity, ...]) -> None:
         self.raft = raft
@@ -34,23 +34,23 @@
 
     @property
     def lease_until(self) -> float:
-        """Return until when a majority's confirmation holds."""
+        """Return when the lease ends: some time after a majority last confirmed this leader."""
         raft = self.raft
         if raft.log.configuration.names == (raft.name,):
             return raft.now + raft.settings.lease
         return self.replication.confirmed_at() + raft.settings.lease
 
     def advance(self) -> bool:
-        """Do all that has become possible; return whether this leader goes on."""
+        """Commit, reconfigure, answer and send what has become possible; return whether to go on leading."""
         self._commit()
         while self.reconfiguration.drive():
             self._commit()
         if self.reconfiguration.must_step_down():
-            self.replication.begin_round()  # tells the others that its removal is committed
+            self.replication.begin_round()  # so that the others learn that the removal is committed
             return False
         self.requests.begin_reads()
         self.requests.answer_reads()
-        self._go_on_with_transfer()
+        self._continue_transfer()
         self.replication.send_pending()
         return True
 
@@ -79,7 +79,7 @@
         return min(deadlines)
 
     def start_transfer(self) -> None:
-        """Choose who takes over: the most complete log, then the own region."""
+        """Start a transfer to the voter with the most complete log; among equals, to one of this region."""
         raft, progress = self.raft, self.replication.progress
         candidates = [
             member.name
@@ -96,16 +96,16 @@
         deadline = raft.now + raft.settings.election_timeout
         self.transfer = LeadershipTransfer(max(candidates, key=preference), deadline)
 
-    def _go_on_with_transfer(self) -> None:
+    def _continue_transfer(self) -> None:
         transfer = self.transfer
-        if transfer is None or transfer.asked:
+        if transfer is None or transfer.timeout_now_sent:
             return
         progress = self.replication.progress.get(transfer.target)
         if progress is not None and progress.match_index == self.raft.log.last_index:
-            transfer.asked = True
+            transfer.timeout_now_sent = True
             self.raft.send(transfer.target, TimeoutNow(self.raft.term))
 
-    def give_up(self) -> None:
-        """Answer all that is open: leadership is lost."""
-        self.requests.give_up()
-        self.reconfiguration.give_up()
+    def end(self) -> None:
+        """Answer all open requests: leadership is lost."""
+        self.requests.fail_all()
+        self.reconfiguration.fail()
--- a/merlinbay/control/consensus/log.py
+++ b/merlinbay/control/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one voter in memory: entries after a snapshot, and the configurations among them."""
+"""The log of one voter in memory: the entries after a base, and the configurations among them."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class ReplicatedLog:
-    """Entries from ``base_index + 1`` on; those before are only known by a snapshot, at or after the base."""
+    """Entries from ``base_index + 1`` on; a snapshot covers those before."""
 
     def __init__(
         self, base_index: int = 0, base_term: int = 0, configuration: Configuration | None = None
@@ -58,7 +58,7 @@
 
     @property
     def last_index(self) -> int:
-        """Return the index of the last entry, that of the base where there is none."""
+        """Return the index of the last entry, that of the base if there is none."""
         return self.base_index + len(self._entries)
 
     @property
@@ -84,14 +84,14 @@
         return len(self._entries)
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term; None where it is compacted or not there."""
+        """Return an entry's term; None if it is compacted or does not exist."""
         if index == self.base_index:
             return self.base_term
         entry = self.get(index)
         return entry.term if entry is not None else None
 
     def get(self, index: int) -> LogEntry | None:
-        """Return an entry; None where it is compacted or not there."""
+        """Return an entry; None if it is compacted or does not exist."""
         position = index - self.base_index - 1
         return self._entries[position] if 0 <= position < len(self._entries) else None
 
@@ -107,7 +107,7 @@
         return self._entries[max(index - self.base_index - 1, 0) :]
 
     def batch(self, index: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries from ``index`` on that fit into ``max_bytes``, at least one where there is one."""
+        """Return entries from ``index`` on that fit into ``max_bytes``, at least one if there is one."""
         found: list[LogEntry] = []
         size = 0
         for position in range(index - self.base_index - 1, len(self._entries)):
@@ -119,7 +119,7 @@
         return tuple(found)
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Add entries, each the next one."""
+        """Append entries. Raises ``ValueError`` if one is not the next."""
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} after {self.last_index}")
@@ -136,7 +136,7 @@
             self._configurations.pop()
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to ``index``, which a snapshot contains."""
+        """Delete the entries up to ``index``, which a snapshot covers."""
         term = self.term_at(index)
         if term is None or index == self.base_index:
             return
--- a/merlinbay/control/consensus/membership.py
+++ b/merlinbay/control/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Who votes: configurations as entries of the log, changed by one voter at a time (Ongaro 2014, chapter 4).
+"""Configurations as entries of the log, changed by one voter at a time (Ongaro 2014, chapter 4).
 
 A voter is identified by its name and the incarnation of its disk, a text drawn when the disk was first used.
 To Raft, a voter that lost its disk is therefore another server, which has no vote until the log admits it;
@@ -20,14 +20,14 @@
 
 
 class JoiningVoter(msgspec.Struct, frozen=True, array_like=True):
-    """A server that gets the log, and becomes a voter once it has caught up."""
+    """A server without a vote that receives the log, and becomes a voter once it has caught up."""
 
     name: str
-    replaces: str = ""  # the voter to remove just before; its own name where its disk was lost
+    replaces: str = ""  # the voter to remove just before; its own name if its disk was lost
 
 
 class Configuration(msgspec.Struct, frozen=True, tag="configuration"):
-    """The voters, and who is to become one; in force from the moment it stands in the log."""
+    """The voters and the joining servers; in force from the moment it is in the log."""
 
     members: tuple[VoterIdentity, ...] = ()
     joining: tuple[JoiningVoter, ...] = ()
@@ -43,7 +43,7 @@
         return len(self.members) // 2 + 1
 
     def incarnation(self, name: str) -> str:
-        """Return a voter's incarnation, empty where it is none."""
+        """Return a voter's incarnation, empty if it is no voter."""
         return next((member.incarnation for member in self.members if member.name == name), "")
 
     def admits(self, name: str, incarnation: str) -> bool:
@@ -51,27 +51,27 @@
         return VoterIdentity(name, incarnation) in self.members
 
     def receivers(self) -> set[str]:
-        """Return who gets the log."""
+        """Return the servers that receive the log."""
         return {*self.names, *(one.name for one in self.joining)}
 
     def with_joining(self, joining: JoiningVoter) -> Configuration:
-        """Return it with one more server that catches up."""
+        """Return the configuration with one more joining server."""
         others = tuple(one for one in self.joining if one.name != joining.name)
         return Configuration(self.members, (*others, joining))
 
     def without(self, name: str) -> Configuration:
-        """Return it without this voter or joining server."""
+        """Return the configuration without this voter or joining server."""
         return Configuration(
             tuple(member for member in self.members if member.name != name),
             tuple(one for one in self.joining if one.name != name),
         )
 
     def without_member(self, name: str) -> Configuration:
-        """Return it without this voter, whose successor may still be joining."""
+        """Return the configuration without this voter, whose successor may still be joining."""
         return Configuration(self.without(name).members, self.joining)
 
     def with_member(self, member: VoterIdentity) -> Configuration:
-        """Return it with one more voter, which was joining."""
+        """Return the configuration with a joining server as voter."""
         members = tuple(sorted((*self.members, member), key=lambda one: one.name))
         return Configuration(members, tuple(one for one in self.joining if one.name != member.name))
 
--- a/merlinbay/control/consensus/messages.py
+++ b/merlinbay/control/consensus/messages.py
@@ -1,4 +1,4 @@
-"""What voters send each other, as msgpack; what cannot be read raises ``UnreadableMessageError`` alone."""
+"""The messages between voters, as msgpack. Decoding raises ``UnreadableMessageError`` only."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     term: LogNumber
     last_index: LogNumber
     last_term: LogNumber
-    pre: bool = False  # only asks whether the vote would be given; nothing is promised
-    transfer: bool = False  # the leader asked the candidate to take over
+    pre: bool = False  # a preliminary vote (Ongaro 2014, 9.6): no term changes
+    transfer: bool = False  # part of a leadership transfer
     founding: tuple[str, ...] = ()  # the first election of all: the initial voters' names
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="voted"):
-    """The answer; ``candidate`` is the one voted for, with its disk."""
+    """The answer; ``candidate`` is the one voted for, with its incarnation."""
 
     term: LogNumber  # of the request where the vote is granted, of the voter where it is not
     candidate: VoterIdentity
@@ -43,11 +43,11 @@
     previous_term: LogNumber
     commit_index: LogNumber
     entries: tuple[LogEntry, ...] = ()
-    age: NonNegativeSeconds = 0.0  # since when the leader has not been confirmed by a majority
+    age: NonNegativeSeconds = 0.0  # seconds since a majority last confirmed the leader
 
 
 class AppendResponse(msgspec.Struct, frozen=True, tag="appended"):
-    """The answer: the log agrees with the leader's up to ``index``, or may agree at or before it."""
+    """The answer: the logs match up to ``index``, or, without success, may match at or before it."""
 
     term: LogNumber
     round: LogNumber  # of the request
@@ -67,7 +67,7 @@
 
 
 class SnapshotResponse(msgspec.Struct, frozen=True, tag="snapshotted"):
-    """How much of the snapshot has arrived; ``installed`` once it is stored."""
+    """How many bytes of the snapshot were received; ``installed`` once it is stored."""
 
     term: LogNumber
     round: LogNumber
@@ -94,7 +94,7 @@
 
 
 class VoterEnvelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with the version of the format and the disk of its sender."""
+    """A message with the version of the format and the incarnation of its sender."""
 
     version: int
     incarnation: str
@@ -129,7 +129,7 @@
 
 
 def _check_order(message: AppendRequest) -> None:
-    """Guard the log against entries with gaps, or of terms that do not rise."""
+    """Guard the log against entries with gaps or decreasing terms."""
     index, term = message.previous_index, message.previous_term
     for entry in message.entries:
         if entry.index != index + 1 or not term <= entry.term <= message.term:
--- a/merlinbay/control/consensus/progress.py
+++ b/merlinbay/control/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one receiver of its log."""
+"""A leader's state for each receiver of its log: next index, match index, mode."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ReplicationMode(Enum):
-    """How the receiver gets entries."""
+    """How entries are sent to the receiver."""
 
-    PROBE = "probe"  # where the logs agree is not known: one message at a time
-    REPLICATE = "replicate"  # batches are sent ahead of the answers
-    SNAPSHOT = "snapshot"  # the entries that it lacks are compacted
+    PROBE = "probe"  # the match index is not known: one message at a time
+    REPLICATE = "replicate"  # several batches may be unacknowledged
+    SNAPSHOT = "snapshot"  # missing entries are compacted: a snapshot is sent
 
 
 TRANSITIONS: dict[ReplicationMode, frozenset[ReplicationMode]] = {
@@ -28,26 +28,26 @@
 
 @dataclass(slots=True)
 class SnapshotInstallation:
-    """A snapshot on its way, one chunk at a time."""
+    """The installation of a snapshot at a receiver, one chunk at a time."""
 
     index: int
     data: bytes
-    offset: int = 0  # received
+    offset: int = 0  # bytes that the receiver has
     sent_at: float = 0.0
     sent_round: int = 0
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """One receiver, with the disk that last answered."""
+    """One receiver of the log."""
 
-    incarnation: str  # empty: it has not answered yet, and is no voter
+    incarnation: str  # of the disk that last answered; empty: none yet, and it is no voter
     next_index: int  # the next entry to send
-    match_index: int = 0  # its log agrees with ours up to here
-    acked_round: int = 0  # the last round that it answered
+    match_index: int = 0  # its log matches the leader's up to here
+    acked_round: int = 0  # the last heartbeat round that it answered
     mode: ReplicationMode = ReplicationMode.PROBE
-    probe_sent: bool = False
-    in_flight: deque[int] = field(default_factory=deque)  # last entry of each batch that is not answered
+    probe_sent: bool = False  # in PROBE: one message is unacknowledged
+    in_flight: deque[int] = field(default_factory=deque)  # last index of each unacknowledged batch
     transfer: SnapshotInstallation | None = None
 
     def enter(self, mode: ReplicationMode) -> None:
@@ -60,7 +60,7 @@
         self.transfer = None
 
     def agreed(self, index: int) -> None:
-        """Take an answer: the logs agree up to ``index``."""
+        """Record a successful response: the logs match up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         while self.in_flight and self.in_flight[0] <= self.match_index:
@@ -70,10 +70,10 @@
             self.enter(ReplicationMode.REPLICATE)
 
     def disagreed(self, hint: int) -> None:
-        """Take an answer: the logs may agree at ``hint`` or before."""
+        """Record a rejection: the logs may match at ``hint`` or before."""
         if self.mode is ReplicationMode.SNAPSHOT:
             return
         if self.mode is ReplicationMode.PROBE and hint + 1 >= self.next_index:
-            return  # to an earlier probe
+            return  # the response to an earlier probe
         self.next_index = max(self.match_index + 1, min(self.next_index, hint + 1))
         self.enter(ReplicationMode.PROBE)
--- a/merlinbay/control/consensus/raft_state.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of a voter share, and the only places where it becomes durable."""
+"""The state that all parts of a voter share. Its methods are the only places where it changes."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from merlinbay.control.entries import Change, ChangeResult
 from merlinbay.control.keyspace import Keyspace
 
-LEAST_CANDIDACY_SHARE = 0.3  # of an election timeout: above a round trip between regions
+LEAST_CANDIDACY_SHARE = 0.3  # of an election timeout: longer than a round trip between regions
 
 
 @dataclass(slots=True)
 class VoterCounters:
-    """What happened since the start."""
+    """Events since the start; ``status`` shows them with the prefix ``log_``."""
 
-    unreadable_messages: int = 0
+    unreadable_messages: int = 0  # not decodable, or of another version
     impossible_messages: int = 0  # readable, but no correct voter sends them
-    elections_started: int = 0
-    leaderships_lost: int = 0
-    checkpoints: int = 0
-    snapshots_installed: int = 0
+    elections_started: int = 0  # candidacies with a new term
+    leaderships_lost: int = 0  # step-downs of this voter as leader
+    checkpoints: int = 0  # own snapshots stored, and installed ones
+    snapshots_installed: int = 0  # received from a leader
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,8 +67,8 @@
         self.keyspace = state.keyspace
         self.role = VoterRole.FOLLOWER
         self.leader = ""
-        self.heard_leader_at = -math.inf
-        self.current_at = -math.inf  # the applied state had all that was committed then, as far as known
+        self.heard_leader_at = -math.inf  # when the last message of a leader was received
+        self.current_at = -math.inf  # the applied state included all commits up to then
         self.election_deadline = math.inf
         self.commit_index = state.snapshot.index if state.snapshot is not None else 0
         if state.identity is None:
@@ -91,9 +91,35 @@
 
     @property
     def own_term_committed(self) -> bool:
-        """Return whether an entry of the current term is committed, and so all entries of earlier leaders."""
+        """Return whether an entry of the current term is committed, and with it all of earlier terms."""
         return self.log.term_at(self.commit_index) == self.term
 
+    def advance_clock(self, now: float) -> None:
+        """Set the time of the current call; it never goes back."""
+        self.now = max(self.now, now)
+
+    def take_effects(self) -> list[VoterEffect]:
+        """Return the effects since the last call."""
+        effects, self.effects = self.effects, []
+        return effects
+
+    def set_leader(self, leader: str) -> None:
+        """Set the leader of the term, as far as known; empty if unknown."""
+        self.leader = leader
+
+    def record_leader_contact(self) -> None:
+        """Record a message of the current leader."""
+        self.heard_leader_at = self.now
+        self.restart_election_timer()
+
+    def record_confirmation(self, confirmed_at: float) -> None:
+        """Record when a majority last confirmed the leader whose commits are applied here."""
+        self.current_at = confirmed_at
+
+    def count_impossible_message(self) -> None:
+        """Count a message that no correct voter sends."""
+        self.counters.impossible_messages += 1
+
     def become(self, role: VoterRole) -> None:
         """Change the role."""
         if role not in TRANSITIONS[self.role]:
@@ -101,11 +127,11 @@
         self.role = role
 
     def restart_election_timer(self) -> None:
-        """Wait for a leader from now on; differently long each time, so that votes seldom split."""
+        """Restart the election timeout, randomized so that votes seldom split."""
         self.election_deadline = self.now + self.settings.election_timeout * (1 + self.random.random())
 
     def restart_candidacy_timer(self) -> None:
-        """Wait for votes: shorter, since no leader is there whom another election could disturb."""
+        """Restart the timeout of a candidacy: shorter, since there is no leader to disturb."""
         share = LEAST_CANDIDACY_SHARE + (1 - LEAST_CANDIDACY_SHARE) * self.random.random()
         self.election_deadline = self.now + self.settings.election_timeout * share
 
@@ -120,7 +146,7 @@
         self.leader = leader
 
     def send(self, receiver: str, message: VoterMessage) -> None:
-        """Send a message once all that was persisted before is stored."""
+        """Send a message once all earlier records are stored."""
         self.effects.append(SendMessage(receiver, encode(self.identity.incarnation, message)))
 
     def _persist(self, record: records.VoterRecord, replaces_all: bool = False) -> None:
@@ -133,14 +159,14 @@
             self._persist(records.TermRecord(term, voted_for))
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries to the log, in place of those from the first one's index on."""
+        """Append entries; they replace existing ones from the first entry's index on."""
         if entries[0].index <= self.log.last_index:
             self.log.truncate_from(entries[0].index)
         self.log.append(entries)
         self._persist(records.EntriesRecord(self.commit_index, entries))
 
     def commit_to(self, index: int) -> list[AppliedChange]:
-        """Apply the entries up to ``index``, which are committed."""
+        """Commit the entries up to ``index`` and apply them; return the changes among them."""
         applied: list[AppliedChange] = []
         while self.commit_index < index:
             self.commit_index += 1
@@ -167,7 +193,7 @@
         self._persist_checkpoint(self.snapshot)
 
     def install(self, snapshot: records.SnapshotData, keyspace: Keyspace) -> None:
-        """Take the leader's snapshot in place of the state and of the entries that it contains."""
+        """Install the leader's snapshot; it replaces the state and the entries that it includes."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot.index)
         else:
--- a/merlinbay/control/consensus/reconfiguration.py
+++ b/merlinbay/control/consensus/reconfiguration.py
@@ -1,14 +1,14 @@
 """The leader's changes of voters: one at a time, and none before an entry of its own term is committed.
 
-The committed configuration says what is still to be done, so that the next leader goes on where one was lost:
+The next step follows from the committed configuration, so that a new leader continues where one was lost:
 
     joining, not caught up      -> wait; it gets the log, but has no vote
     caught up, replaces a voter -> that one is removed
     caught up                   -> it becomes a voter
 
-A voter that answers with another disk than the configuration names has lost its own; it is made joining, to
-replace itself. Adding and removing are two entries, since majorities of configurations that differ in two
-voters need not meet.
+A voter that answers with another incarnation than the configuration names has lost its disk; it is made
+joining, to replace itself. Adding and removing are two entries, since majorities of configurations that
+differ in two voters need not meet.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True)
 class PendingVoterChange:
-    """A change of voters that was asked for."""
+    """A requested change of voters that is not answered yet."""
 
     token: int
     add: str | None
     remove: str | None
     deadline: float
-    started: bool = False
+    started: bool = False  # its first configuration is in the log
 
 
 class Reconfiguration:
@@ -45,7 +45,7 @@
         self.pending: PendingVoterChange | None = None
 
     def request(self, add: str | None, remove: str | None, token: int) -> ChangeRejected | None:
-        """Take a change of voters; return why not."""
+        """Accept a change of voters, or return why it is rejected."""
         configuration = self.raft.log.configuration
         if self.pending is not None:
             return ChangeRejected("overloaded", "another change of voters is under way")
@@ -57,7 +57,7 @@
         return None
 
     def _problem(self, configuration: Configuration, add: str | None, remove: str | None) -> str:
-        """Return what is wrong with a change, empty where nothing is."""
+        """Return why a change is invalid, empty if it is valid."""
         if not add and not remove:
             return "nobody to add or to remove"
         if add and add != remove and add in configuration.names:
@@ -71,7 +71,7 @@
         return ""
 
     def drive(self) -> bool:
-        """Take the next step if there is one; return whether the configuration changed."""
+        """Append the next configuration, if there is one; return whether it did."""
         raft = self.raft
         if not raft.own_term_committed or raft.log.configuration_index > raft.commit_index:
             return False
@@ -97,7 +97,7 @@
         self.raft.effects.append(ProposalDone(pending.token, result))
 
     def _requested(self) -> Configuration | None:
-        """Return the first step of the change that was asked for."""
+        """Return the first configuration of the requested change."""
         pending, configuration = self.pending, self.raft.log.configuration
         if pending is None or pending.started:
             return None
@@ -121,7 +121,7 @@
         return None
 
     def _joined(self) -> Configuration | None:
-        """Return the next step for the first joining server that has caught up."""
+        """Return the next configuration for the first joining server that has caught up."""
         configuration = self.raft.log.configuration
         for joining in configuration.joining:
             if not self._caught_up(joining.name):
@@ -149,16 +149,16 @@
         return not self.raft.is_member and log.configuration_index <= self.raft.commit_index
 
     def next_deadline(self) -> float:
-        """Return when the change has taken too long."""
+        """Return the deadline of the pending change; infinity if there is none."""
         return self.pending.deadline if self.pending is not None else float("inf")
 
     def expire(self) -> None:
-        """Answer a change that takes too long; the next step may be taken all the same."""
+        """Answer a change whose deadline has passed; it may still be completed."""
         if self.pending is not None and self.pending.deadline <= self.raft.now:
-            self.give_up()
+            self.fail()
 
-    def give_up(self) -> None:
-        """Answer as uncertain."""
+    def fail(self) -> None:
+        """Answer the pending change as uncertain."""
         if self.pending is not None:
             self.raft.effects.append(ProposalDone(self.pending.token, ChangeUncertain()))
             self.pending = None
--- a/merlinbay/control/consensus/records.py
+++ b/merlinbay/control/consensus/records.py
@@ -1,4 +1,4 @@
-"""The durable records of a voter, and the state that they amount to when they are read in order."""
+"""The durable records of a voter, and the state that results from reading them in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CorruptRecordsError(Exception):
-    """The records are not those of this voter. Its disk counts as lost: start anew on an empty one."""
+    """The records are not those of this voter: its disk counts as lost, an empty one is needed."""
 
 
 class IdentityRecord(msgspec.Struct, frozen=True, tag="identity"):
@@ -26,21 +26,21 @@
 
 
 class TermRecord(msgspec.Struct, frozen=True, tag="term"):
-    """The current term, and the vote in it; stored before either is said."""
+    """The current term and the vote in it; stored before a message mentions either."""
 
     term: int
     voted_for: VoterIdentity | None
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
-    """Entries, in place of those stored from the first one's index on."""
+    """Entries; they replace those stored from the first one's index on."""
 
-    commit_index: int  # as known then: what is committed can be applied at once after a start
+    commit_index: int  # at that time; entries up to it are applied at a start
     entries: list[LogEntry]
 
 
 class SnapshotData(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The state after the entry at ``index``: what a leader sends to a voter that is far behind."""
+    """The state after the entry at ``index``; a leader sends it to a voter that lacks compacted entries."""
 
     index: int
     term: int
@@ -50,14 +50,14 @@
 
 
 class CheckpointRecord(msgspec.Struct, frozen=True, tag="checkpoint"):
-    """All of a voter's state, in place of all records before."""
+    """The whole state of a voter; it replaces all records before."""
 
     identity: VoterIdentity
     term: int
     voted_for: VoterIdentity | None
     commit_index: int
     snapshot: SnapshotData
-    base_index: int  # of the entries: those just before the snapshot are kept too, for voters slightly behind
+    base_index: int  # before the entries, some of which precede the snapshot, for voters slightly behind
     base_term: int
     base_configuration: Configuration
     entries: list[LogEntry]
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class DurableState:
-    """What a voter must not forget, and what follows from it."""
+    """The durable state of a voter."""
 
     identity: VoterIdentity | None = None  # None: an empty disk
     term: int = 0
@@ -104,8 +104,8 @@
     snapshot: SnapshotData | None = None
     keyspace: Keyspace = field(default_factory=Keyspace)  # as of the snapshot
 
-    def take(self, record: VoterRecord) -> None:
-        """Add the next record."""
+    def apply(self, record: VoterRecord) -> None:
+        """Apply the next record."""
         match record:
             case IdentityRecord():
                 if self.identity is not None:
@@ -119,9 +119,9 @@
                 self.log.append(record.entries)
                 self.commit_index = max(self.commit_index, record.commit_index)
             case CheckpointRecord():
-                self._take_checkpoint(record)
+                self._apply_checkpoint(record)
 
-    def _take_checkpoint(self, record: CheckpointRecord) -> None:
+    def _apply_checkpoint(self, record: CheckpointRecord) -> None:
         snapshot = record.snapshot
         self.identity = record.identity
         self.term, self.voted_for = record.term, record.voted_for
@@ -140,10 +140,13 @@
             record = _record_decoder.decode(data)
             if getattr(record, "version", RECORD_VERSION) != RECORD_VERSION:
                 raise CorruptRecordsError("another version of the format")
-            state.take(record)
+            state.apply(record)
             if state.identity is None:
                 raise CorruptRecordsError("no identity at the start")
-    except (msgspec.MsgspecError, ValueError) as error:  # of those: gaps in the log, a snapshot's format
+    except (
+        msgspec.MsgspecError,
+        ValueError,
+    ) as error:  # ValueError: a gap in the log, or a snapshot's format
         raise CorruptRecordsError(str(error)) from None
     if state.identity is not None and state.identity.name != name:
         raise CorruptRecordsError(f"of {state.identity.name}, not of {name}")
--- a/merlinbay/control/consensus/replication.py
+++ b/merlinbay/control/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: who has which entries, what is committed (Ongaro 2014, 3.5, 6.4)."""
+"""The leader's side of replication: match indexes and commit index (Ongaro 2014, 3.5, 6.4)."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class LeaderReplication:
-    """One leadership: made when an election is won, dropped when the leader steps down."""
+    """Replication by one leader, from the won election to the step-down."""
 
     def __init__(self, raft: RaftState, founders: tuple[VoterIdentity, ...] = ()) -> None:
         self.raft = raft
         self.progress: dict[str, FollowerProgress] = {}
-        self.round = 0  # counts heartbeats: answers to it show who followed us after it was begun
+        self.round = 0  # heartbeat rounds; a response to one shows that its sender followed after the start
         self.round_starts: deque[tuple[int, float]] = deque([(0, raft.now)])
         self.next_heartbeat = raft.now
-        # The first entry of the term commits all earlier ones with it; that of the first term is the
-        # configuration that its election found.
+        # The first entry of the term commits all earlier ones with it; that of the first term of all is the
+        # configuration of the voters that took part in the election.
         self.append(Configuration(founders) if founders else Noop())
 
     def append(self, command: Noop | Configuration | Change) -> int:
-        """Add an entry to the own log; return its index."""
+        """Append an entry to the leader's log; return its index."""
         entry = LogEntry(self.raft.log.last_index + 1, self.raft.term, command)
         self.raft.append([entry])
         if isinstance(command, Configuration) or not self.progress:
@@ -46,10 +46,10 @@
         for name in sorted(receivers - self.progress.keys()):
             self.progress[name] = FollowerProgress(configuration.incarnation(name), next_index)
 
-    # What a majority has: counted by the disks that the configuration names.
+    # Majorities: counted by the incarnations that the configuration names.
 
     def _reached(self, own: float, reached: dict[str, float]) -> float:
-        """Return what a majority has reached, given for ourselves and for the others."""
+        """Return the value that a majority has reached; ``own`` is the leader's."""
         configuration = self.raft.log.configuration
         values: list[float] = []
         for member in configuration.members:
@@ -63,18 +63,18 @@
         return quorum_value(values, configuration.quorum)
 
     def committable(self) -> int:
-        """Return up to where the log can be committed: only by an entry of the current term (figure 3.7)."""
+        """Return the new commit index: only an entry of the current term commits (figure 3.7)."""
         reached = {name: float(one.match_index) for name, one in self.progress.items()}
         index = int(self._reached(self.raft.log.last_index, reached))
         return index if self.raft.log.term_at(index) == self.raft.term else self.raft.commit_index
 
     def confirmed_round(self) -> int:
-        """Return the last round that a majority answered: nobody else led when it was begun."""
+        """Return the last round that a majority answered: no other leader existed when it started."""
         reached = {name: float(one.acked_round) for name, one in self.progress.items()}
         return int(self._reached(self.round, reached))
 
     def confirmed_at(self) -> float:
-        """Return when the last confirmed round was begun."""
+        """Return when the last confirmed round started."""
         confirmed = self.confirmed_round()
         while len(self.round_starts) > 1 and self.round_starts[1][0] <= confirmed:
             self.round_starts.popleft()
@@ -83,7 +83,7 @@
     # Sending.
 
     def begin_round(self) -> int:
-        """Send a heartbeat, or entries, to all; return the round's number."""
+        """Send entries or a heartbeat to all receivers; return the round's number."""
         self.round += 1
         self.round_starts.append((self.round, self.raft.now))
         self.next_heartbeat = self.raft.now + self.raft.settings.heartbeat_interval
@@ -93,7 +93,7 @@
         return self.round
 
     def send_pending(self) -> None:
-        """Send the entries that receivers lack, as far as they may be sent ahead."""
+        """Send missing entries, up to the bound of unacknowledged batches."""
         for name, progress in self.progress.items():
             self._send_entries(name, progress)
 
@@ -125,17 +125,17 @@
         raft.send(name, request)
 
     def _send_heartbeat(self, name: str, progress: FollowerProgress) -> None:
-        """Send no entries; its answer shows whether earlier ones were lost."""
+        """Send a heartbeat; its response shows whether earlier entries were lost."""
         previous = progress.next_index - 1
         term = self.raft.log.term_at(previous)
         if progress.mode is not ReplicationMode.SNAPSHOT and term is not None:
             self._send_append(name, previous, term, ())
             return
-        self._send_append(name, 0, 0, ())  # the start of the log, on which all agree
+        self._send_append(name, 0, 0, ())  # index 0, on which all logs match
         if progress.mode is ReplicationMode.SNAPSHOT:
             self._repeat_chunk(name, progress)
         else:
-            self._start_snapshot(name, progress)  # what was sent ahead is lost, and compacted since
+            self._start_snapshot(name, progress)  # unacknowledged entries were lost and are compacted now
 
     def _start_snapshot(self, name: str, progress: FollowerProgress) -> None:
         snapshot = self.raft.snapshot
@@ -158,7 +158,7 @@
         self.raft.send(name, request)
 
     def _repeat_chunk(self, name: str, progress: FollowerProgress) -> None:
-        """Send a chunk again that was not answered for long; at the start, that of the newest snapshot."""
+        """Resend a chunk that was not answered in time; the first chunk, from the newest snapshot."""
         transfer, snapshot = progress.transfer, self.raft.snapshot
         if transfer is None or snapshot is None:
             return
@@ -168,15 +168,15 @@
             transfer = progress.transfer = SnapshotInstallation(snapshot.index, encode_snapshot(snapshot))
         self._send_chunk(name, transfer)
 
-    # Answers.
+    # Responses.
 
     def _answered(self, sender: VoterIdentity, answered_round: int) -> FollowerProgress | None:
-        """Return the sender's progress; None where the answer is of a disk that it no longer has."""
+        """Return the sender's progress; None if the response is of a disk that it no longer has."""
         progress = self.progress.get(sender.name)
         if progress is None or answered_round > self.round:
             return None
         if sender.incarnation != progress.incarnation:
-            # Only the later answer: guards against one of the lost disk that comes late.
+            # Guards against a late response of the lost disk: only a later round counts.
             if answered_round <= progress.acked_round:
                 return None
             progress = FollowerProgress(sender.incarnation, self.raft.log.last_index + 1)
@@ -185,7 +185,7 @@
         return progress
 
     def on_append_response(self, sender: VoterIdentity, response: AppendResponse) -> None:
-        """Take a receiver's answer to entries or a heartbeat."""
+        """Process the response to entries or a heartbeat."""
         progress = self._answered(sender, response.round)
         if progress is None or response.index > self.raft.log.last_index:
             return
@@ -195,7 +195,7 @@
             progress.agreed(response.index)
 
     def on_snapshot_response(self, sender: VoterIdentity, response: SnapshotResponse) -> None:
-        """Take a receiver's answer to a chunk."""
+        """Process the response to a chunk of a snapshot."""
         progress = self._answered(sender, response.round)
         if progress is None or progress.transfer is None or progress.transfer.index != response.index:
             return
@@ -207,5 +207,5 @@
             transfer.offset = response.received
             self._send_chunk(sender.name, transfer)
         elif response.received < transfer.offset and response.round == transfer.sent_round:
-            transfer.offset = response.received  # it started again, with what it had stored before
+            transfer.offset = response.received  # the receiver restarted with what it had stored
             self._send_chunk(sender.name, transfer)
--- a/merlinbay/control/consensus/requests.py
+++ b/merlinbay/control/consensus/requests.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingProposal:
-    """A change that stands in the leader's log."""
+    """A change that is in the leader's log and not answered yet."""
 
     token: int
     deadline: float
@@ -20,25 +20,25 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits until a majority has confirmed, after it came, that nobody else leads."""
+    """A read that waits until a majority has confirmed the leader after the read arrived."""
 
     token: int
     key: str
     deadline: float
-    round: int = 0  # that has to be confirmed; 0: not begun
+    round: int = 0  # the heartbeat round that has to be confirmed; 0: not started
 
 
 class ClientRequests:
-    """The open requests of one leadership. Each is answered once, in bounded time."""
+    """The open requests of one leader. Each is answered once, within ``request_timeout``."""
 
     def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
         self.raft = raft
         self.replication = replication
-        self.proposals: dict[int, PendingProposal] = {}  # by index, so also in the order of deadlines
+        self.proposals: dict[int, PendingProposal] = {}  # by log index, and so in the order of deadlines
         self.reads: list[PendingRead] = []  # in the order of deadlines and rounds
 
     def propose(self, change: Change, token: int) -> None:
-        """Put a change into the log."""
+        """Append a change to the log."""
         deadline = self.raft.now + self.raft.settings.request_timeout
         self.proposals[self.replication.append(change)] = PendingProposal(token, deadline)
 
@@ -55,15 +55,15 @@
                 self.raft.effects.append(ProposalDone(pending.token, change.result))
 
     def begin_reads(self) -> None:
-        """Begin one round for all reads that came since the last."""
-        # Before an entry of its own term is committed, a new leader does not know what is.
+        """Start one heartbeat round for all reads that arrived since the last."""
+        # Guards against stale reads: a new leader learns the commit index with an entry of its own term.
         if self.reads and not self.reads[-1].round and self.raft.own_term_committed:
             begun = self.replication.begin_round()
             for read in self.reads:
                 read.round = read.round or begun
 
     def answer_reads(self) -> None:
-        """Answer the reads whose round is confirmed, from the state now, which has all committed before."""
+        """Answer the reads whose round is confirmed from the applied state."""
         if not self.reads:
             return
         confirmed = self.replication.confirmed_round()
@@ -74,7 +74,7 @@
             self.raft.effects.append(ReadDone(read.token, value, keyspace.revision, leader=self.raft.name))
 
     def next_deadline(self) -> float:
-        """Return when the first request has waited too long."""
+        """Return the first deadline of the open requests."""
         deadlines = [read.deadline for read in self.reads[:1]]
         for pending in self.proposals.values():
             deadlines.append(pending.deadline)
@@ -82,7 +82,7 @@
         return min(deadlines, default=float("inf"))
 
     def expire(self) -> None:
-        """Answer what has waited too long; a change may commit all the same."""
+        """Answer the requests whose deadline has passed; a change may still commit."""
         now = self.raft.now
         while self.proposals:
             index, pending = next(iter(self.proposals.items()))
@@ -97,8 +97,8 @@
         revision = self.raft.keyspace.revision
         self.raft.effects.append(ReadDone(read.token, None, revision, True, self.raft.leader))
 
-    def give_up(self) -> None:
-        """Answer all: leadership is lost."""
+    def fail_all(self) -> None:
+        """Answer all requests as uncertain or failed: leadership is lost."""
         for pending in self.proposals.values():
             self.raft.effects.append(ProposalDone(pending.token, ChangeUncertain()))
         for read in self.reads:
--- a/merlinbay/control/consensus/roles.py
+++ b/merlinbay/control/consensus/roles.py
@@ -1,4 +1,4 @@
-"""What a voter can be, and what may follow on what."""
+"""The roles of a voter and the transitions between them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class VoterRole(Enum):
-    """What a voter is at the moment. Only a leader takes proposals and reads."""
+    """The role of a voter. Only a leader accepts proposals and reads."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"  # asks whether an election could be won, without a new term
     CANDIDATE = "candidate"
     LEADER = "leader"
-    STORAGE_FAILED = "storage_failed"  # for good: a new Voter is built from the records that are stored
+    STORAGE_FAILED = "storage_failed"  # final: a new Voter is built from the stored records
 
 
 TRANSITIONS: dict[VoterRole, frozenset[VoterRole]] = {
-    # A candidate by the leader's word (a transfer of leadership) needs no preliminary election.
+    # At a leadership transfer, the candidate needs no preliminary election.
     VoterRole.FOLLOWER: frozenset(
         {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
     ),
--- /dev/null
+++ b/merlinbay/control/consensus/voter_view.py
@@ -0,0 +1,93 @@
+"""The observable state of a voter: what a host and its operators read."""
+
+from __future__ import annotations
+
+from merlinbay.control.consensus.leadership import Leadership
+from merlinbay.control.consensus.raft_state import RaftState, VoterCounters
+from merlinbay.control.consensus.roles import VoterRole
+from merlinbay.control.keyspace import Keyspace
+
+
+class VoterView:
+    """Read-only properties of a voter; ``Voter`` sets the fields."""
+
+    _raft: RaftState
+    _leadership: Leadership | None  # None unless this voter leads
+
+    @property
+    def name(self) -> str:
+        """Return this voter's name."""
+        return self._raft.name
+
+    @property
+    def incarnation(self) -> str:
+        """Return the identity of this voter's disk."""
+        return self._raft.identity.incarnation
+
+    @property
+    def keyspace(self) -> Keyspace:
+        """Return the applied state. It may be stale, see ``age``; another object after a snapshot."""
+        return self._raft.keyspace
+
+    @property
+    def role(self) -> VoterRole:
+        """Return this voter's role."""
+        return self._raft.role
+
+    @property
+    def term(self) -> int:
+        """Return the current term."""
+        return self._raft.term
+
+    @property
+    def leader(self) -> str:
+        """Return the leader's name as far as known; empty if none was heard recently."""
+        raft = self._raft
+        if (
+            raft.role is VoterRole.FOLLOWER
+            and raft.now - raft.heard_leader_at >= 2 * self._raft.settings.election_timeout
+        ):
+            return ""
+        return raft.leader
+
+    @property
+    def voters(self) -> tuple[str, ...]:
+        """Return the names of the voters of the last configuration known, committed or not."""
+        return self._raft.log.configuration.names
+
+    @property
+    def is_voter(self) -> bool:
+        """Return whether this voter, with its present disk, has a vote as far as it knows."""
+        return self._raft.is_member
+
+    @property
+    def joining(self) -> tuple[str, ...]:
+        """Return the names of the servers that receive the log to become voters."""
+        return tuple(one.name for one in self._raft.log.configuration.joining)
+
+    @property
+    def commit_index(self) -> int:
+        """Return the commit index; ``keyspace`` includes all entries up to it."""
+        return self._raft.commit_index
+
+    @property
+    def last_index(self) -> int:
+        """Return the index of the last entry of this voter's log."""
+        return self._raft.log.last_index
+
+    @property
+    def lease_until(self) -> float:
+        """Return when the leader lease ends, 0 at other voters; no read depends on it."""
+        return self._leadership.lease_until if self._leadership is not None else 0.0
+
+    @property
+    def counters(self) -> VoterCounters:
+        """Return the events since the start."""
+        return self._raft.counters
+
+    def age(self, now: float) -> float:
+        """Return for how long ``keyspace`` may be stale: since a majority last confirmed its leader."""
+        current_at = self._raft.current_at
+        if self._leadership is not None:
+            current_at = self._leadership.replication.confirmed_at()
+        return max(now - current_at, 0.0)
--- a/merlinbay/control/effects.py
+++ b/merlinbay/control/effects.py
@@ -1,8 +1,8 @@
-"""What the consensus core asks its host to do. The host carries effects out in the order of the list.
+"""The effects of the consensus core. Its host carries them out in the order of the list.
 
 The core does no I/O, reads no clock and draws no randomness of its own: time comes with each call, in
 seconds of a monotonic clock, and a ``random.Random`` comes with the constructor. A host calls ``receive``,
-``tick``, ``propose`` or ``read`` and then ``take_effects()``; ``next_deadline()`` tells when ``tick`` is due.
+``tick``, ``propose`` or ``read`` and then ``take_effects()``; ``next_deadline()`` says when ``tick`` is due.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 
 class SendMessage(msgspec.Struct, frozen=True):
-    """Send ``message`` to voter ``receiver``. It may get lost, come late, twice or out of order."""
+    """Send ``message`` to voter ``receiver``. It may be lost, delayed, duplicated or reordered."""
 
     receiver: str
     message: bytes
 
 
 class ProposalDone(msgspec.Struct, frozen=True):
-    """What became of the change proposed with ``token``."""
+    """The result of the change proposed with ``token``."""
 
     token: int
     result: ChangeResult
 
 
 class ReadDone(msgspec.Struct, frozen=True):
-    """The linearizable read asked for with ``token``; ``failed`` where this voter cannot answer now."""
+    """The result of the linearizable read of ``token``; ``failed`` if this voter cannot answer now."""
 
     token: int
     value: KeyValue | None
@@ -48,7 +48,7 @@
 
 
 class RevisionAdvanced(msgspec.Struct, frozen=True):
-    """The applied state has reached ``revision``: watches served from this voter can be continued."""
+    """The applied state has reached ``revision``: watches at this voter can be served."""
 
     revision: int
 
--- a/merlinbay/control/entries.py
+++ b/merlinbay/control/entries.py
@@ -21,7 +21,7 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True, tag=True):
-    """A key after the change that made ``revision``; ``value`` is None where that change deleted it."""
+    """A key after the change that made ``revision``; ``value`` is None if that change deleted it."""
 
     key: str
     value: bytes | None
@@ -37,7 +37,7 @@
 
 
 class StateSnapshot(msgspec.Struct, frozen=True, tag=True):
-    """All keys that exist at ``revision``, sent where the deltas that a reader lacks were compacted."""
+    """All keys that exist at ``revision``, sent if the deltas that a reader lacks were compacted."""
 
     revision: int
     entries: tuple[KeyValue, ...]
@@ -54,7 +54,7 @@
 
     reason: Literal["conflict", "invalid", "not_leader", "no_quorum", "overloaded"]
     detail: str = ""
-    leader: str = ""  # a hint for "not_leader"; empty where none is known
+    leader: str = ""  # a hint for "not_leader"; empty if none is known
     current_revision: int = 0  # the key's revision, for "conflict"
 
 
--- a/merlinbay/control/fanout/messages.py
+++ b/merlinbay/control/fanout/messages.py
@@ -1,8 +1,8 @@
 """The watch protocol: msgpack arrays, one message a frame, tagged by a number.
 
 A follower sends ``WatchRequest`` first, then ``ProgressReport``. A server answers with ``WatchAccepted``,
-``WatchRejected`` or ``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at the end
-with a default, so that a reader of the same version accepts messages of a newer program; an incompatible
+``WatchRejected`` or ``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at the
+end with a default, so that a reader of the same version accepts messages of a newer program; an incompatible
 change raises ``PROTOCOL_VERSION``.
 """
 
--- a/merlinbay/control/keyspace.py
+++ b/merlinbay/control/keyspace.py
@@ -1,7 +1,7 @@
-"""The replicated state: keys with their revisions, and the ids of the changes that were decided lately.
+"""The replicated state: keys with their revisions, and the ids of recently decided changes.
 
 A pure function of the committed changes: voters that applied the same changes have the same ``digest()``.
-What may differ between them (how much history was compacted) has no influence on any result of ``apply``.
+The compacted revision may differ between them and has no influence on any result of ``apply``.
 """
 
 from __future__ import annotations
@@ -21,10 +21,8 @@
 )
 
 SNAPSHOT_VERSION = 1
-DEDUPE_REVISIONS = (
-    16_384  # an id is remembered that many revisions; part of the state, so the same everywhere
-)
-DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # rejected changes make no revision: a bound by number too
+DEDUPE_REVISIONS = 16_384  # for how many revisions an id is remembered; the same at all voters
+DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # bounds the ids of rejected changes, which make no revision
 
 
 class SnapshotError(ValueError):
@@ -32,7 +30,7 @@
 
 
 class ChangeDecision(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a change, kept under its id."""
+    """The result of a change, kept under its id."""
 
     revision: int  # where it was applied; of the keyspace where it was rejected
     conflicting_revision: int = -1  # the key's revision that made it conflict; -1: it was applied
@@ -59,13 +57,13 @@
 
 
 class Keyspace:
-    """Keys, their values and last revisions; deleted keys stay as such until they are compacted."""
+    """Keys, their values and last revisions; deleted keys are kept until compaction."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self.compacted_revision = 0  # deltas start at it or later
+        self.compacted_revision = 0  # the lowest revision that a delta can start from
         self._entries: dict[str, KeyValue] = {}  # in the order of revisions
-        self._decisions: dict[str, ChangeDecision] = {}  # in the order of being decided
+        self._decisions: dict[str, ChangeDecision] = {}  # in the order of their decisions
 
     def apply(self, change: Change) -> ChangeResult:
         """Apply a committed change. A repeated id gets the first answer, also where that was a conflict."""
@@ -93,17 +91,17 @@
             del self._decisions[oldest]
 
     def get(self, key: str) -> KeyValue | None:
-        """Return the key's value, None where it does not exist."""
+        """Return the key's value, None if it does not exist."""
         found = self._entries.get(key)
         return found if found is not None and found.value is not None else None
 
     def key_revision(self, key: str) -> int:
-        """Return the revision to compare and set by; 0 where the key does not exist."""
+        """Return the revision to compare and set by; 0 if the key does not exist."""
         found = self.get(key)
         return found.revision if found is not None else 0
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed since; None where that was compacted, or ``revision`` is not reached yet."""
+        """Return the changes after ``revision``; None if they were compacted or it is not reached yet."""
         if not self.compacted_revision <= revision <= self.revision:
             return None
         changed: list[KeyValue] = []
@@ -119,7 +117,7 @@
         return StateSnapshot(self.revision, live)
 
     def compact(self, keep: int) -> None:
-        """Forget deleted keys, and so deltas, that are older than the last ``keep`` revisions."""
+        """Drop deleted keys older than the last ``keep`` revisions; deltas cannot start before then."""
         horizon = self.revision - keep
         if horizon <= self.compacted_revision:
             return
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -9,7 +9,6 @@
 from merlinbay.control.consensus.election import Election
 from merlinbay.control.consensus.follower_replication import FollowerReplication
 from merlinbay.control.consensus.leadership import Leadership
-from merlinbay.control.consensus.log import MAX_LOG_NUMBER, change_bytes
 from merlinbay.control.consensus.membership import VoterIdentity
 from merlinbay.control.consensus.messages import (
     AppendRequest,
@@ -23,18 +22,19 @@
     VoterMessage,
     decode,
 )
-from merlinbay.control.consensus.raft_state import RaftState, VoterCounters
+from merlinbay.control.consensus.proposals import invalid_change, overload, unstored_result
+from merlinbay.control.consensus.raft_state import RaftState
 from merlinbay.control.consensus.records import CorruptRecordsError
 from merlinbay.control.consensus.roles import VoterRole
 from merlinbay.control.consensus.settings import Placement, VoterSettings
+from merlinbay.control.consensus.voter_view import VoterView
 from merlinbay.control.effects import ProposalDone, ReadDone, RevisionAdvanced, VoterEffect
-from merlinbay.control.entries import Change, ChangeRejected, ChangeResult, ChangeUncertain
-from merlinbay.control.keyspace import Keyspace
+from merlinbay.control.entries import Change, ChangeRejected, ChangeResult
 
 __all__ = ["CorruptRecordsError", "Placement", "Voter", "VoterRole", "VoterSettings"]
 
 
-class Voter:
+class Voter(VoterView):
     """One replica. The host calls a method, then carries out ``take_effects()`` in order.
 
     ``random`` has to be seeded differently at each start: a voter that starts without records draws from it
@@ -51,90 +51,10 @@
         self._leadership: Leadership | None = None
         self._announced_revision = 0
 
-    # What can be seen.
-
-    @property
-    def name(self) -> str:
-        """Return this voter's name."""
-        return self._raft.name
-
-    @property
-    def incarnation(self) -> str:
-        """Return the identity of this voter's disk."""
-        return self._raft.identity.incarnation
-
-    @property
-    def keyspace(self) -> Keyspace:
-        """Return the applied state. It may be stale, see ``age``; another object after a snapshot."""
-        return self._raft.keyspace
-
-    @property
-    def role(self) -> VoterRole:
-        """Return what this voter is."""
-        return self._raft.role
-
-    @property
-    def term(self) -> int:
-        """Return the current term."""
-        return self._raft.term
-
-    @property
-    def leader(self) -> str:
-        """Return the leader's name as far as known, empty where none was heard lately."""
-        raft = self._raft
-        if (
-            raft.role is VoterRole.FOLLOWER
-            and raft.now - raft.heard_leader_at >= 2 * self.settings.election_timeout
-        ):
-            return ""
-        return raft.leader
-
-    @property
-    def voters(self) -> tuple[str, ...]:
-        """Return the names of the voters of the last configuration known, committed or not."""
-        return self._raft.log.configuration.names
-
-    @property
-    def is_voter(self) -> bool:
-        """Return whether this voter, with the disk that it has, holds a vote as far as it knows."""
-        return self._raft.is_member
-
-    @property
-    def joining(self) -> tuple[str, ...]:
-        """Return the names of the servers that catch up to become voters."""
-        return tuple(one.name for one in self._raft.log.configuration.joining)
-
-    @property
-    def commit_index(self) -> int:
-        """Return up to where the log is known to be committed; ``keyspace`` has all of that."""
-        return self._raft.commit_index
-
-    @property
-    def last_index(self) -> int:
-        """Return the last entry of the own log."""
-        return self._raft.log.last_index
-
-    @property
-    def lease_until(self) -> float:
-        """Return until when a leader's last confirmation holds; no read rests on it. 0 at others."""
-        return self._leadership.lease_until if self._leadership is not None else 0.0
-
-    @property
-    def counters(self) -> VoterCounters:
-        """Return what happened since the start."""
-        return self._raft.counters
-
-    def age(self, now: float) -> float:
-        """Return for how long ``keyspace`` may be stale: since a majority last confirmed its leader."""
-        current_at = self._raft.current_at
-        if self._leadership is not None:
-            current_at = self._leadership.replication.confirmed_at()
-        return max(now - current_at, 0.0)
-
     # Events.
 
     def receive(self, now: float, sender: str, message: bytes) -> None:
-        """Take a message of another voter. What cannot be read is dropped and counted."""
+        """Process a message of another voter; one that cannot be decoded is dropped and counted."""
         if not self._begin(now):
             return
         try:
@@ -162,17 +82,16 @@
     def _from_leader(self, sender: VoterIdentity, message: AppendRequest | SnapshotRequest) -> None:
         raft = self._raft
         if message.term < raft.term:
-            # Tells a leader that was replaced about the newer term.
+            # A leader that was replaced learns the newer term from the answer.
             raft.send(sender.name, AppendResponse(raft.term, message.round, 0, False))
             return
         if message.term == raft.term and raft.role is VoterRole.LEADER:
-            raft.counters.impossible_messages += 1
+            raft.count_impossible_message()
             return
         raft.step_down(message.term, sender.name)
-        raft.heard_leader_at = raft.now
-        raft.restart_election_timer()
+        raft.record_leader_contact()
         if isinstance(message, AppendRequest):
-            raft.current_at = max(raft.current_at, raft.now - message.age)
+            raft.record_confirmation(max(raft.current_at, raft.now - message.age))
             self._following.on_append(sender.name, message)
         else:
             self._following.on_snapshot(sender.name, message)
@@ -194,11 +113,11 @@
             self._won()
 
     def _won(self) -> None:
-        """Go on with the real election, or lead."""
+        """Start the real election after the preliminary one, or become leader."""
         if self._raft.role is VoterRole.PRE_CANDIDATE and not self._election.start(VoterRole.CANDIDATE):
             return
         self._raft.become(VoterRole.LEADER)
-        self._raft.leader = self._raft.name
+        self._raft.set_leader(self._raft.name)
         founders = self._election.founders() if self._election.founding else ()
         self._leadership = Leadership(self._raft, founders)
 
@@ -233,18 +152,21 @@
     def propose(self, now: float, change: Change, token: int) -> None:
         """Propose a change; answered by ``ProposalDone`` within ``request_timeout``."""
         self._begin(now)
-        rejected = self._refusal() or self._problem(change) or self._overload()
+        leadership = self._leadership
+        rejected = self._not_leading() or invalid_change(self.settings, change)
+        if rejected is None and leadership is not None:
+            rejected = overload(self._raft, leadership)
         if rejected is not None:
             self._answer(token, rejected)
-        elif self._leadership is not None:
-            self._leadership.requests.propose(change, token)
+        elif leadership is not None:
+            leadership.requests.propose(change, token)
         self._end()
 
     def _answer(self, token: int, result: ChangeResult) -> None:
         self._raft.effects.append(ProposalDone(token, result))
 
-    def _refusal(self) -> ChangeRejected | None:
-        """Return why this voter takes no proposals, None where it leads."""
+    def _not_leading(self) -> ChangeRejected | None:
+        """Return why this voter accepts no proposals, None if it leads."""
         if self._leadership is not None:
             return None
         if self.role is VoterRole.STORAGE_FAILED:
@@ -253,31 +175,6 @@
             return ChangeRejected("no_quorum", "this voter hears no leader")
         return ChangeRejected("not_leader", leader=self.leader)
 
-    def _problem(self, change: Change) -> ChangeRejected | None:
-        if not change.change_id or not change.key:
-            return ChangeRejected("invalid", "a change needs an id and a key")
-        if not 0 <= (change.expected_revision or 0) <= MAX_LOG_NUMBER:
-            return ChangeRejected("invalid", "the expected revision is none")
-        try:
-            size = change_bytes(change)
-        except UnicodeEncodeError:
-            return ChangeRejected("invalid", "id and key have to be Unicode text")
-        if size > self.settings.max_change_bytes:
-            return ChangeRejected("invalid", f"more than {self.settings.max_change_bytes} bytes")
-        return None
-
-    def _overload(self) -> ChangeRejected | None:
-        leadership = self._leadership
-        if leadership is None:
-            return None
-        if leadership.transfer is not None:
-            return ChangeRejected("overloaded", "leadership is being handed over")
-        if len(leadership.requests.proposals) >= self.settings.max_proposals:
-            return ChangeRejected("overloaded", f"{self.settings.max_proposals} proposals are in flight")
-        if len(self._raft.log) >= self.settings.max_log_entries:
-            return ChangeRejected("overloaded", f"{self.settings.max_log_entries} entries are not compacted")
-        return None
-
     def read(self, now: float, key: str, token: int) -> None:
         """Read linearizably, confirmed by a majority; answered by ``ReadDone`` within ``request_timeout``."""
         self._begin(now)
@@ -297,7 +194,7 @@
         keyspace's revision, which such a change does not move.
         """
         self._begin(now)
-        rejected = self._refusal()
+        rejected = self._not_leading()
         if self._leadership is not None:
             rejected = self._leadership.reconfiguration.request(add, remove, token)
         if rejected is not None:
@@ -305,64 +202,56 @@
         self._end()
 
     def transfer_leadership(self, now: float) -> None:
-        """Hand leadership to the voter that is most up to date; given up after an election timeout."""
+        """Transfer leadership to the voter that is most up to date; abandoned after an election timeout."""
         self._begin(now)
         if self._leadership is not None:
             self._leadership.start_transfer()
         self._end()
 
     def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
-        """Take part in nothing more: a ``Persist`` could not be stored.
+        """Stop taking part, since a ``Persist`` could not be stored.
 
         ``dropped`` are the effects from that one on, none of which may be carried out; answers among them
-        are given again as uncertain or failed. To recover, build a new ``Voter`` from the stored records.
+        are repeated as uncertain or failed. To recover, build a new ``Voter`` from the stored records.
         """
         if not self._begin(now):
             return
         raft = self._raft
-        undone = [*dropped, *raft.effects]
+        unstored = [*dropped, *raft.effects]
         raft.effects.clear()
-        raft.leader = ""
-        for effect in undone:
+        raft.set_leader("")
+        for effect in unstored:
             if isinstance(effect, ProposalDone):
-                self._answer(effect.token, _undone(effect.result))
+                self._answer(effect.token, unstored_result(effect.result))
             elif isinstance(effect, ReadDone):
                 raft.effects.append(ReadDone(effect.token, None, 0, True))
         raft.become(VoterRole.STORAGE_FAILED)
         self._end()
 
     def take_effects(self) -> list[VoterEffect]:
-        """Return what has to be done, in order, and forget it."""
+        """Return the effects since the last call, in order."""
         if self._leadership is not None and not self._leadership.advance():
             self._raft.step_down(self._raft.term)
         self._end()
         if self.keyspace.revision > self._announced_revision and self.role is not VoterRole.STORAGE_FAILED:
             self._announced_revision = self.keyspace.revision
             self._raft.effects.append(RevisionAdvanced(self._announced_revision))
-        effects, self._raft.effects = self._raft.effects, []
-        return effects
+        return self._raft.take_effects()
 
     # Around each event.
 
     def _begin(self, now: float) -> bool:
-        """Take the time; return whether this voter takes part at all."""
+        """Set the time; return whether this voter still takes part."""
         raft = self._raft
-        raft.now = max(raft.now, now)
+        raft.advance_clock(now)
         if self._leadership is not None and self._leadership.lease_until <= raft.now:
-            # A leader that was stopped, or cut off: it answers no more as if it led.
+            # Guards against a leader that was paused or cut off and still answers as leader.
             raft.step_down(raft.term)
             self._end()
         return raft.role is not VoterRole.STORAGE_FAILED
 
     def _end(self) -> None:
         if self._leadership is not None and self._raft.role is not VoterRole.LEADER:
-            self._raft.current_at = self._leadership.replication.confirmed_at()
-            self._leadership.give_up()
+            self._raft.record_confirmation(self._leadership.replication.confirmed_at())
+            self._leadership.end()
             self._leadership = None
-
-
-def _undone(result: ChangeResult) -> ChangeResult:
-    """Return what may be said of a result whose record was not stored: of a commit, nothing."""
-    if isinstance(result, ChangeRejected) and result.reason != "conflict":
-        return result
-    return ChangeUncertain()
