--- a/merlinbay/control/fanout/watch_sender.py
+++ b/merlinbay/control/fanout/watch_sender.py
@@ -43,13 +43,12 @@
     def pump(self, downstream: DownstreamWatch, now: float) -> None:
         """Queue frames until the watch has the current revision or its queue is full."""
         settings = self._settings
-        while downstream.room(settings.queue_messages, settings.queue_bytes):
+        while downstream.has_room(settings.queue_messages, settings.queue_bytes):
             transfer = downstream.transfer or self._next_transfer(downstream, now)
             if transfer is None:
                 return
             self.send(downstream, transfer.frames[downstream.next_part], now)
-            downstream.next_part += 1
-            if downstream.next_part == len(transfer.frames):
+            if downstream.finish_part():
                 self._transferred(downstream, transfer, now)
 
     def _next_transfer(self, downstream: DownstreamWatch, now: float) -> EncodedUpdate | None:
@@ -59,14 +58,12 @@
                 return None
             age = milliseconds(self._staleness(now))
             transfer = self._frames.delta(downstream.queued_revision, age, now)
-        downstream.transfer = transfer or self._frames.snapshot()
-        downstream.next_part = 0
-        return downstream.transfer
+        transfer = transfer or self._frames.snapshot()
+        downstream.start_transfer(transfer)
+        return transfer
 
     def _transferred(self, downstream: DownstreamWatch, transfer: EncodedUpdate, now: float) -> None:
-        downstream.transfer = None
-        downstream.wants_snapshot = False
-        downstream.queued_revision = transfer.revision
+        downstream.finish_transfer()
         if not transfer.snapshot:
             self.counters.deltas_sent += 1
             return
--- a/merlinbay/control/fanout/watch_server.py
+++ b/merlinbay/control/fanout/watch_server.py
@@ -91,7 +91,7 @@
             self.counters.malformed += 1
             self._end(downstream, GoodbyeReason.PROTOCOL, now)
             return
-        downstream.heard_at = now
+        downstream.record_received(now)
         if isinstance(message, Goodbye):
             self._drop(downstream)
             self._effects.append(CloseDownstream(connection, message.reason))
@@ -135,7 +135,7 @@
         self.frames.clear()
         self.reports += 1
         for downstream in list(self._by_member.values()):
-            downstream.begin_again()
+            downstream.restart()
             self._sender.send_accepted(downstream, self.generation, now)
         self.advanced(now)
 
@@ -249,9 +249,7 @@
         revision = min(progress.revision, self.store.revision)
         if (revision, progress.summary) == (downstream.reported_revision, downstream.summary):
             return
-        downstream.reported_revision = revision
-        if downstream.role is WatcherRole.RELAY:
-            downstream.summary = progress.summary
+        downstream.record_report(revision, progress.summary)
         self.reports += 1
 
     # Ending.
