--- a/bench/control.py
+++ b/bench/control.py
@@ -18,7 +18,8 @@
 from bench.control_mutants import MUTANTS, Mutant
 from merlinbay.control.simulation.core_under_test import raft
 from merlinbay.control.simulation.history import History, OperationKind
-from merlinbay.control.simulation.scenario import CUT_OFF_AT, HOUR, REGIONS, draw, draw_partition
+from merlinbay.control.simulation.regions import REGIONS
+from merlinbay.control.simulation.scenario import CUT_OFF_AT_S, HOUR_S, draw, draw_partition
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
     overwritten_majority,
@@ -162,8 +163,8 @@
     """Return what the two sides did while they were apart, and what they came to."""
     scenario, history = run.scenario, run.history
     inside = {name for name in scenario.voters if scenario.regions[name] == REGIONS[0]}
-    end = CUT_OFF_AT + HOUR
-    during = [state for state in history.states if CUT_OFF_AT <= state.time < end]
+    end = CUT_OFF_AT_S + HOUR_S
+    during = [state for state in history.states if CUT_OFF_AT_S <= state.time < end]
     sides = {
         "inside": {state.revision for state in during if state.place in inside},
         "outside": {state.revision for state in during if state.place not in inside},
--- a/merlinbay/control/fanout/simulate.py
+++ b/merlinbay/control/fanout/simulate.py
@@ -90,7 +90,7 @@
     network.run(1.0 + load.start_within)
     started_after = _wait(fleet, lambda: all(one.revision for one in fleet.followers.values()))
     network.run(network.now + SETTLE_S)
-    admissions_start = fleet.most_admissions(0.0)
+    admissions_start = fleet.measured.most_admissions(0.0)
 
     began, before = network.now, _totals(fleet)
     _schedule_changes(fleet, load)
@@ -113,7 +113,7 @@
         watched_after=watched_after,
         known_after=known_after,
         most_watches=fleet.measured.most_watches,
-        most_admissions=fleet.most_admissions(began),
+        most_admissions=fleet.measured.most_admissions(began),
         most_admissions_start=admissions_start,
         traffic=traffic,
         differing=len(fleet.differing()),
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -6,26 +6,25 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
 
-from merlinbay.control.entries import Delta, KeyValue, StateSnapshot
-from merlinbay.control.fanout.changes import RecentChanges
+from merlinbay.control.entries import KeyValue
 from merlinbay.control.fanout.effects import StateAdvanced
+from merlinbay.control.fanout.fleet_measurements import FleetMeasurements
 from merlinbay.control.fanout.follower import Follower
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.relay import Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
-from merlinbay.control.fanout.simulated_network import (
-    OTHER_REGION_DELAY_S,
-    FanoutNetwork,
+from merlinbay.control.fanout.simulated_machine import (
     SimulatedMachine,
     follower_machine,
     relay_machine,
     server_machine,
 )
+from merlinbay.control.fanout.simulated_network import OTHER_REGION_DELAY_S, FanoutNetwork
+from merlinbay.control.fanout.simulated_source import SourceStore
 from merlinbay.control.fanout.status import ForceStatus, force_status, merge
 from merlinbay.control.fanout.topology import Location, Upstream
 from merlinbay.control.fanout.watch_server import WatchServer
@@ -57,39 +56,6 @@
         return Location(f"r{zone % self.regions}", f"z{zone}")
 
 
-class SourceStore:
-    """The state of a voter, which has applied the log up to some revision."""
-
-    def __init__(self, kept_changes: int) -> None:
-        self.values: dict[str, KeyValue] = {}
-        self.changes = RecentChanges(kept_changes, 64 * 1024 * 1024)
-
-    @property
-    def revision(self) -> int:
-        """Return the revision of the state."""
-        return self.changes.revision
-
-    def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
-        return self.changes.after(revision)
-
-    def snapshot(self) -> StateSnapshot:
-        """Return the whole state."""
-        return StateSnapshot(self.revision, tuple(self.values.values()))
-
-    def restore(self, other: SourceStore) -> None:
-        """Take the state of another store, as an operator's reset does."""
-        self.values, self.changes = other.values, other.changes
-
-    def apply(self, entry: KeyValue) -> None:
-        """Apply the next entry of the log."""
-        if entry.value is None:
-            self.values.pop(entry.key, None)
-        else:
-            self.values[entry.key] = entry
-        self.changes.add([entry], entry.revision)
-
-
 @dataclass(slots=True)
 class SimulatedVoter:
     """A voter's store and what serves it."""
@@ -99,23 +65,12 @@
     host: SimulatedMachine
 
 
-@dataclass(slots=True)
-class FleetMeasurements:
-    """What followers went through."""
-
-    times_to_force: list[float] = field(default_factory=list)  # of every change at every follower
-    times_disturbed: list[float] = field(default_factory=list)  # the same, at those that lost something
-    broken: list[str] = field(default_factory=list)  # what must not be
-    most_watches: int = 0  # at one relay at a time
-    admissions: Counter[tuple[str, int]] = field(default_factory=Counter)  # by relay and second
-
-
 class SimulatedFleet:
     """Voters, relays, followers and the log."""
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan = plan
-        self.network = FanoutNetwork(seed)
+        self.network: FanoutNetwork[SimulatedMachine] = FanoutNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
         self.asked_at: list[float] = []  # by revision: when the leader was asked for the change
@@ -253,18 +208,6 @@
         summaries = [voter.server.summary(now) for voter in self.voters]
         return force_status(merge(summaries, 8, 16), revision, expected=len(self.followers))
 
-    def most_admissions(self, since: float) -> int:
-        """Return the most watches that one relay took within a second of the clock."""
-        taken = self.measured.admissions
-        return max(
-            (
-                count - taken[name, second - 1]
-                for (name, second), count in list(taken.items())
-                if second > since
-            ),
-            default=0,
-        )
-
     def disturb(self, chosen: Callable[[Follower], bool]) -> None:
         """Count these followers' times apart from now on."""
         self.disturbed |= {name for name, follower in self.followers.items() if chosen(follower)}
--- a/merlinbay/control/fanout/simulated_network.py
+++ b/merlinbay/control/fanout/simulated_network.py
@@ -1,28 +1,14 @@
-"""Processes and streams in virtual time, for tests and simulated figures. One seed gives one history."""
+"""Streams in virtual time, for tests and simulated figures. One seed gives one history."""
 
 from __future__ import annotations
 
 import heapq
 import itertools
-import math
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from random import Random
-from typing import Protocol
+from typing import Generic, Protocol, TypeVar
 
-from merlinbay.control.fanout.effects import (
-    CloseDownstream,
-    CloseUpstream,
-    ConnectUpstream,
-    RelayEffect,
-    SendDownstream,
-    SendUpstream,
-    StateAdvanced,
-)
-from merlinbay.control.fanout.follower import Follower
-from merlinbay.control.fanout.messages import GoodbyeReason
-from merlinbay.control.fanout.relay import Relay
 from merlinbay.control.fanout.topology import Location
-from merlinbay.control.fanout.watch_server import WatchServer
 
 SAME_ZONE_DELAY_S = 0.0005  # one way, seconds
 SAME_REGION_DELAY_S = 0.002
@@ -30,69 +16,23 @@
 DELAY_SPREAD = 0.5  # a message takes up to this share longer
 
 
-class TimedCore(Protocol):
-    """What a simulated process runs."""
+class NetworkNode(Protocol):
+    """A machine as the network sees it."""
 
-    def tick(self, now: float) -> None:
-        """Do what is due."""
+    location: Location
+    alive: bool
 
-    def next_deadline(self) -> float:
-        """Return when ``tick`` is due."""
 
-    def take_effects(self) -> Sequence[RelayEffect]:
-        """Return what is to be done, once."""
+NodeT = TypeVar("NodeT", bound=NetworkNode)
 
 
-class WatchingCore(Protocol):
-    """The calls about the streams of a core's own attempts: of a follower or relay."""
-
-    def upstream_connected(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt is open."""
-
-    def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
-        """Take a frame from upstream."""
-
-    def upstream_closed(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt has ended or could not be opened."""
-
-
-class ServingCore(Protocol):
-    """The calls about the streams that a core serves: of a relay or watch server."""
-
-    def opened(self, connection: int, now: float) -> None:
-        """Take a new stream."""
-
-    def received(self, connection: int, frame: bytes, now: float) -> None:
-        """Take a frame from downstream."""
-
-    def written(self, connection: int, size: int, now: float) -> None:
-        """Take it that a frame was written."""
-
-    def closed(self, connection: int, now: float) -> None:
-        """Take it that a stream has ended."""
-
-
-class SimulatedStream:
-    """A connection of a client's attempt to a server."""
-
-    __slots__ = ("attempt", "client", "delay", "down_free", "number", "open", "server", "up_free")
-
-    def __init__(
-        self, number: int, client: SimulatedMachine, attempt: int, server: SimulatedMachine, delay: float
-    ) -> None:
-        self.number, self.client, self.attempt, self.server = number, client, attempt, server
-        self.delay = delay
-        self.open = True
-        self.up_free = self.down_free = 0.0  # the last message each way arrives then: order is kept
-
-
-class FanoutNetwork:
+class FanoutNetwork(Generic[NodeT]):
     """The clock, the events to come, and who cannot reach whom."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         self.rng = Random(seed)
-        self.hosts: dict[str, SimulatedMachine] = {}
+        self.hosts: dict[str, NodeT] = {}
         self.cut_regions: set[str] = set()  # nothing passes between one of these and another region
         self.slow: set[str] = set()  # names of hosts that take nothing from their streams
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -110,10 +50,9 @@
             call()
         self.now = until
 
-    def stream(self, client: SimulatedMachine, attempt: int, server: SimulatedMachine) -> SimulatedStream:
-        """Return a new stream that is not yet open."""
-        delay = self.delay(client.location, server.location)
-        return SimulatedStream(next(self._streams), client, attempt, server, delay)
+    def next_stream_number(self) -> int:
+        """Return the number of a new stream."""
+        return next(self._streams)
 
     def delay(self, here: Location, there: Location) -> float:
         """Return the time of one message one way, without its spread."""
@@ -121,184 +60,13 @@
             return SAME_ZONE_DELAY_S
         return SAME_REGION_DELAY_S if here.region == there.region else OTHER_REGION_DELAY_S
 
-    def reachable(self, one: SimulatedMachine, other: SimulatedMachine) -> bool:
+    def reachable(self, one: NodeT, other: NodeT) -> bool:
         """Return whether messages pass between two hosts."""
         if not (one.alive and other.alive):
             return False
         here, there = one.location.region, other.location.region
         return here == there or not (here in self.cut_regions or there in self.cut_regions)
 
-    def arrival(self, stream: SimulatedStream, free: float) -> float:
-        """Draw when a message arrives that is sent now, not before the one ahead of it."""
-        return max(free, self.now + stream.delay * (1 + DELAY_SPREAD * self.rng.random()))
-
-
-class SimulatedMachine:
-    """A process at a place: it ticks when it is due, and its effects are carried out."""
-
-    def __init__(
-        self,
-        network: FanoutNetwork,
-        name: str,
-        location: Location,
-        core: TimedCore,
-        up: WatchingCore | None = None,
-        down: ServingCore | None = None,
-        heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
-    ) -> None:
-        self.network, self.name, self.location, self.core = network, name, location, core
-        self.alive = True
-        self.refuses = True  # connecting to it after its death fails at once: its machine is there
-        self._up, self._down, self._heard = up, down, heard
-        self._attempts: dict[int, SimulatedStream] = {}  # own ones
-        self._served: dict[int, SimulatedStream] = {}  # those of others, by number
-        self._timer = math.inf
-        network.hosts[name] = self
-
-    def done(self) -> None:
-        """Carry out what a call has led to, and wake up at the next deadline."""
-        for effect in self.core.take_effects():
-            self._carry_out(effect)
-        deadline = self.core.next_deadline()
-        if self.alive and deadline < self._timer:
-            self._timer = deadline
-            self.network.at(max(deadline, self.network.now), lambda: self._wake(deadline))
-
-    def die(self, told: bool) -> None:
-        """End at once. ``told``: its system closes the streams; otherwise nobody hears of it."""
-        self.alive = False
-        self.refuses = told
-        for stream in [*self._attempts.values(), *self._served.values()]:
-            if told:
-                self.network.at(self.network.now + stream.delay, lambda ended=stream: _hang_up(ended))  # type: ignore[misc]
-
-    def _wake(self, timer: float) -> None:
-        if timer != self._timer or not self.alive:
-            return
-        self._timer = math.inf
-        if self.core.next_deadline() <= self.network.now:
-            self.core.tick(self.network.now)
-        self.done()
-
-    def _carry_out(self, effect: RelayEffect) -> None:
-        match effect:
-            case SendDownstream(connection, frame):
-                self._send_down(connection, frame)
-            case SendUpstream(attempt, frame):
-                self._send_up(attempt, frame)
-            case ConnectUpstream(attempt, upstream):
-                self._connect(attempt, self.network.hosts[upstream.name])
-            case CloseUpstream(attempt):
-                self._close(self._attempts.pop(attempt, None), after_frames=True)
-            case CloseDownstream(connection, reason):
-                orderly = reason is not GoodbyeReason.SLOW  # what is queued to a slow client is lost
-                self._close(self._served.pop(connection, None), orderly)
-            case StateAdvanced() if self._heard is not None:
-                self._heard(self, effect)
-
-    # Streams.
-
-    def _connect(self, attempt: int, server: SimulatedMachine) -> None:
-        stream = self.network.stream(self, attempt, server)
-        self._attempts[attempt] = stream
-        self.network.at(self.network.now + 2 * stream.delay, lambda: self._connected(stream))
-
-    def _connected(self, stream: SimulatedStream) -> None:
-        """Open a stream; to a host that cannot be reached it just never opens."""
-        if stream.attempt not in self._attempts:
-            return
-        if not stream.server.alive and stream.server.refuses:
-            _hang_up(stream)
-        elif self.network.reachable(self, stream.server):
-            stream.server._opened(stream)
-            assert self._up is not None
-            self._up.upstream_connected(stream.attempt, self.network.now)
-            self.done()
-
-    def _opened(self, stream: SimulatedStream) -> None:
-        assert self._down is not None
-        self._served[stream.number] = stream
-        self._down.opened(stream.number, self.network.now)
-        self.done()
-
-    def _send_up(self, attempt: int, frame: bytes) -> None:
-        stream = self._attempts.get(attempt)
-        if stream is not None:
-            stream.up_free = self.network.arrival(stream, stream.up_free)
-            self.network.at(stream.up_free, lambda: stream.server._from_below(stream, frame))
-
-    def _from_below(self, stream: SimulatedStream, frame: bytes) -> None:
-        if stream.number in self._served and self.network.reachable(stream.client, self):
-            assert self._down is not None
-            self._down.received(stream.number, frame, self.network.now)
-            self.done()
-
-    def _send_down(self, number: int, frame: bytes) -> None:
-        stream = self._served.get(number)
-        if stream is not None:
-            stream.down_free = self.network.arrival(stream, stream.down_free)
-            self.network.at(stream.down_free, lambda: stream.client._from_above(stream, frame))
-
-    def _from_above(self, stream: SimulatedStream, frame: bytes) -> None:
-        server = stream.server
-        if not self.network.reachable(server, self) or self.name in self.network.slow:
-            return
-        if stream.attempt in self._attempts:
-            assert self._up is not None
-            self._up.upstream_received(stream.attempt, frame, self.network.now)
-            self.done()
-        if stream.number in server._served:
-            assert server._down is not None
-            server._down.written(stream.number, len(frame), self.network.now)
-            server.done()
-
-    def _close(self, stream: SimulatedStream | None, after_frames: bool) -> None:
-        """End a stream; its other side hears of it if it can be reached then."""
-        if stream is None:
-            return
-        moment = self.network.now + stream.delay
-        if after_frames:
-            moment = max(moment, stream.up_free, stream.down_free)
-        self.network.at(moment, lambda: _hang_up(stream))
-
-    def _ended(self, stream: SimulatedStream) -> None:
-        now = self.network.now
-        if stream.client is self and self._up is not None and stream.attempt in self._attempts:
-            del self._attempts[stream.attempt]
-            self._up.upstream_closed(stream.attempt, now)
-        elif stream.server is self and self._down is not None and stream.number in self._served:
-            del self._served[stream.number]
-            self._down.closed(stream.number, now)
-        self.done()
-
-
-def _hang_up(stream: SimulatedStream) -> None:
-    """Tell both sides that are there, unless nothing passes between their regions."""
-    network = stream.client.network
-    regions = {stream.client.location.region, stream.server.location.region}
-    if len(regions) > 1 and regions & network.cut_regions:
-        return
-    for side in (stream.client, stream.server):
-        if side.alive:
-            side._ended(stream)
-
-
-def follower_machine(
-    network: FanoutNetwork,
-    follower: Follower,
-    heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
-) -> SimulatedMachine:
-    """Return a member that follows."""
-    return SimulatedMachine(network, follower.member, follower.location, follower, follower, heard=heard)
-
-
-def relay_machine(network: FanoutNetwork, relay: Relay) -> SimulatedMachine:
-    """Return a relay."""
-    return SimulatedMachine(network, relay.follower.member, relay.follower.location, relay, relay, relay)
-
-
-def server_machine(
-    network: FanoutNetwork, name: str, location: Location, server: WatchServer
-) -> SimulatedMachine:
-    """Return a voter, as far as the fan-out sees it."""
-    return SimulatedMachine(network, name, location, server, down=server)
+    def arrival(self, delay: float, free: float) -> float:
+        """Draw when a message arrives that is sent now; not before ``free``, so that order is kept."""
+        return max(free, self.now + delay * (1 + DELAY_SPREAD * self.rng.random()))
--- a/merlinbay/control/simulation/fault_injection.py
+++ b/merlinbay/control/simulation/fault_injection.py
@@ -1,13 +1,11 @@
-"""Carries the faults of a scenario out on a running world."""
+"""Injects the faults of a scenario into a running simulation."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from itertools import product
 
-from merlinbay.control.simulation.network import FaultyNetwork
-from merlinbay.control.simulation.process import AfterVote, SimulatedProcess
-from merlinbay.control.simulation.scenario import (
+from merlinbay.control.simulation.fault_types import (
     Crash,
     CrashAfterVote,
     CrashLeaders,
@@ -18,17 +16,19 @@
     MoveLeadership,
     MoveVoter,
     Pause,
-    Scenario,
 )
+from merlinbay.control.simulation.network import FaultyNetwork
+from merlinbay.control.simulation.process import SimulatedProcess
+from merlinbay.control.simulation.scenario import Scenario
 from merlinbay.control.simulation.scheduler import Scheduler
 
-CUT_AFTER_MOVE = 0.005  # seconds: a sync, so that the leader's word to its successor is out
+CUT_AFTER_TRANSFER_S = 0.005  # one sync, so that TimeoutNow has been sent
 
 Pairs = list[tuple[str, str]]
 
 
 class FaultInjector:
-    """Plans all faults of a scenario; ``end`` takes back what still holds."""
+    """Plans all faults of a scenario; ``end`` undoes those that still hold."""
 
     def __init__(
         self,
@@ -66,12 +66,12 @@
                 self._crash(fault)
             case CrashAfterVote():
                 for name in fault.voters:
-                    self.hosts[name].crash_after_vote = AfterVote(fault.down_for, fault.loses_disk)
+                    self.hosts[name].crashes.arm_at_vote(fault.down_for, fault.loses_disk)
             case CrashLeaders():
                 leader = self.leader() if fault.spares_leader else None
                 for name, effects, down_for in fault.victims:
                     if self.hosts[name] is not leader:
-                        self.hosts[name].crash_as_leader(effects, down_for)
+                        self.hosts[name].crashes.arm_as_leader(effects, down_for)
             case Pause():
                 self._pause(fault)
             case Cut():
@@ -80,8 +80,8 @@
                 self._cut_off(fault)
             case DiskFull():
                 disk = self.hosts[fault.voter].disk
-                disk.full = True
-                self.scheduler.after(fault.span, lambda: setattr(disk, "full", False))
+                disk.fill()
+                self.scheduler.after(fault.span, disk.free)
             case MoveLeadership():
                 self._move_leadership(fault)
             case MoveVoter():
@@ -92,7 +92,7 @@
         if host is None:
             return
         if not fault.loses_disk:
-            host.crash_within(fault.effects, fault.down_for)
+            host.crashes.arm(fault.effects, fault.down_for)
             return
         host.crash(fault.down_for)
         host.disk.lose()
@@ -105,7 +105,7 @@
         if fault.cut_for:
             others = sorted(self.hosts.keys() - {leader.name})
             pairs = [*product([leader.name], others), *product(others, [leader.name])]
-            self.scheduler.after(CUT_AFTER_MOVE, lambda: self._cut(pairs, fault.cut_for))
+            self.scheduler.after(CUT_AFTER_TRANSFER_S, lambda: self._cut(pairs, fault.cut_for))
 
     def _pause(self, fault: Pause) -> None:
         host = self.hosts[fault.voter] if fault.voter else self.leader()
@@ -143,11 +143,11 @@
             self.trace("a cut is healed")
 
     def end(self) -> None:
-        """End all faults: cuts, pauses, full disks, armed crashes; start what is down."""
+        """End all faults: cuts, pauses, full disks, armed crashes; start the processes that are down."""
         self.over = True
         self.network.heal_all()
         for host in self.hosts.values():
-            host.disk.full = False
-            host.disarm()
+            host.disk.free()
+            host.crashes.disarm()
             host.resume()
             host.start()
--- a/merlinbay/control/simulation/machine.py
+++ b/merlinbay/control/simulation/machine.py
@@ -3,6 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from random import Random
+
+SLOW_SYNC_SHARE = 0.02  # of the syncs take up to SLOWEST_SYNC_S
+SYNC_S, SLOWEST_SYNC_S = 0.002, 0.1
 
 
 @dataclass(frozen=True)
@@ -36,8 +40,22 @@
             self.records.clear()
         self.records.append(record)
 
+    def fill(self) -> None:
+        """Accept no further records."""
+        self.full = True
+
+    def free(self) -> None:
+        """Accept records again."""
+        self.full = False
+
     def lose(self) -> None:
         """Replace the disk by an empty one."""
         self.records = []
         self.number += 1
         self.full = False
+
+
+def draw_sync_time(random: Random) -> float:
+    """Draw how many seconds a sync of the disk takes."""
+    slow = random.random() < SLOW_SYNC_SHARE
+    return (SLOWEST_SYNC_S if slow else SYNC_S) * random.random()
--- /dev/null
+++ b/merlinbay/control/simulation/open_requests.py
@@ -0,0 +1,49 @@
+"""The proposals and reads that a simulated voter has not answered yet."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from merlinbay.control.effects import ProposalDone, ReadDone
+from merlinbay.control.simulation.history import ProposalAttempt
+
+ReplyTo = Callable[[ProposalDone | ReadDone], None]
+
+
+@dataclass
+class PendingRequest:
+    """A proposal or read that the core has not answered yet."""
+
+    reply: ReplyTo
+    attempt: ProposalAttempt | None
+
+
+class OpenRequests:
+    """Requests by token; also counts second answers to proposals, which must not happen."""
+
+    def __init__(self) -> None:
+        """Start with none."""
+        self._pending: dict[int, PendingRequest] = {}
+        self._answered: dict[int, ProposalAttempt] = {}
+
+    def add(self, token: int, reply: ReplyTo, attempt: ProposalAttempt | None = None) -> None:
+        """Wait for the answer to a request."""
+        self._pending[token] = PendingRequest(reply, attempt)
+
+    def answer(self, effect: ProposalDone | ReadDone) -> None:
+        """Record an answer and pass it on."""
+        pending = self._pending.pop(effect.token, None)
+        if pending is None:
+            if effect.token in self._answered:
+                self._answered[effect.token].answers += 1
+            return
+        if pending.attempt is not None and isinstance(effect, ProposalDone):
+            pending.attempt.result = effect.result
+            pending.attempt.answers += 1
+            self._answered[effect.token] = pending.attempt
+        pending.reply(effect)
+
+    def clear(self) -> None:
+        """Forget the open requests: the process has ended."""
+        self._pending.clear()
--- a/merlinbay/control/simulation/process.py
+++ b/merlinbay/control/simulation/process.py
@@ -12,7 +12,6 @@
 import traceback
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 from typing import Protocol
 
@@ -20,27 +19,25 @@
     Persist,
     ProposalDone,
     ReadDone,
-    RevisionAdvanced,
     SendMessage,
     VoterEffect,
 )
 from merlinbay.control.entries import Change
+from merlinbay.control.simulation.armed_crashes import ArmedCrashes
 from merlinbay.control.simulation.history import ProposalAttempt
-from merlinbay.control.simulation.machine import SimulatedDisk, SkewedClock
+from merlinbay.control.simulation.machine import SimulatedDisk, SkewedClock, draw_sync_time
+from merlinbay.control.simulation.open_requests import OpenRequests, ReplyTo
 from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort, VoterStart
 from merlinbay.control.simulation.scheduler import Scheduler
 
-LEAST_TICK = 0.001  # seconds between ticks, where a deadline stays in the past
-RESTART_AFTER = 1.0  # seconds until a process whose disk failed is started again
-SLOW_SYNC = 0.02  # share of the syncs that take up to SLOWEST_SYNC
-SYNC, SLOWEST_SYNC = 0.002, 0.1  # seconds
+LEAST_TICK_S = 0.001  # between ticks, if a deadline stays in the past
+RESTART_AFTER_S = 1.0  # a process whose disk failed
 
 VoterInput = Callable[[VoterPort, float], None]
-ReplyTo = Callable[[ProposalDone | ReadDone], None]
 
 
 class ProcessEnvironment(Protocol):
-    """What a process needs of its surroundings."""
+    """What a process needs of the simulation."""
 
     scheduler: Scheduler
 
@@ -48,7 +45,7 @@
         """Send a message to another voter; return whether it is a vote."""
 
     def observe(self, host: SimulatedProcess) -> None:
-        """Look at a voter whose effects are all carried out."""
+        """Record the state of a voter whose effects are all carried out."""
 
     def attempted(self, attempt: ProposalAttempt) -> None:
         """Record that a change was handed to a voter."""
@@ -57,23 +54,7 @@
         """Record an exception of the code under test."""
 
     def trace(self, text: str) -> None:
-        """Note what happens."""
-
-
-@dataclass
-class PendingRequest:
-    """A proposal or read that the core has not answered yet."""
-
-    reply: ReplyTo
-    attempt: ProposalAttempt | None
-
-
-@dataclass(frozen=True)
-class AfterVote:
-    """An armed crash: how long the process is down then, and whether its disk is empty after."""
-
-    down_for: float
-    loses_disk: bool
+        """Add a line to the trace."""
 
 
 class SimulatedProcess:
@@ -90,32 +71,24 @@
         batches: bool,
     ) -> None:
         """Set the process up; ``start`` starts it."""
-        self.name = name
-        self.core = core
-        self.world = world
-        self.clock = clock
-        self.random = random
+        self.name, self.core, self.world = name, core, world
+        self.clock, self.random = clock, random
         self.first_voters = first_voters
-        self.batches = batches
+        self.batches = batches  # handles all inputs that wait at once
         self.disk = SimulatedDisk()
         self.voter: VoterPort | None = None
         self.starts = 0
-        self.paused = False
-        self.syncing = False
-        self.working = False
-        self.crash_in: int | None = None  # effects until an armed crash
-        self.crash_for = 0.0
-        self.crash_after_vote: AfterVote | None = None
-        self.leader_crash_in: int | None = None  # effects until a crash, once it leads
+        self.paused = self.syncing = False
+        self.working = False  # guards against re-entering ``_work``
+        self.crashes = ArmedCrashes()
         self.effects: deque[VoterEffect] = deque()
         self.inputs: deque[VoterInput] = deque()
-        self.pending: dict[int, PendingRequest] = {}
-        self.answered: dict[int, ProposalAttempt] = {}
+        self.requests = OpenRequests()
         self.tick_at = math.inf
 
     @property
-    def idle(self) -> bool:
-        """Whether the process runs and has carried all effects out."""
+    def is_idle(self) -> bool:
+        """Return whether the process runs and has carried out all effects."""
         return self.voter is not None and not (self.paused or self.syncing or self.effects)
 
     def now(self) -> float:
@@ -148,28 +121,14 @@
         self.voter = None
         self.syncing = False
         self.paused = False
-        self.disarm()
+        self.crashes.disarm()
         self.tick_at = math.inf
         self.effects.clear()
         self.inputs.clear()
-        self.pending.clear()
+        self.requests.clear()
         if restart_after is not None:
             self.world.scheduler.after(restart_after, self.start)
 
-    def crash_within(self, effects: int, down_for: float) -> None:
-        """Crash before so many further effects are carried out."""
-        self.crash_in = effects
-        self.crash_for = down_for
-
-    def crash_as_leader(self, effects: int, down_for: float) -> None:
-        """Crash before so many effects are carried out from the moment on at which the voter leads."""
-        self.leader_crash_in = effects
-        self.crash_for = down_for
-
-    def disarm(self) -> None:
-        """Take armed crashes back."""
-        self.crash_in = self.crash_after_vote = self.leader_crash_in = None
-
     def pause(self) -> None:
         """Stop the process as by SIGSTOP: its inputs wait, its clock runs on."""
         self.paused = self.voter is not None
@@ -187,33 +146,30 @@
             self._work()
 
     def propose(self, change: Change, token: int, reply: ReplyTo) -> None:
-        """Hand a client's change to the core."""
+        """Pass a client's change to the core."""
 
         def call(voter: VoterPort, now: float) -> None:
             attempt = ProposalAttempt(self.world.scheduler.time, self.name, change)
             self.world.attempted(attempt)
-            self.pending[token] = PendingRequest(reply, attempt)
+            self.requests.add(token, reply, attempt)
             voter.propose(now, change, token)
 
         self.give(call)
 
     def read(self, key: str, token: int, reply: ReplyTo) -> None:
-        """Hand a client's read to the core."""
-
-        def call(voter: VoterPort, now: float) -> None:
-            self.pending[token] = PendingRequest(reply, None)
-            voter.read(now, key, token)
-
-        self.give(call)
+        """Pass a client's read to the core."""
+        self._request(token, reply, lambda voter, now: voter.read(now, key, token))
 
     def change_voters(self, add: str | None, remove: str | None, token: int, reply: ReplyTo) -> None:
-        """Hand an operator's change of voters to the core."""
+        """Pass an operator's change of voters to the core."""
+        self._request(token, reply, lambda voter, now: voter.change_voters(now, add, remove, token))
 
-        def call(voter: VoterPort, now: float) -> None:
-            self.pending[token] = PendingRequest(reply, None)
-            voter.change_voters(now, add, remove, token)
+    def _request(self, token: int, reply: ReplyTo, call: VoterInput) -> None:
+        def opened(voter: VoterPort, now: float) -> None:
+            self.requests.add(token, reply)
+            call(voter, now)
 
-        self.give(call)
+        self.give(opened)
 
     def _work(self) -> None:
         """Carry out the effects left, then handle inputs, as far as the process comes now."""
@@ -222,12 +178,12 @@
         self.working = True
         try:
             self._carry_out()
-            while self.inputs and self.idle:
+            while self.inputs and self.is_idle:
                 self._handle()
                 self._carry_out()
         finally:
             self.working = False
-        if self.idle:
+        if self.is_idle:
             self._plan_tick()
 
     def _handle(self) -> None:
@@ -250,10 +206,10 @@
             self.effects.extend(self.voter.take_effects())
         except Exception:
             self.world.failed(self, traceback.format_exc(limit=-3))
-            self.crash(RESTART_AFTER)
+            self.crash(RESTART_AFTER_S)
             return
-        if self.leader_crash_in is not None and self.core.leading_term(self.voter) is not None:
-            self.crash_in, self.leader_crash_in = self.leader_crash_in, None
+        if self.crashes.wait_for_leadership and self.core.leading_term(self.voter) is not None:
+            self.crashes.start_leading()
 
     def _carry_out(self) -> None:
         while self.effects and self.voter is not None and not (self.paused or self.syncing):
@@ -265,17 +221,14 @@
                 return
             self.effects.popleft()
             self._carry_one(effect)
-        if self.idle:
+        if self.is_idle:
             self.world.observe(self)
 
     def _crashes_here(self) -> bool:
-        if self.crash_in is None:
-            return False
-        if self.crash_in > 0:
-            self.crash_in -= 1
+        if not self.crashes.is_due():
             return False
         self._maybe_durable(self.effects[0])
-        self.crash(self.crash_for)
+        self.crash(self.crashes.down_for)
         return True
 
     def _maybe_durable(self, effect: VoterEffect) -> None:
@@ -285,10 +238,8 @@
 
     def _sync(self, effect: Persist) -> None:
         self.syncing = True
-        slow = self.random.random() < SLOW_SYNC
-        span = (SLOWEST_SYNC if slow else SYNC) * self.random.random()
         voter = self.voter
-        self.world.scheduler.after(span, lambda: self._synced(effect, voter))
+        self.world.scheduler.after(draw_sync_time(self.random), lambda: self._synced(effect, voter))
 
     def _synced(self, effect: Persist, voter: VoterPort | None) -> None:
         if self.voter is not voter or not self.syncing:
@@ -309,8 +260,8 @@
         self._call([lambda voter, now: voter.storage_failed(now, dropped)])
         for effect in self.effects:
             if isinstance(effect, ProposalDone | ReadDone):
-                self._answer(effect)
-        self.crash(RESTART_AFTER)
+                self.requests.answer(effect)
+        self.crash(RESTART_AFTER_S)
 
     def _carry_one(self, effect: VoterEffect) -> None:
         match effect:
@@ -319,35 +270,21 @@
                 if voted:
                     self._has_voted()
             case ProposalDone() | ReadDone():
-                self._answer(effect)
-            case RevisionAdvanced() | Persist():
-                pass  # followers are served once all effects are carried out
+                self.requests.answer(effect)
 
     def _has_voted(self) -> None:
-        after = self.crash_after_vote
+        after = self.crashes.at_vote
         if after is not None:
             self.crash(after.down_for)
             if after.loses_disk:
                 self.disk.lose()
 
-    def _answer(self, effect: ProposalDone | ReadDone) -> None:
-        pending = self.pending.pop(effect.token, None)
-        if pending is None:
-            if effect.token in self.answered:
-                self.answered[effect.token].answers += 1
-            return
-        if pending.attempt is not None and isinstance(effect, ProposalDone):
-            pending.attempt.result = effect.result
-            pending.attempt.answers += 1
-            self.answered[effect.token] = pending.attempt
-        pending.reply(effect)
-
     def _plan_tick(self) -> None:
         assert self.voter is not None
         deadline = self.voter.next_deadline()
         if deadline == math.inf:
             return
-        moment = max(self.clock.moment(deadline), self.world.scheduler.time + LEAST_TICK)
+        moment = max(self.clock.moment(deadline), self.world.scheduler.time + LEAST_TICK_S)
         if moment < self.tick_at:
             self.tick_at = moment
             voter = self.voter
@@ -357,7 +294,7 @@
         if self.voter is not running or self.tick_at != moment:
             return
         self.tick_at = math.inf
-        if self.idle and running.next_deadline() > self.now():
+        if self.is_idle and running.next_deadline() > self.now():
             self._plan_tick()
         else:
             self.give(lambda voter, now: voter.tick(now))
--- /dev/null
+++ b/merlinbay/control/simulation/regions.py
@@ -0,0 +1,5 @@
+"""The regions of all scenarios."""
+
+from __future__ import annotations
+
+REGIONS = ("north", "south", "west")
--- a/merlinbay/control/simulation/sequences.py
+++ b/merlinbay/control/simulation/sequences.py
@@ -5,16 +5,9 @@
 from dataclasses import replace
 from random import Random
 
+from merlinbay.control.simulation.fault_types import CrashLeaders, Cut, Fault, MoveLeadership, MoveVoter
 from merlinbay.control.simulation.network import NetworkSettings
-from merlinbay.control.simulation.scenario import (
-    CrashLeaders,
-    Cut,
-    Fault,
-    MoveLeadership,
-    MoveVoter,
-    Scenario,
-    draw,
-)
+from merlinbay.control.simulation.scenario import Scenario, draw
 
 CYCLE = 14.0  # seconds from one sequence to the next
 CYCLES = 3
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -39,7 +39,8 @@
 )
 from merlinbay.control.simulation.linearizability import Verdict, check_key
 from merlinbay.control.simulation.ports import CoreUnderTest, LogView, VoterPort, VoterStart
-from merlinbay.control.simulation.scenario import CUT_OFF_AT, HOUR, REGIONS, Scenario, draw, draw_partition
+from merlinbay.control.simulation.regions import REGIONS
+from merlinbay.control.simulation.scenario import CUT_OFF_AT_S, HOUR_S, Scenario, draw, draw_partition
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
     overwritten_majority,
@@ -405,7 +406,7 @@
     run = play(scenario, raft(1))
     assert run.violations == []
     inside = {name for name in scenario.voters if scenario.regions[name] == REGIONS[0]}
-    settled, healed = CUT_OFF_AT + 10.0, CUT_OFF_AT + HOUR
+    settled, healed = CUT_OFF_AT_S + 10.0, CUT_OFF_AT_S + HOUR_S
     during = [state for state in run.history.states if settled < state.time < healed]
     assert during and not {state.place for state in during} & inside
     assert {final.voter for final in run.history.finals} == set(scenario.voters)
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -46,7 +46,8 @@
 )
 from merlinbay.control.fanout.relay import InvalidTierError, Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
-from merlinbay.control.fanout.simulated_fleet import FleetPlan, SimulatedFleet, SourceStore
+from merlinbay.control.fanout.simulated_fleet import FleetPlan, SimulatedFleet
+from merlinbay.control.fanout.simulated_source import SourceStore
 from merlinbay.control.fanout.topology import Location, Upstream, ordered_candidates
 from merlinbay.control.fanout.watch_server import WatchServer
 
