--- a/bench/control.py
+++ b/bench/control.py
@@ -51,7 +51,7 @@
 
 def counts(history: History) -> Counter[str]:
     """Return how much a run did."""
-    complete = [one for one in history.operations if one.complete]
+    complete = [one for one in history.operations if one.is_complete]
     return Counter(
         changes=sum(one.kind is OperationKind.CHANGE for one in complete),
         reads=sum(one.kind is OperationKind.READ for one in complete),
--- a/merlinbay/control/fanout/admission.py
+++ b/merlinbay/control/fanout/admission.py
@@ -1,16 +1,16 @@
-"""How many new watches a second a server takes, and when the others are to come back."""
+"""Rate limit of new watches, with the times at which rejected ones may retry."""
 
 from __future__ import annotations
 
 
 class AdmissionBucket:
-    """A token bucket. Those that it refuses are given times one after the other at its rate."""
+    """A token bucket. Rejected watches get retry times that follow each other at its rate."""
 
     def __init__(self, rate: float, burst: int, now: float) -> None:
         self.rate, self.burst = rate, burst
         self._tokens = float(burst)
         self._filled_at = now
-        self._promised_until = now  # who was refused last comes back then
+        self._last_retry_at = now  # the latest retry time that was given
 
     def take(self, now: float) -> bool:
         """Take a token, if there is one."""
@@ -22,6 +22,6 @@
         return True
 
     def retry_after(self, now: float, least: float, most: float) -> float:
-        """Return in how many seconds the next refused one is to come back."""
-        self._promised_until = min(max(self._promised_until, now) + 1 / self.rate, now + most)
-        return max(least, self._promised_until - now)
+        """Return after how many seconds the next rejected watch may retry."""
+        self._last_retry_at = min(max(self._last_retry_at, now) + 1 / self.rate, now + most)
+        return max(least, self._last_retry_at - now)
--- a/merlinbay/control/fanout/assembly.py
+++ b/merlinbay/control/fanout/assembly.py
@@ -1,4 +1,4 @@
-"""Parts of a large delta or snapshot, collected until it is whole."""
+"""Collects the parts of a large delta or snapshot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WholeMessage(msgspec.Struct, frozen=True):
-    """The last part, for what it says of the whole, with the entries of all."""
+    """The last part, with the entries of all parts."""
 
     last: MessagePart
     entries: tuple[WireEntry, ...]
@@ -37,7 +37,7 @@
         self._size = 0
 
     def add(self, part: MessagePart, size: int) -> WholeMessage | None:
-        """Take a part whose frame had ``size`` bytes; return the whole with its last part."""
+        """Add a part whose frame had ``size`` bytes; return the whole message with the last part."""
         if self._first is None and part.count == 1 and part.index == 0:
             return WholeMessage(part, part.entries)
         if part.index != self._next or part.index >= part.count or not self._continues(part):
--- a/merlinbay/control/fanout/changes.py
+++ b/merlinbay/control/fanout/changes.py
@@ -1,4 +1,4 @@
-"""The last change of each key in the order of revisions, bounded: what deltas are made of."""
+"""The last change of each key in the order of revisions, bounded; deltas are made from it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         return len(self._last)
 
     def add(self, changed: Iterable[KeyValue], revision: int) -> None:
-        """Take changes in the order of their revisions, none above ``revision``."""
+        """Add changes in the order of their revisions, none above ``revision``."""
         for entry in changed:
             self._forget(entry.key)
             self._last[entry.key] = entry
@@ -32,7 +32,7 @@
             self.floor = oldest.revision
 
     def restart(self, revision: int) -> None:
-        """Begin again at a state whose history is not known."""
+        """Start again at a state whose history is not known."""
         self._last.clear()
         self._bytes = 0
         self.floor = self.revision = revision
--- a/merlinbay/control/fanout/effects.py
+++ b/merlinbay/control/fanout/effects.py
@@ -1,4 +1,4 @@
-"""What the fan-out asks of its host. Effects are carried out in the order in which they were taken."""
+"""The effects of the fan-out. A host carries them out in order."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """End a watch after the frames before this, without waiting for them long. No ``closed`` is wanted."""
 
     connection: int
-    reason: GoodbyeReason | None = None  # None: it was not admitted
+    reason: GoodbyeReason | None = None  # None: it was not accepted
 
 
 class ConnectUpstream(msgspec.Struct, frozen=True):
--- a/merlinbay/control/fanout/messages.py
+++ b/merlinbay/control/fanout/messages.py
@@ -30,18 +30,18 @@
 
 
 class MalformedMessageError(Exception):
-    """The bytes are no message of this protocol that may come from that side."""
+    """The bytes are no message of this protocol, or none of that side."""
 
 
 class WatcherRole(enum.StrEnum):
-    """What watches."""
+    """The role of a watcher."""
 
     FOLLOWER = "follower"
     RELAY = "relay"
 
 
 class RejectionReason(enum.StrEnum):
-    """Why a server does not take a watch now."""
+    """Why a server rejects a watch for now."""
 
     RATE = "rate"  # too many new watches at once
     FULL = "full"  # too many watches
@@ -74,7 +74,7 @@
     log_id: MemberName
 
 
-NO_GENERATION = Generation(0, "")  # of who has no state yet
+NO_GENERATION = Generation(0, "")  # without any state yet
 
 
 class WireEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -86,7 +86,7 @@
 
 
 class RevisionCount(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """So many followers have this revision in force, or a later one up to the next count's."""
+    """How many followers have applied this revision, or a later one below the next count's."""
 
     revision: Revision
     followers: Annotated[int, msgspec.Meta(ge=0)]
@@ -100,7 +100,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True, array_like=True):
-    """What the followers below a relay have in force, in a bounded form."""
+    """The revisions that the followers below a relay have applied, bounded in size."""
 
     counts: Annotated[tuple[RevisionCount, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # newest first
     laggards: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # oldest first
@@ -108,7 +108,7 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The first message of a connection: who watches, and from which state on."""
+    """The first message of a connection: the watcher and the state that it has."""
 
     member: MemberName
     role: WatcherRole
@@ -119,7 +119,7 @@
 
 
 class ProgressReport(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The revision that the sender has in force; from a relay with a summary of what is below it."""
+    """The revision that the sender has applied; from a relay, with a summary of the followers below."""
 
     generation: Revision  # the number of the generation that the revision belongs to
     revision: Revision
@@ -127,7 +127,7 @@
 
 
 class WatchAccepted(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The watch is held. A generation above the watcher's is followed by a snapshot that replaces all."""
+    """The watch is accepted. After a generation above the watcher's comes a snapshot."""
 
     generation: Generation
     revision: Revision
@@ -151,7 +151,7 @@
 class SnapshotMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Part ``index`` of ``count`` of the state at ``revision``. Parts come in order, with nothing between.
 
-    It is encoded once for many, and so does not say how old it is; a ``KeepAlive`` follows.
+    It is encoded once for many watches and so has no staleness; a ``KeepAlive`` follows.
     """
 
     revision: Revision
@@ -161,14 +161,14 @@
 
 
 class KeepAlive(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The server is there; its state was known to be the latest ``staleness_ms`` ago."""
+    """Nothing has changed; the server's state was known to be the latest ``staleness_ms`` ago."""
 
     revision: Revision
     staleness_ms: Milliseconds
 
 
 class WatchRejected(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The watch is not taken now: come back after the time, or go to one of the others, best first."""
+    """The watch is rejected: retry after the time, or go to one of the others, best first."""
 
     reason: RejectionReason
     retry_after_ms: Milliseconds
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -17,7 +17,7 @@
 
 
 class InvalidTierError(ValueError):
-    """An upstream of a relay is not of a lower tier, so that relays could follow each other in a ring."""
+    """An upstream of a relay is not of a lower tier: relays could follow each other in a ring."""
 
 
 class RelayStore:
@@ -41,7 +41,7 @@
         return self._follower.snapshot()
 
     def advanced(self, effect: StateAdvanced) -> None:
-        """Take in what the follower has applied."""
+        """Record what the follower has applied."""
         if effect.replaced:
             self._changes.restart(effect.revision)
         else:
@@ -49,7 +49,7 @@
 
 
 class Relay:
-    """Serves on what it follows. Calls about its own upstream streams begin with ``upstream_``."""
+    """Follows an upstream and serves its state. Calls about upstream streams begin with ``upstream_``."""
 
     def __init__(
         self,
@@ -86,12 +86,12 @@
         self._summary_sent_at = -math.inf
 
     def start(self, now: float) -> None:
-        """Look for an upstream; watches are taken once there is a state."""
+        """Look for an upstream; watches are accepted once there is a state."""
         self.follower.start(now)
         self._after(now)
 
     def drain(self, now: float) -> None:
-        """Send all watches elsewhere and end the own one."""
+        """Send all watches to other upstreams and end the relay's own watch."""
         self.server.drain(now)
         self.follower.stop(now)
         self._after(now)
@@ -104,7 +104,7 @@
     # Upstream.
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Hear that the stream of an attempt is open."""
+        """Take it that the stream of an attempt is open."""
         self.follower.upstream_connected(attempt, now)
         self._after(now)
 
@@ -114,7 +114,7 @@
         self._after(now)
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Hear that the stream of an attempt has ended or could not be opened."""
+        """Take it that the stream of an attempt has ended or could not be opened."""
         self.follower.upstream_closed(attempt, now)
         self._after(now)
 
@@ -131,12 +131,12 @@
         self._after(now)
 
     def written(self, connection: int, size: int, now: float) -> None:
-        """Hear that a frame of ``size`` bytes was taken by the network."""
+        """Take it that a frame of ``size`` bytes was written."""
         self.server.written(connection, size, now)
         self._after(now)
 
     def closed(self, connection: int, now: float) -> None:
-        """Hear that a downstream stream has ended."""
+        """Take it that a downstream stream has ended."""
         self.server.closed(connection, now)
         self._after(now)
 
@@ -156,12 +156,12 @@
         return min(self.follower.next_deadline(), self.server.next_deadline(), self._summary_at)
 
     def take_effects(self) -> list[RelayEffect]:
-        """Return what is to be done, once."""
+        """Return the effects since the last call."""
         effects, self._effects = self._effects, []
         return effects
 
     def _after(self, now: float) -> None:
-        """Carry what one side has done to the other."""
+        """Pass the effects of one side to the other."""
         for effect in self.follower.take_effects():
             if isinstance(effect, StateAdvanced):
                 self._advanced(effect, now)
@@ -178,7 +178,7 @@
         self.server.advanced(now)
 
     def _confirm(self, now: float) -> None:
-        """Hand on how old the state is; an empty state of a known generation is served as well."""
+        """Pass on how old the state is; an empty state of a known generation is served as well."""
         known = self.follower.staleness(now) < math.inf
         if known and self.server.generation == NO_GENERATION:
             self.server.reset(self.follower.generation, now)
--- a/merlinbay/control/fanout/replica.py
+++ b/merlinbay/control/fanout/replica.py
@@ -1,4 +1,4 @@
-"""What a follower holds: the state, the history that it belongs to, and how old it is."""
+"""A follower's state, its generation and its age."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     def __init__(self, generation: Generation, saved: StateSnapshot | None) -> None:
         self.generation = generation if saved else NO_GENERATION
         self.state = ReplicaState(saved)
-        self._current_at = -math.inf  # the state was known to be the latest then
+        self._current_at = -math.inf  # when the state was known to be the latest
 
     def acceptable(self, theirs: Generation) -> bool:
         """Return whether state of that generation may be taken: of the same one, or after a reset."""
         return theirs == self.generation or theirs.number > self.generation.number
 
     def join(self, theirs: Generation) -> None:
-        """Take part in a generation, if in none so far; a reset needs its snapshot first."""
+        """Adopt a generation if there is none so far; after a reset, its snapshot comes first."""
         if self.generation == NO_GENERATION:
             self.generation = theirs
 
     def confirm(self, theirs: Generation, revision: int, staleness_ms: int, now: float) -> None:
-        """Hear that ``revision`` was the latest so long ago."""
+        """Take it that ``revision`` was the latest ``staleness_ms`` ago."""
         if theirs == self.generation and self.state.revision >= revision:
             self._current_at = max(self._current_at, now - seconds(staleness_ms))
 
@@ -46,7 +46,7 @@
         return max(0.0, now - self._current_at)
 
     def take(self, theirs: Generation, whole: WholeMessage, now: float) -> StateAdvanced | None:
-        """Apply a delta or snapshot of a generation; return what it brought, None if nothing."""
+        """Apply a delta or snapshot of a generation; return the change, None if it has nothing new."""
         message = whole.last
         if isinstance(message, DeltaMessage):
             return self._delta(theirs, message, whole.entries, now)
--- a/merlinbay/control/fanout/simulate.py
+++ b/merlinbay/control/fanout/simulate.py
@@ -15,7 +15,7 @@
 from merlinbay.control.fanout.simulated_fleet import FRAME_HEADER_BYTES, FleetPlan, SimulatedFleet
 
 SETTLE_S = 30.0  # after the last start, after the last change, and after trouble
-POLL_INTERVAL_S = 0.25  # how often it is looked whether something has come about
+POLL_INTERVAL_S = 0.25  # between checks whether a condition holds
 CUT_REGION = "r2"  # has one voter of five
 DEAD_RELAY = "relay5"  # alone in its zone
 LOST_ZONE = "z5"
@@ -24,7 +24,7 @@
 
 
 class ChangeLoad(msgspec.Struct, frozen=True):
-    """The changes that are asked for, and how fast the followers start."""
+    """The rate of changes, and how fast the followers start."""
 
     rate: float = 1.0  # changes a second
     duration: float = 300.0
@@ -60,7 +60,7 @@
 
 
 class SimulatedRun(msgspec.Struct, frozen=True):
-    """What one run has shown."""
+    """The results of one run."""
 
     scenario: str
     followers: int
@@ -70,7 +70,7 @@
         PropagationTimes | None
     )  # at followers whose relay, zone, region or process was taken away
     started_after: float  # from the last start until every follower held a state
-    watched_after: float  # from the trouble, or its end, until every follower that is there held a watch
+    watched_after: float  # from the fault, or its end, until every running follower held a watch
     known_after: float  # from the last change until the voters' summaries said that it is in force everywhere
     most_watches: int  # at one relay at a time
     most_admissions: int  # new watches at one relay in one second, after the start
@@ -81,7 +81,7 @@
 
 
 def play(scenario: str, plan: FleetPlan, load: ChangeLoad, seed: int) -> SimulatedRun:
-    """Start a fleet, change keys, make the scenario's trouble half-way, and look at what came of it."""
+    """Start a fleet, change keys, inject the scenario's fault half-way, and measure."""
     fleet = SimulatedFleet(plan, seed)
     network = fleet.network
     for number in range(plan.followers):
@@ -121,7 +121,7 @@
     )
 
 
-# Troubles: each returns how long it took until all followers that are there held a watch again.
+# Faults: each returns how long it took until all running followers held a watch again.
 
 
 def quiet(fleet: SimulatedFleet, load: ChangeLoad) -> float:
@@ -132,14 +132,14 @@
 def relay_killed(fleet: SimulatedFleet, load: ChangeLoad) -> float:
     """End a relay's process: its streams are closed."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
-    fleet.stop(DEAD_RELAY, told=True)
+    fleet.stop(DEAD_RELAY, closes_streams=True)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
 def relay_lost(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """Lose a relay's machine: nobody is told."""
+    """Lose a relay's machine: no stream is closed."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
-    fleet.stop(DEAD_RELAY, told=False)
+    fleet.stop(DEAD_RELAY, closes_streams=False)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
@@ -148,7 +148,7 @@
     lost = [name for name, host in fleet.network.hosts.items() if host.location.zone == LOST_ZONE]
     fleet.disturb(lambda follower: follower.location.zone == LOST_ZONE)
     for name in lost:
-        fleet.stop(name, told=False)
+        fleet.stop(name, closes_streams=False)
     fleet.network.run(fleet.network.now + 60)
     fleet.start_relay(DEAD_RELAY)
     for name in lost:
@@ -199,7 +199,7 @@
 
 
 def _wait(fleet: SimulatedFleet, reached: Callable[[], bool], most: float = 300.0) -> float:
-    """Let time pass until something has come about; return how long it took, ``most`` if it has not."""
+    """Advance time until a condition holds; return how long it took, at most ``most``."""
     began = fleet.network.now
     while not reached() and fleet.network.now < began + most:
         fleet.network.run(fleet.network.now + POLL_INTERVAL_S)
@@ -221,7 +221,7 @@
 
 
 def _totals(fleet: SimulatedFleet) -> dict[str, list[TrafficTotals]]:
-    """Return the counts of every process by role; those that were started anew count from there."""
+    """Return the counters of every process by role; restarted processes count from zero."""
     return {
         "follower": [_counted(one.counters) for one in fleet.followers.values()],
         "relay": [_counted(one.follower.counters, one.server.counters) for one in fleet.relays.values()],
@@ -261,7 +261,7 @@
 
 
 def main() -> None:
-    """Play what the command line says, and print a line of JSON a run."""
+    """Run the scenarios of the command line; print a line of JSON for each."""
     parser = argparse.ArgumentParser(description="Simulated figures of the fan-out (virtual time).")
     parser.add_argument("--followers", type=int, default=250)
     parser.add_argument("--scenario", choices=SCENARIOS, action="append", help="may be given several times")
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What is played."""
+    """The size and settings of a simulated fleet."""
 
     followers: int = 250
     regions: int = 3
@@ -73,7 +73,7 @@
         self.network: FanoutNetwork[SimulatedMachine] = FanoutNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
-        self.asked_at: list[float] = []  # by revision: when the leader was asked for the change
+        self.proposed_at: list[float] = []  # by revision: when the change was proposed
         self.disturbed: set[str] = set()  # followers whose relay, zone, region or process was taken away
         self.measured = FleetMeasurements()
         self.voters = [self._voter(number) for number in range(plan.voters)]
@@ -112,18 +112,18 @@
         )
         self.followers[name] = follower
         self._seen[name] = 0
-        host = follower_machine(self.network, follower, self._heard)
+        host = follower_machine(self.network, follower, self._on_advance)
         follower.start(self.network.now)
         host.done()
 
     def restart_follower(self, number: int) -> None:
         """End a follower's process and start it anew."""
-        self.network.hosts[f"member{number}"].die(told=True)
+        self.network.hosts[f"member{number}"].die(closes_streams=True)
         self.start_follower(number)
 
-    def stop(self, name: str, told: bool = True) -> None:
-        """End a process: ``told`` where its machine goes on."""
-        self.network.hosts[name].die(told)
+    def stop(self, name: str, closes_streams: bool = True) -> None:
+        """End a process: ``closes_streams`` if its machine still runs."""
+        self.network.hosts[name].die(closes_streams)
 
     # The log.
 
@@ -138,7 +138,7 @@
         value = self.rng.randbytes(self.plan.value_bytes)
         deleted = len(self.log) >= self.plan.keys and self.rng.random() < 0.05
         self.log.append(KeyValue(f"team/{key}/limit", None if deleted else value, len(self.log) + 1))
-        self.asked_at.append(self.network.now)
+        self.proposed_at.append(self.network.now)
 
     def _spread(self, revision: int) -> None:
         """Let the leader apply the log and tell the other voters."""
@@ -165,7 +165,7 @@
 
     # What is measured.
 
-    def _heard(self, host: SimulatedMachine, effect: StateAdvanced) -> None:
+    def _on_advance(self, host: SimulatedMachine, effect: StateAdvanced) -> None:
         name, now = host.name, self.network.now
         if self.network.hosts[name] is not host:
             return
@@ -173,7 +173,7 @@
         if effect.revision <= seen:
             self.measured.broken.append(f"{name} went from {seen} to {effect.revision}")
         if seen:  # its first state is no measure of a change's time
-            times = [now - asked for asked in self.asked_at[seen : effect.revision]]
+            times = [now - proposed for proposed in self.proposed_at[seen : effect.revision]]
             if name in self.disturbed:
                 self.measured.times_disturbed += times
             else:
@@ -188,7 +188,7 @@
         self.network.at(self.network.now + 0.5, self._watch_over)
 
     def differing(self) -> list[str]:
-        """Return the followers that are there and hold another state than the log's."""
+        """Return the followers that run and hold another state than the log's."""
         state: dict[str, KeyValue] = {}
         for entry in self.log:
             if entry.value is None:
@@ -203,7 +203,7 @@
         ]
 
     def force_status(self, revision: int) -> ForceStatus:
-        """Return what the summaries at the voters say together."""
+        """Return the status from the summaries of all voters."""
         now = self.network.now
         summaries = [voter.server.summary(now) for voter in self.voters]
         return force_status(merge(summaries, 8, 16), revision, expected=len(self.followers))
@@ -213,11 +213,11 @@
         self.disturbed |= {name for name, follower in self.followers.items() if chosen(follower)}
 
     def alive(self) -> int:
-        """Return how many followers are there."""
+        """Return how many followers run."""
         return sum(self.network.hosts[name].alive for name in self.followers)
 
     def behind(self, revision: int) -> int:
-        """Return how many followers that are there lack ``revision``."""
+        """Return how many running followers lack ``revision``."""
         return sum(
             follower.revision < revision
             for name, follower in self.followers.items()
@@ -230,7 +230,7 @@
         return sum(upstream is not None and upstream.name == relay for upstream in upstreams)
 
     def without_watch(self) -> int:
-        """Return how many followers that are there hold no watch."""
+        """Return how many running followers hold no watch."""
         return sum(
             follower.upstream is None
             for name, follower in self.followers.items()
--- a/merlinbay/control/fanout/simulated_machine.py
+++ b/merlinbay/control/fanout/simulated_machine.py
@@ -90,12 +90,12 @@
         core: TimedCore,
         up: WatchingCore | None = None,
         down: ServingCore | None = None,
-        heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
+        on_advance: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
     ) -> None:
         self.network, self.name, self.location, self.core = network, name, location, core
         self.alive = True
         self.refuses = True  # after its end: connecting to it fails at once, since its system still runs
-        self._up, self._down, self._heard = up, down, heard
+        self._up, self._down, self._on_advance = up, down, on_advance
         self._attempts: dict[int, SimulatedStream] = {}  # own ones
         self._served: dict[int, SimulatedStream] = {}  # those of others, by number
         self._timer = math.inf
@@ -110,12 +110,12 @@
             self._timer = deadline
             self.network.at(max(deadline, self.network.now), lambda: self._wake(deadline))
 
-    def die(self, told: bool) -> None:
-        """End at once. ``told``: its system closes the streams; otherwise they stay silent."""
+    def die(self, closes_streams: bool) -> None:
+        """End at once. ``closes_streams``: its system closes the streams; otherwise they stay silent."""
         self.alive = False
-        self.refuses = told
+        self.refuses = closes_streams
         for stream in [*self._attempts.values(), *self._served.values()]:
-            if told:
+            if closes_streams:
                 self.network.at(self.network.now + stream.delay, lambda ended=stream: _hang_up(ended))  # type: ignore[misc]
 
     def _wake(self, timer: float) -> None:
@@ -139,8 +139,8 @@
             case CloseDownstream(connection, reason):
                 orderly = reason is not GoodbyeReason.SLOW  # what is queued to a slow client is lost
                 self._close(self._served.pop(connection, None), orderly)
-            case StateAdvanced() if self._heard is not None:
-                self._heard(self, effect)
+            case StateAdvanced() if self._on_advance is not None:
+                self._on_advance(self, effect)
 
     # Streams.
 
@@ -233,10 +233,12 @@
 def follower_machine(
     network: FanoutNetwork[SimulatedMachine],
     follower: Follower,
-    heard: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
+    on_advance: Callable[[SimulatedMachine, StateAdvanced], None] | None = None,
 ) -> SimulatedMachine:
     """Return a machine that runs a follower."""
-    return SimulatedMachine(network, follower.member, follower.location, follower, follower, heard=heard)
+    return SimulatedMachine(
+        network, follower.member, follower.location, follower, follower, on_advance=on_advance
+    )
 
 
 def relay_machine(network: FanoutNetwork[SimulatedMachine], relay: Relay) -> SimulatedMachine:
--- a/merlinbay/control/fanout/state.py
+++ b/merlinbay/control/fanout/state.py
@@ -9,7 +9,7 @@
 
 
 class RevisionGapError(Exception):
-    """A delta begins after the revision that is held: something between is missing."""
+    """A delta begins after the current revision: changes between are missing."""
 
 
 class InvalidEntriesError(Exception):
@@ -36,10 +36,10 @@
     def apply(
         self, after_revision: int, revision: int, entries: Sequence[WireEntry]
     ) -> list[KeyValue] | None:
-        """Apply a delta; return what it changed, or None where all of it was held already.
+        """Apply a delta; return what it changed, or None if it has nothing new.
 
-        A delta that begins below the held revision is taken from there on: it has the last state of each key,
-        and those with a later revision than the held one are just what changed since.
+        A delta that begins below the current revision is applied from there on: it has the last state of each
+        key, and those with a later revision are the changes since.
         """
         if after_revision > self.revision:
             raise RevisionGapError(f"delta after {after_revision}, held {self.revision}")
@@ -61,7 +61,7 @@
         return changed
 
     def replace(self, revision: int, entries: Iterable[WireEntry]) -> None:
-        """Take a whole state in place of the held one."""
+        """Replace the whole state."""
         values = {}
         for entry in entries:
             if entry.value is None or entry.revision > revision:
--- a/merlinbay/control/fanout/status.py
+++ b/merlinbay/control/fanout/status.py
@@ -1,4 +1,4 @@
-"""How far a revision is in force: summaries of watches are merged upwards and read at the top."""
+"""At how many followers a revision is in force, from summaries that are merged upwards."""
 
 from __future__ import annotations
 
--- a/merlinbay/control/fanout/store.py
+++ b/merlinbay/control/fanout/store.py
@@ -1,4 +1,4 @@
-"""What a server of watches needs of the state that it serves."""
+"""The interface of the state that a watch server serves."""
 
 from __future__ import annotations
 
--- a/merlinbay/control/fanout/upstream_selection.py
+++ b/merlinbay/control/fanout/upstream_selection.py
@@ -1,4 +1,4 @@
-"""Which upstream a follower tries next, and when."""
+"""Chooses the upstream that a follower tries next."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class UpstreamSelector:
-    """The upstreams in order of preference, with what failed of late."""
+    """The upstreams in order of preference, with their recent failures."""
 
     __slots__ = ("_blocked", "_failures", "_hinted", "_rng", "_settings", "ordered")
 
@@ -18,8 +18,8 @@
         self._settings, self._rng = settings, rng
         self.ordered: tuple[Upstream, ...] = ()
         self._failures: dict[str, int] = {}  # since the last watch that was accepted
-        self._blocked: dict[str, float] = {}  # a server asked not to come back before
-        self._hinted: frozenset[str] = frozenset()  # a server named these
+        self._blocked: dict[str, float] = {}  # by name: not to be tried before, as its server asked
+        self._hinted: frozenset[str] = frozenset()  # named by a server as alternatives
 
     def set(self, member: str, location: Location, upstreams: Iterable[Upstream]) -> None:
         """Take a new list."""
@@ -37,7 +37,7 @@
         self._failures[upstream.name] = self._failures.get(upstream.name, 0) + 1
 
     def busy(self, upstream: Upstream, until: float, hinted: Iterable[str]) -> None:
-        """Don't try it before ``until``, and those that it named first."""
+        """Do not try it before ``until``; prefer those that it named."""
         self._blocked[upstream.name] = until
         self._hinted = frozenset(hinted)
 
@@ -54,7 +54,7 @@
         return longest * self._rng.uniform(0.25, 1.0)
 
     def choose(self, now: float, below: int, other_than: Upstream | None = None) -> Upstream | None:
-        """Return whom to try among the first ``below`` of the order, None if all asked for time."""
+        """Return the upstream to try among the first ``below``; None if all are blocked."""
         able = [
             one
             for one in self.ordered[:below]
@@ -65,7 +65,7 @@
         return min(able, key=self._preference)
 
     def free_at(self, now: float) -> float:
-        """Return when the first one may be tried that asked for time."""
+        """Return when the first blocked upstream may be tried."""
         return min((self._blocked.get(one.name, now) for one in self.ordered), default=now)
 
     def _preference(self, upstream: Upstream) -> tuple[int, bool]:
--- a/merlinbay/control/fanout/watch_attempt.py
+++ b/merlinbay/control/fanout/watch_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a follower to watch an upstream, from the wish to connect to the end of its stream."""
+"""One attempt of a follower to watch an upstream, until the end of its stream."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     def __init__(self, attempt: int, upstream: Upstream, deadline: float, max_bytes: int) -> None:
         self.attempt, self.upstream = attempt, upstream
-        self.deadline = deadline  # it is given up then, unless something comes before
+        self.deadline = deadline  # when it is abandoned, unless a message comes before
         self.open = False
-        self.stale = False  # its upstream's data were older than the limit when it last said
+        self.stale = False  # its upstream last reported data older than the limit
         self.generation = NO_GENERATION  # set with Accepted
         self.assembly = MessageAssembly(max_bytes)
--- a/merlinbay/control/simulation/checker.py
+++ b/merlinbay/control/simulation/checker.py
@@ -209,7 +209,7 @@
     for operation in history.operations:
         change = operation.change
         # An open change that every attempt rejected, or that reached no voter, has no effect: another check.
-        if operation.complete or change is None or change.change_id in uncertain:
+        if operation.is_complete or change is None or change.change_id in uncertain:
             by_key[operation.key].append(operation)
     for key, operations in by_key.items():
         verdict = check_key(operations)
@@ -238,7 +238,7 @@
         if not final.admitted:
             yield f"{final.voter} has no vote at the end"
     last = [one for one in history.operations if one.client == "final"]
-    if not all(one.complete for one in last):
+    if not all(one.is_complete for one in last):
         yield "the log takes no changes or reads after the faults"
 
 
--- a/merlinbay/control/simulation/client.py
+++ b/merlinbay/control/simulation/client.py
@@ -1,4 +1,4 @@
-"""A simulated client: changes and linearizable reads, repeated elsewhere while their outcome is not known."""
+"""A simulated client: changes and linearizable reads, repeated until their outcome is known."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from merlinbay.control.simulation.scenario import KEYS
 from merlinbay.control.simulation.scheduler import Scheduler
 
-ANSWER_WITHIN = 1.5  # seconds until a request is repeated at another voter
-RETRY_AFTER = 0.1  # seconds after a rejection that a repeat may turn round
-MOST_ATTEMPTS = 10
-REPEATS = 0.15  # share of operations that repeat an old, acknowledged change
+ANSWER_TIMEOUT_S = 1.5  # until a request is repeated at another voter
+RETRY_AFTER_S = 0.1  # after a rejection that is not final
+MAX_ATTEMPTS = 10
+REPEAT_SHARE = 0.15  # of the operations repeat an acknowledged change
 FINAL_REASONS = ("conflict", "invalid")
 
 Answer = ProposalDone | ReadDone
@@ -24,7 +24,7 @@
 
 
 class ClientEnvironment(Protocol):
-    """What a client needs of the world."""
+    """What a client needs of the simulation."""
 
     scheduler: Scheduler
     history: History
@@ -36,12 +36,12 @@
         """Send a read to a voter."""
 
     def trace(self, text: str) -> None:
-        """Note what happens."""
+        """Add a line to the trace."""
 
 
 @dataclass(frozen=True)
 class Acknowledged:
-    """A change of the past, and the voter-given revision that every repeat has to get again."""
+    """An acknowledged change, with the revision that every repeat has to return."""
 
     change: Change
     revision: int
@@ -53,7 +53,7 @@
     def __init__(
         self, name: str, world: ClientEnvironment, random: Random, voters: tuple[str, ...], think_time: float
     ) -> None:
-        """Be ready; ``start`` begins."""
+        """Create the client; ``start`` begins."""
         self.name = name
         self.world = world
         self.random = random
@@ -93,7 +93,7 @@
         self.repeating = None
         key = self.random.choice(KEYS)
         now = self.world.scheduler.time
-        if self.acknowledged and self.random.random() < REPEATS:
+        if self.acknowledged and self.random.random() < REPEAT_SHARE:
             self._repeat()
         elif self.random.random() < 0.4:
             self.begin(Operation(self.name, OperationKind.READ, key, now))
@@ -110,14 +110,14 @@
         return Change(change_id, key, value, expected)
 
     def _repeat(self) -> None:
-        """Send an old change again, as after an answer that was lost."""
+        """Repeat an acknowledged change, as after a lost answer."""
         self.repeating = self.random.choice(self.acknowledged)
         self.operation = None
         self.attempts = 0
         self._try()
 
     def _try(self) -> None:
-        if self.attempts >= MOST_ATTEMPTS or (self.stopped and self.name != "final"):
+        if self.attempts >= MAX_ATTEMPTS or (self.stopped and self.name != "final"):
             self._finish()
             return
         self.attempts += 1
@@ -131,14 +131,14 @@
         elif self.operation is not None:
             key = self.operation.key
             self.world.request_read(self.name, self.voter, key, lambda got: self._take(request, got))
-        self.world.scheduler.after(ANSWER_WITHIN, lambda: self._late(request))
+        self.world.scheduler.after(ANSWER_TIMEOUT_S, lambda: self._late(request))
 
     def _late(self, request: int) -> None:
         if request == self.request:
-            self._elsewhere("")
+            self._choose_voter("")
             self._try()
 
-    def _elsewhere(self, hint: str) -> None:
+    def _choose_voter(self, hint: str) -> None:
         others = [name for name in self.voters if name != self.voter]
         follows = hint in self.voters and self.random.random() < 0.9
         self.voter = hint if follows else self.random.choice(others)
@@ -180,8 +180,8 @@
         self._finish()
 
     def _retry(self, leader: str) -> None:
-        self._elsewhere(leader)
-        self.world.scheduler.after(RETRY_AFTER * (0.5 + self.random.random()), self._try)
+        self._choose_voter(leader)
+        self.world.scheduler.after(RETRY_AFTER_S * (0.5 + self.random.random()), self._try)
 
     def _finish(self) -> None:
         self.request += 1
@@ -202,7 +202,9 @@
     start = f"{operation.client} from {operation.invoked:.3f} {operation.key}"
     if change is None:
         seen = operation.value
-        outcome = "open" if not operation.complete else f"{seen.value!r}@{seen.revision}" if seen else "none"
+        outcome = (
+            "open" if not operation.is_complete else f"{seen.value!r}@{seen.revision}" if seen else "none"
+        )
         return f"{start} read: {outcome}"
     compared = "" if change.expected_revision is None else f" expecting {change.expected_revision}"
     match operation.result:
--- a/merlinbay/control/simulation/fault_types.py
+++ b/merlinbay/control/simulation/fault_types.py
@@ -89,7 +89,7 @@
 class MoveVoter:
     """Ask the leader for changes of one voter each, the next one when the last is answered.
 
-    What is changed is chosen by the voters of that moment.
+    The voters to change depend on the configuration at that moment.
     """
 
     at: float
--- a/merlinbay/control/simulation/follower.py
+++ b/merlinbay/control/simulation/follower.py
@@ -13,22 +13,22 @@
 from merlinbay.control.simulation.history import AppliedSeen, History, StateSeen
 from merlinbay.control.simulation.scheduler import Scheduler
 
-POLL_EVERY = 0.3  # seconds, mean
-MOVES = 0.1  # share of the polls after which the follower goes to another voter
+POLL_INTERVAL_S = 0.3  # mean
+MOVE_SHARE = 0.1  # of the polls go to another voter
 
 StateUpdate = Delta | StateSnapshot
 
 
 class FollowerEnvironment(Protocol):
-    """What a follower needs of the world."""
+    """What a follower needs of the simulation."""
 
     scheduler: Scheduler
     history: History
 
-    def request_news(
+    def request_update(
         self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
-        """Ask a voter for what came after a revision; not answered where it has nothing newer."""
+        """Ask a voter for the changes after a revision; it does not answer if it has none."""
 
 
 def state_digest(entries: Iterable[KeyValue]) -> bytes:
@@ -41,7 +41,7 @@
 
 
 class SimulatedFollower:
-    """Keeps a copy of all keys; an answer to the last request is taken as it is, so that faults show."""
+    """Keeps a copy of all keys; the answer to the last request is applied unchecked, so that faults show."""
 
     def __init__(
         self, name: str, world: FollowerEnvironment, random: Random, voters: tuple[str, ...]
@@ -58,25 +58,27 @@
         self.snapshots = 0
 
     def poll(self) -> None:
-        """Ask for news, and do so again and again."""
+        """Ask for changes, now and periodically."""
         self.request += 1
         request = self.request
-        if self.random.random() < MOVES:
+        if self.random.random() < MOVE_SHARE:
             self.voter = self.random.choice(self.voters)
-        self.world.request_news(self.name, self.voter, self.revision, lambda news: self._take(request, news))
-        self.world.scheduler.after(POLL_EVERY * (0.5 + self.random.random()), self.poll)
+        self.world.request_update(
+            self.name, self.voter, self.revision, lambda update: self._take(request, update)
+        )
+        self.world.scheduler.after(POLL_INTERVAL_S * (0.5 + self.random.random()), self.poll)
 
-    def _take(self, request: int, news: StateUpdate) -> None:
+    def _take(self, request: int, update: StateUpdate) -> None:
         if request != self.request:
             return  # late, or a second copy
         self.request += 1
-        if isinstance(news, StateSnapshot):
+        if isinstance(update, StateSnapshot):
             self.snapshots += 1
             self.entries = {}
-        self.entries |= {entry.key: entry for entry in news.entries}
-        self.revision = news.revision
+        self.entries |= {entry.key: entry for entry in update.entries}
+        self.revision = update.revision
         history, time = self.world.history, self.world.scheduler.time
         history.followers.append(
             StateSeen(time, self.name, self.revision, state_digest(self.entries.values()))
         )
-        history.applied += [AppliedSeen(time, self.name, entry) for entry in news.entries]
+        history.applied += [AppliedSeen(time, self.name, entry) for entry in update.entries]
--- a/merlinbay/control/simulation/history.py
+++ b/merlinbay/control/simulation/history.py
@@ -1,7 +1,7 @@
-"""What a run of the simulation records: the operations of clients, and what voters and followers showed.
+"""The history of a run: the operations of clients, and the observed states of voters and followers.
 
-A history is plain data. The checks in ``checker`` judge it afterwards and know nothing of how it came about,
-so that tests can hand them histories made by hand.
+A history is plain data. The checks in ``checker`` judge it afterwards and know nothing of the simulation,
+so that tests can check histories made by hand.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class OperationKind(Enum):
-    """What a client asked for."""
+    """The kind of a client's operation."""
 
     CHANGE = "change"
     READ = "read"
@@ -38,14 +38,14 @@
     value: KeyValue | None = None  # of a read
 
     @property
-    def complete(self) -> bool:
-        """Whether the client knows the outcome."""
+    def is_complete(self) -> bool:
+        """Return whether the client knows the outcome."""
         return self.returned < math.inf
 
 
 @dataclass
 class ProposalAttempt:
-    """One change handed to one voter; ``result`` stays None where the voter stopped before it answered."""
+    """One change passed to one voter; ``result`` stays None if the voter stopped before its answer."""
 
     time: float
     voter: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class LeaderSeen:
-    """A voter that takes itself for the leader of a term, and the end of its log at that moment."""
+    """A voter that leads a term by its own account, and the last index of its log at that moment."""
 
     time: float
     voter: str
@@ -78,7 +78,7 @@
 class EntrySeen:
     """An entry in a voter's log. ``content`` identifies the payload.
 
-    ``voter_term`` is the voter's term: what it takes for committed was committed in that term or before.
+    ``voter_term`` is the voter's term: its committed entries were committed in that term or before.
     """
 
     time: float
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class FinalState:
-    """What a voter ends with, after all faults are over and some quiet time has passed."""
+    """The state of a voter at the end of the run."""
 
     voter: str
     revision: int
--- a/merlinbay/control/simulation/linearizability.py
+++ b/merlinbay/control/simulation/linearizability.py
@@ -84,10 +84,10 @@
 def check_key(operations: list[Operation], most: int = MOST_CONFIGURATIONS) -> Verdict:
     """Search an order of one key's operations that explains all outcomes."""
     ordered = sorted(
-        (one for one in operations if one.complete or one.kind is OperationKind.CHANGE),
+        (one for one in operations if one.is_complete or one.kind is OperationKind.CHANGE),
         key=lambda one: one.invoked,
     )
-    must = sum(1 << number for number, one in enumerate(ordered) if one.complete)
+    must = sum(1 << number for number, one in enumerate(ordered) if one.is_complete)
     stack = [(0, Register())]
     visited: set[tuple[int, Register]] = set(stack)
     while stack:
--- a/merlinbay/control/simulation/machine.py
+++ b/merlinbay/control/simulation/machine.py
@@ -1,4 +1,4 @@
-"""What a simulated voter runs on: a clock that is wrong, and a disk that may lose or refuse records."""
+"""The clock and disk of a simulated voter: the clock is wrong, the disk may be full or lost."""
 
 from __future__ import annotations
 
--- a/merlinbay/control/simulation/observer.py
+++ b/merlinbay/control/simulation/observer.py
@@ -1,4 +1,4 @@
-"""Looks into voters between their calls, and records what changed for the checks."""
+"""Observes voters between their calls, and records changes for the checks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class ObservedStart:
-    """What was last seen of one start of one voter."""
+    """The last observation of one start of one voter."""
 
     voter: VoterPort
     revision: int = 0
@@ -32,17 +32,17 @@
 
 
 class Observer:
-    """Keeps what was seen of each voter, so that only news are recorded."""
+    """Remembers the last observation of each voter, so that only changes are recorded."""
 
     def __init__(self, core: CoreUnderTest, history: History) -> None:
-        """Start with nothing seen."""
+        """Start without observations."""
         self.core = core
         self.history = history
         self.seen: dict[str, ObservedStart] = {}
         self.led: set[tuple[str, int]] = set()
 
     def observe(self, host: SimulatedProcess, time: float) -> str:
-        """Record what is new at a voter; return a line for the trace where it began to lead."""
+        """Record the changes at a voter; return a line for the trace if it began to lead."""
         voter = host.voter
         assert voter is not None
         seen = self.seen.get(host.name)
@@ -100,7 +100,7 @@
         seen.committed = max(seen.committed, extent.commit_index)
 
     def finish(self, hosts: list[SimulatedProcess]) -> None:
-        """Record what voters end with."""
+        """Record the final state of voters."""
         self.history.expected_finals = len(hosts)
         for host in hosts:
             if host.voter is not None:
--- a/merlinbay/control/simulation/ports.py
+++ b/merlinbay/control/simulation/ports.py
@@ -1,4 +1,4 @@
-"""What the simulation needs of the consensus core, so that a stand-in can take its place in tests."""
+"""The interface of the simulation to the consensus core, so that tests can use a stand-in."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         """Return the revision of the last change applied."""
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after a revision, or None where that was compacted."""
+        """Return what changed after a revision, or None if they were compacted."""
 
 
 class VoterPort(Protocol):
@@ -51,7 +51,7 @@
         """Hand the leadership to another voter."""
 
     def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
-        """Give up: a record could not be made durable; the effects from it on are dropped."""
+        """Stop taking part: a record could not be stored; the effects from it on are dropped."""
 
     def take_effects(self) -> list[VoterEffect]:
         """Return the effects since the last call."""
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class LogExtent:
-    """How far a voter's log goes, and how far it is committed."""
+    """The last entry and the commit index of a voter's log."""
 
     last_index: int
     last_term: int
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True)
 class LogView:
-    """A voter's log from ``first_index`` on; what is before was compacted into a snapshot."""
+    """A voter's log from ``first_index`` on; earlier entries are compacted."""
 
     term: int  # of the voter
     first_index: int
-    state_digest: str  # of all that is applied up to the commit index, ids of changes included
+    state_digest: str  # of the applied state, ids of changes included
     previous_term: int | None  # of the entry before the first one
     entries: tuple[ObservedEntry, ...]
 
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True)
 class VoterStart:
-    """What a voter is started with."""
+    """The arguments of a voter's start."""
 
     name: str
     first_voters: tuple[str, ...]  # the voters of the first configuration
@@ -112,9 +112,9 @@
 
     start: Callable[[VoterStart], VoterPort]
     snapshot: Callable[[VoterPort], StateSnapshot]
-    leading_term: Callable[[VoterPort], int | None]  # the term that the voter takes itself for the leader of
-    voters: Callable[[VoterPort], frozenset[str]]  # the configuration that the voter goes by
+    leading_term: Callable[[VoterPort], int | None]  # the term that the voter leads by its own account
+    voters: Callable[[VoterPort], frozenset[str]]  # of the voter's configuration
     admitted: Callable[[VoterPort], bool]  # whether its vote counts, with the disk that it has
-    extent: Callable[[VoterPort], LogExtent | None]  # None: it shows no log
+    extent: Callable[[VoterPort], LogExtent | None]  # None: it has no observable log
     log: Callable[[VoterPort, int], LogView]  # from an index on
-    vote: Callable[[str, bytes], ObservedVote | None]  # what a message of a sender says, if it is a vote
+    vote: Callable[[str, bytes], ObservedVote | None]  # the vote in a message of a sender, if it is one
--- a/merlinbay/control/simulation/process.py
+++ b/merlinbay/control/simulation/process.py
@@ -140,7 +140,7 @@
             self._work()
 
     def give(self, call: VoterInput) -> None:
-        """Hand an input to the process, or lose it where the process is down."""
+        """Pass an input to the process; it is lost if the process is down."""
         if self.voter is not None:
             self.inputs.append(call)
             self._work()
@@ -172,7 +172,7 @@
         self.give(opened)
 
     def _work(self) -> None:
-        """Carry out the effects left, then handle inputs, as far as the process comes now."""
+        """Carry out the remaining effects, then handle inputs, until the process has to wait."""
         if self.working:
             return
         self.working = True
@@ -253,7 +253,7 @@
         self._work()
 
     def _storage_failed(self) -> None:
-        """Answer what is still open, then end the process."""
+        """Answer the open requests, then end the process."""
         dropped = tuple(self.effects)
         self.effects.clear()
         self.syncing = False
--- a/merlinbay/control/simulation/scenario.py
+++ b/merlinbay/control/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What a run plays: places, delays, clients and faults, all drawn from the seed."""
+"""The scenario of a run: regions, delays, clients and faults, all drawn from the seed."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """All that a run is determined by, besides the code under test."""
+    """The input of a run beside the code under test."""
 
     seed: int
     duration: float  # seconds with clients and faults
-    quiet: float  # seconds without, before the end is judged
+    quiet: float  # seconds without, before the final state is checked
     regions: dict[str, str]  # of every place
     voters: tuple[str, ...]  # the first ones
     spares: tuple[str, ...]
--- a/merlinbay/control/simulation/shrink.py
+++ b/merlinbay/control/simulation/shrink.py
@@ -8,7 +8,7 @@
 from merlinbay.control.simulation.scenario import Scenario
 from merlinbay.control.simulation.simulation import SimulationRun
 
-MOST_RUNS = 200
+MAX_RUNS = 200
 
 
 def _smaller(scenario: Scenario) -> Iterator[Scenario]:
@@ -27,11 +27,11 @@
 
 
 def shrink(
-    run: SimulationRun, play: Callable[[Scenario], SimulationRun], most_runs: int = MOST_RUNS
+    run: SimulationRun, play: Callable[[Scenario], SimulationRun], max_runs: int = MAX_RUNS
 ) -> SimulationRun:
     """Return the smallest run found that breaks the check that the given one broke first."""
     wanted = run.violations[0].check
-    left = most_runs
+    left = max_runs
     progress = True
     while progress and left > 0:
         progress = False
--- a/merlinbay/control/simulation/simulation.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One run: voters, clients and followers in virtual time, from a scenario to a history."""
+"""One simulation run: voters, clients and followers in virtual time, from a scenario to a history."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from merlinbay.control.simulation.scenario import KEYS, Scenario
 from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
-FINAL = "final"  # the client that asks after the faults are over
-FINAL_EVERY = 6.0  # seconds for a change and a read; a spare knows no leader, so some tries go astray
-NEXT_MOVE_AFTER = 0.02  # seconds from the answer to a change of voters to the next one
-MOST_STEPS = 3000  # calls a second of virtual time; a sound run has some 150
+FINAL = "final"  # the client that checks every key after the faults are over
+FINAL_INTERVAL_S = 6.0  # for a change and a read; a spare knows no leader, so some attempts fail
+NEXT_MOVE_AFTER_S = 0.02  # from the answer to a change of voters to the next one
+MAX_STEPS_PER_S = 3000  # of virtual time; a correct run has some 150
 
 
 @dataclass(frozen=True)
 class SimulationRun:
-    """What came out of a run. ``fingerprint`` is equal for two runs that went the same way."""
+    """The result of a run. ``fingerprint`` is equal for two runs that went the same way."""
 
     scenario: Scenario
     history: History
@@ -43,13 +43,13 @@
 
 
 class Simulation:
-    """All that a run consists of."""
+    """The parts of one run."""
 
     def __init__(self, scenario: Scenario, core: CoreUnderTest) -> None:
-        """Set everything up; ``run`` plays it."""
+        """Create all parts; ``run`` plays the scenario."""
         self.scenario = scenario
         self.core = core
-        self.scheduler = Scheduler(int(MOST_STEPS * (scenario.duration + scenario.quiet)))
+        self.scheduler = Scheduler(int(MAX_STEPS_PER_S * (scenario.duration + scenario.quiet)))
         self.history = History()
         self.lines: list[str] = []
         self.tokens = itertools.count(1)
@@ -59,7 +59,7 @@
         self.hosts = {name: self._host(name) for name in scenario.machines}
         think = scenario.think_time
         self.clients = [self._client(name, think) for name in scenario.clients]
-        self.final = self._client(FINAL, FINAL_EVERY)
+        self.final = self._client(FINAL, FINAL_INTERVAL_S)
         self.followers = [
             SimulatedFollower(name, self, self._random(name), scenario.voters) for name in scenario.followers
         ]
@@ -94,7 +94,7 @@
         return self.history
 
     def _run(self) -> None:
-        """Play the scenario, end the faults, and let the voters come to rest."""
+        """Play the scenario, end the faults, and let the voters settle."""
         scenario = self.scenario
         for host in self.hosts.values():
             host.start()
@@ -108,18 +108,20 @@
         for client in self.clients:
             client.stop()
         self.scheduler.run_until(scenario.duration + scenario.quiet / 2)
-        self._ask_finally()
+        self._check_keys_finally()
         self.scheduler.run_until(scenario.duration + scenario.quiet)
         leader = self.leader()
         names = self.core.voters(leader.voter) if leader is not None and leader.voter else scenario.voters
         self.observer.finish([self.hosts[name] for name in sorted(names)])
 
-    def _ask_finally(self) -> None:
-        """Write and read every key, one after the other, with a client that does not give up at a stop."""
+    def _check_keys_finally(self) -> None:
+        """Write and read every key with a client that goes on after its stop."""
         self.final.stop()
         for number, key in enumerate(KEYS):
-            self._finally(number * FINAL_EVERY, key, Change(f"{FINAL}/{key}", key, f"{FINAL}/{key}".encode()))
-            self._finally((number + 0.5) * FINAL_EVERY, key, None)
+            self._finally(
+                number * FINAL_INTERVAL_S, key, Change(f"{FINAL}/{key}", key, f"{FINAL}/{key}".encode())
+            )
+            self._finally((number + 0.5) * FINAL_INTERVAL_S, key, None)
 
     def _finally(self, after: float, key: str, change: Change | None) -> None:
         kind = OperationKind.READ if change is None else OperationKind.CHANGE
@@ -150,7 +152,7 @@
 
         def answered(done: ProposalDone | ReadDone) -> None:
             self.trace(f"change of voters: {done}")
-            self.scheduler.after(NEXT_MOVE_AFTER, partial(self.move_voters, choices[1:]))
+            self.scheduler.after(NEXT_MOVE_AFTER_S, partial(self.move_voters, choices[1:]))
 
         leader.change_voters(add, remove, next(self.tokens), answered)
 
@@ -195,17 +197,17 @@
         for delay in self.network.arrivals(voter, client):
             self.scheduler.after(delay, partial(on_answer, answer))
 
-    def request_news(
+    def request_update(
         self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
-        """Ask a voter for what came after a revision; one that has nothing newer does not answer."""
+        """Ask a voter for the changes after a revision; it does not answer if it has none."""
 
         def call(running: VoterPort, now: float) -> None:
             if running.keyspace.revision <= revision:
                 return
-            news = running.keyspace.delta_after(revision) or self.core.snapshot(running)
+            update = running.keyspace.delta_after(revision) or self.core.snapshot(running)
             for delay in self.network.arrivals(voter, follower):
-                self.scheduler.after(delay, lambda: on_answer(news))
+                self.scheduler.after(delay, lambda: on_answer(update))
 
         for delay in self.network.arrivals(follower, voter):
             self.scheduler.after(delay, lambda: self.hosts[voter].give(call))
@@ -226,7 +228,7 @@
         self.history.failures.append(f"{host.name} at {self.scheduler.time:.3f}: {problem}")
 
     def trace(self, text: str) -> None:
-        """Note what happens."""
+        """Add a line to the trace."""
         self.lines.append(f"{self.scheduler.time:9.3f} {text}")
 
 
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -339,7 +339,7 @@
     scenario = draw(seed)
     one, other = (play(scenario, stand_in(scenario.voters)) for _ in range(2))
     assert one.violations == [] and one.fingerprint == other.fingerprint
-    assert sum(operation.complete for operation in one.history.operations) > 50
+    assert sum(operation.is_complete for operation in one.history.operations) > 50
 
 
 @pytest.mark.parametrize("seed", range(16))
@@ -396,7 +396,7 @@
 
     scenario = replace(draw(3), quiet=10.0, duration=20.0)
     run = broken(scenario)
-    smaller = shrink(run, broken, most_runs=12)
+    smaller = shrink(run, broken, max_runs=12)
     assert smaller.violations and len(smaller.scenario.faults) < len(scenario.faults)
 
 
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -1016,7 +1016,7 @@
         if what in ("change", "burst"):
             fleet.change(1 + 3 * which if what == "burst" else 1)
         elif what in ("kill", "lose") and alive:
-            fleet.stop(relay, told=what == "kill")
+            fleet.stop(relay, closes_streams=what == "kill")
         elif what == "revive" and not alive:
             fleet.start_relay(relay)
         elif what == "cut":
