--- a/merlinbay/cli/control.py
+++ b/merlinbay/cli/control.py
@@ -16,95 +16,97 @@
 if TYPE_CHECKING:
     import httpx
 
-FIRST_PAUSE_S, MOST_PAUSE_S = 0.1, 1.0  # between attempts of one call
-ANSWER_S = 5.0  # for one attempt: longer than a voter keeps a proposal undecided
-STATUS_S = 2.0  # for the status of one of many machines
-WATCH_S = 30.0  # for a watch, which a voter answers after 20 s at the latest
-VOTERS_S = 90.0  # for a change of voters, whose new one catches up first
+FIRST_PAUSE_S, LONGEST_PAUSE_S = 0.1, 1.0  # between attempts of one call
+ANSWER_TIMEOUT_S = 5.0  # for one attempt: longer than a voter keeps a proposal undecided
+STATUS_TIMEOUT_S = 2.0  # for the status of one of many machines
+WATCH_TIMEOUT_S = 30.0  # for a watch, which a voter answers after 20 s at the latest
+VOTERS_TIMEOUT_S = 90.0  # for a change of voters, whose new one catches up first
 NO_ANSWER = 599  # in place of a status
 EXITS = {"conflict": WRONG_STATE, "invalid": OTHER}
 CONFIG = click.option("--config", required=True, type=click.Path(dir_okay=False), help="The process's file.")
 JSON_FLAG = click.option("--json", "as_json", is_flag=True, help="Print the answer as it came.")
 
 
-class NotDone(click.ClickException):
-    """A call came to nothing within its time."""
+class CallFailedError(click.ClickException):
+    """A call did not succeed within its time."""
 
     def show(self, file: Any = None) -> None:
-        """Say it in one line."""
+        """Print one line."""
         click.echo(f"merlinbay: {self.message}", err=True)
 
 
-class NotTaken(NotDone):
-    """No majority, or too much at once."""
+class CallRejectedError(CallFailedError):
+    """Rejected for now: no majority, or overloaded."""
 
     exit_code = TRY_LATER
 
 
-class NobodyAnswered(NotDone):
+class NoAnswerError(CallFailedError):
     """No machine could be reached."""
 
     exit_code = UNREACHABLE
 
 
-class PerhapsDone(NotDone):
-    """It may have been carried out all the same."""
+class OutcomeUnknownError(CallFailedError):
+    """The call may have been carried out."""
 
     exit_code = TIMED_OUT
 
 
 @dataclass(frozen=True)
-class Attempt:
-    """What one call of one machine came to."""
+class CallAnswer:
+    """The answer of one machine to one call."""
 
     status: int  # of HTTP; NO_ANSWER
     value: dict[str, Any]
-    unknown: bool = False  # it was sent, and nobody says what became of it
+    is_unknown: bool = False  # the call was sent, and its outcome is not known
 
 
 @dataclass(frozen=True)
-class Machines:
-    """The control machines that are asked, and for how long a call is tried."""
+class ControlMachines:
+    """The control machines to call, and for how many seconds a call is tried."""
 
     addresses: tuple[str, ...]
     timeout: float
 
-    def call(self, method: str, path: str, body: object = None, answer_s: float = ANSWER_S) -> Any:
-        """Make one call at the first machine that can answer; raise ``NotDone`` where none can.
+    def call(
+        self, method: str, path: str, body: object = None, answer_timeout_s: float = ANSWER_TIMEOUT_S
+    ) -> Any:
+        """Make one call at the first machine that can answer; raise ``CallFailedError`` if none can.
 
         It is repeated at the next machine after a failure that may pass. Changes carry an id, so that a
         repeat of one that was applied has no further effect.
         """
-        deadline, pause, tried, unknown = time.monotonic() + self.timeout, FIRST_PAUSE_S, 0, False
+        deadline, pause, tried, is_unknown = time.monotonic() + self.timeout, FIRST_PAUSE_S, 0, False
         while True:
             address = self.addresses[tried % len(self.addresses)]
-            attempt = _attempt(address, method, path, body, answer_s)
-            if attempt.status < 400:
-                return attempt.value
-            if not attempt.value.get("retry"):
-                _end(attempt)
-            tried, unknown = tried + 1, unknown or attempt.unknown
+            answer = _call_once(address, method, path, body, answer_timeout_s)
+            if answer.status < 400:
+                return answer.value
+            if not answer.value.get("retry"):
+                _exit_failed(answer)
+            tried, is_unknown = tried + 1, is_unknown or answer.is_unknown
             if time.monotonic() + pause >= deadline:
-                text = f"not done within {self.timeout:g} s: {attempt.value['error']}"
-                if unknown:
-                    raise PerhapsDone(text)
-                raise NobodyAnswered(text) if attempt.status == NO_ANSWER else NotTaken(text)
+                text = f"not done within {self.timeout:g} s: {answer.value['error']}"
+                if is_unknown:
+                    raise OutcomeUnknownError(text)
+                raise NoAnswerError(text) if answer.status == NO_ANSWER else CallRejectedError(text)
             time.sleep(pause)
-            pause = min(pause * 2, MOST_PAUSE_S)
+            pause = min(pause * 2, LONGEST_PAUSE_S)
 
 
-def _attempt(address: str, method: str, path: str, body: object, answer_s: float) -> Attempt:
+def _call_once(address: str, method: str, path: str, body: object, answer_timeout_s: float) -> CallAnswer:
     import httpx
 
     try:
-        with httpx.Client(timeout=answer_s, follow_redirects=True, trust_env=False) as client:
+        with httpx.Client(timeout=answer_timeout_s, follow_redirects=True, trust_env=False) as client:
             found = client.request(method, f"http://{address}/control/{path}", json=body)
             value = _object(found)
     except (httpx.HTTPError, ValueError) as error:
         problem = {"error": f"cannot reach {address}: {error}", "retry": True}
         unsent = isinstance(error, httpx.ConnectError | httpx.ConnectTimeout)
-        return Attempt(NO_ANSWER, problem, unknown=not unsent)
-    return Attempt(found.status_code, value, unknown=value.get("reason") == "uncertain")
+        return CallAnswer(NO_ANSWER, problem, is_unknown=not unsent)
+    return CallAnswer(found.status_code, value, is_unknown=value.get("reason") == "uncertain")
 
 
 def _object(found: httpx.Response) -> dict[str, Any]:
@@ -114,9 +116,9 @@
     return value
 
 
-def _end(attempt: Attempt) -> None:
-    click.echo(f"merlinbay: {attempt.value.get('error', attempt.status)}", err=True)
-    sys.exit(UNKNOWN if attempt.status == 404 else EXITS.get(str(attempt.value.get("reason")), OTHER))
+def _exit_failed(answer: CallAnswer) -> None:
+    click.echo(f"merlinbay: {answer.value.get('error', answer.status)}", err=True)
+    sys.exit(UNKNOWN if answer.status == 404 else EXITS.get(str(answer.value.get("reason")), OTHER))
 
 
 @click.group()
@@ -130,11 +132,11 @@
 @click.pass_context
 def control(ctx: click.Context, at: str, timeout: float) -> None:
     """Run control processes; read, change and watch the replicated configuration."""
-    ctx.obj = Machines(tuple(one.strip() for one in at.split(",") if one.strip()), timeout)
+    ctx.obj = ControlMachines(tuple(one.strip() for one in at.split(",") if one.strip()), timeout)
 
 
-def _with_machines(context: click.Context) -> Machines:
-    machines: Machines = context.obj
+def _with_machines(context: click.Context) -> ControlMachines:
+    machines: ControlMachines = context.obj
     if not machines.addresses:
         raise click.UsageError("--at, or MERLINBAY_CONTROL, has to name a control machine")
     return machines
@@ -188,8 +190,8 @@
 
 
 def _status_of(address: str) -> dict[str, Any] | None:
-    attempt = _attempt(address, "GET", "status", None, STATUS_S)
-    return attempt.value if attempt.status < 400 else None
+    answer = _call_once(address, "GET", "status", None, STATUS_TIMEOUT_S)
+    return answer.value if answer.status < 400 else None
 
 
 @control.command()
@@ -250,13 +252,13 @@
         raise click.UsageError(f"VALUE is not JSON: {error}") from None
 
 
-def _finish_change(machines: Machines, body: dict[str, Any]) -> None:
+def _finish_change(machines: ControlMachines, body: dict[str, Any]) -> None:
     try:
         found = machines.call("POST", "changes", body)
-    except PerhapsDone as error:
+    except OutcomeUnknownError as error:
         identity = body["change_id"]
         text = f"{error.message}; it may have been applied: repeat it with --id {identity}"
-        raise PerhapsDone(text) from None
+        raise OutcomeUnknownError(text) from None
     click.echo(f"{body['key']}: revision {found['revision']}")
 
 
@@ -271,7 +273,7 @@
     if after < 0:
         after = machines.call("GET", "status")["revision"]
     while True:
-        found = machines.call("GET", f"watch?after={after}", answer_s=WATCH_S)
+        found = machines.call("GET", f"watch?after={after}", answer_timeout_s=WATCH_TIMEOUT_S)
         entries = [one for one in found["entries"] if one["revision"] > after]
         for one in sorted(entries, key=lambda one: int(one["revision"])):
             if one["key"].startswith(prefix):
@@ -292,7 +294,9 @@
     machines = _with_machines(ctx)
     name = _announce(machines, add) if add else None
     if name or remove:
-        found = machines.call("POST", "voters", {"add": name, "remove": remove}, answer_s=VOTERS_S)
+        found = machines.call(
+            "POST", "voters", {"add": name, "remove": remove}, answer_timeout_s=VOTERS_TIMEOUT_S
+        )
         click.echo(f"done at revision {found['revision']}")
     found = machines.call("GET", "voters")
     for voter_name in found["voters"]:
@@ -301,7 +305,7 @@
         click.echo(f"{joining}  joining")
 
 
-def _announce(machines: Machines, add: str) -> str:
+def _announce(machines: ControlMachines, add: str) -> str:
     """Write a machine's addresses into the log, where they are given; return its name."""
     name, _, addresses = add.partition("=")
     if addresses:
--- a/merlinbay/control/consensus/election.py
+++ b/merlinbay/control/consensus/election.py
@@ -93,7 +93,7 @@
         raft = self.raft
         if raft.role is VoterRole.LEADER:
             return True  # its lease ends that, see Voter
-        return raft.now - raft.heard_leader_at < raft.settings.election_timeout
+        return raft.now - raft.heard_leader_at < raft.settings.election_timeout_s
 
     def _would_grant(self, candidate: VoterIdentity, request: VoteRequest) -> bool:
         raft = self.raft
--- a/merlinbay/control/consensus/leadership.py
+++ b/merlinbay/control/consensus/leadership.py
@@ -37,8 +37,8 @@
         """Return when the lease ends: some time after a majority last confirmed this leader."""
         raft = self.raft
         if raft.log.configuration.names == (raft.name,):
-            return raft.now + raft.settings.lease
-        return self.replication.confirmed_at() + raft.settings.lease
+            return raft.now + raft.settings.lease_s
+        return self.replication.confirmed_at() + raft.settings.lease_s
 
     def advance(self) -> bool:
         """Commit, reconfigure, answer and send what has become possible; return whether to go on leading."""
@@ -93,7 +93,7 @@
             same_region = raft.settings.region(name) == raft.settings.region(raft.name)
             return progress[name].match_index, progress[name].acked_round, same_region, name
 
-        deadline = raft.now + raft.settings.election_timeout
+        deadline = raft.now + raft.settings.election_timeout_s
         self.transfer = LeadershipTransfer(max(candidates, key=preference), deadline)
 
     def _continue_transfer(self) -> None:
--- a/merlinbay/control/consensus/raft_state.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -128,12 +128,12 @@
 
     def restart_election_timer(self) -> None:
         """Restart the election timeout, randomized so that votes seldom split."""
-        self.election_deadline = self.now + self.settings.election_timeout * (1 + self.random.random())
+        self.election_deadline = self.now + self.settings.election_timeout_s * (1 + self.random.random())
 
     def restart_candidacy_timer(self) -> None:
         """Restart the timeout of a candidacy: shorter, since there is no leader to disturb."""
         share = LEAST_CANDIDACY_SHARE + (1 - LEAST_CANDIDACY_SHARE) * self.random.random()
-        self.election_deadline = self.now + self.settings.election_timeout * share
+        self.election_deadline = self.now + self.settings.election_timeout_s * share
 
     def step_down(self, term: int, leader: str = "") -> None:
         """Become a follower in ``term``."""
--- a/merlinbay/control/consensus/reconfiguration.py
+++ b/merlinbay/control/consensus/reconfiguration.py
@@ -52,7 +52,7 @@
         problem = self._problem(configuration, add, remove)
         if problem:
             return ChangeRejected("invalid", problem)
-        deadline = self.raft.now + self.raft.settings.voters_timeout
+        deadline = self.raft.now + self.raft.settings.voters_timeout_s
         self.pending = PendingVoterChange(token, add, remove, deadline)
         return None
 
--- a/merlinbay/control/consensus/replication.py
+++ b/merlinbay/control/consensus/replication.py
@@ -86,7 +86,7 @@
         """Send entries or a heartbeat to all receivers; return the round's number."""
         self.round += 1
         self.round_starts.append((self.round, self.raft.now))
-        self.next_heartbeat = self.raft.now + self.raft.settings.heartbeat_interval
+        self.next_heartbeat = self.raft.now + self.raft.settings.heartbeat_interval_s
         for name, progress in self.progress.items():
             if not self._send_entries(name, progress):
                 self._send_heartbeat(name, progress)
@@ -162,7 +162,7 @@
         transfer, snapshot = progress.transfer, self.raft.snapshot
         if transfer is None or snapshot is None:
             return
-        if self.raft.now - transfer.sent_at < self.raft.settings.election_timeout:
+        if self.raft.now - transfer.sent_at < self.raft.settings.election_timeout_s:
             return
         if not transfer.offset and transfer.index < snapshot.index:
             transfer = progress.transfer = SnapshotInstallation(snapshot.index, encode_snapshot(snapshot))
--- a/merlinbay/control/consensus/requests.py
+++ b/merlinbay/control/consensus/requests.py
@@ -29,7 +29,7 @@
 
 
 class ClientRequests:
-    """The open requests of one leader. Each is answered once, within ``request_timeout``."""
+    """The open requests of one leader. Each is answered once, within ``request_timeout_s``."""
 
     def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
         self.raft = raft
@@ -39,12 +39,12 @@
 
     def propose(self, change: Change, token: int) -> None:
         """Append a change to the log."""
-        deadline = self.raft.now + self.raft.settings.request_timeout
+        deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.proposals[self.replication.append(change)] = PendingProposal(token, deadline)
 
     def read(self, key: str, token: int) -> None:
         """Wait for a read's confirmation."""
-        deadline = self.raft.now + self.raft.settings.request_timeout
+        deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.reads.append(PendingRead(token, key, deadline))
 
     def applied(self, changes: list[AppliedChange]) -> None:
--- a/merlinbay/control/consensus/settings.py
+++ b/merlinbay/control/consensus/settings.py
@@ -25,11 +25,11 @@
 
     initial_voters: tuple[str, ...]  # names; read only until the first configuration is agreed
     placements: dict[str, Placement] = field(default_factory=dict)
-    election_timeout: float = 0.7  # the least; each wait is drawn between it and twice it
-    heartbeat_interval: float = 0.2
-    lease: float = 0.7  # a leader that no majority has confirmed for so long steps down
-    request_timeout: float = 3.0  # a proposal or read that takes longer is answered as uncertain or failed
-    voters_timeout: float = 60.0  # the same for a change of voters, whose new voter has to catch up
+    election_timeout_s: float = 0.7  # the least; each wait is drawn between it and twice it
+    heartbeat_interval_s: float = 0.2
+    lease_s: float = 0.7  # a leader that no majority has confirmed for so long steps down
+    request_timeout_s: float = 3.0  # a proposal or read that takes longer is answered as uncertain or failed
+    voters_timeout_s: float = 60.0  # the same for a change of voters, whose new voter has to catch up
     max_proposals: int = 256  # in flight at the leader; more are rejected as overloaded
     max_reads: int = 1024  # the same for reads
     max_change_bytes: int = 64 * KIB  # key, value and id of one change
@@ -43,7 +43,7 @@
     def __post_init__(self) -> None:
         if not self.initial_voters or len(set(self.initial_voters)) < len(self.initial_voters):
             raise ValueError("the initial voters have to be named, each once")
-        if not 0 < 2 * self.heartbeat_interval <= min(self.election_timeout, self.lease):
+        if not 0 < 2 * self.heartbeat_interval_s <= min(self.election_timeout_s, self.lease_s):
             raise ValueError("two heartbeats have to fit into the election timeout and the lease")
         if self.max_change_bytes > self.max_batch_bytes:
             raise ValueError("a change has to fit into a batch")
--- a/merlinbay/control/consensus/voter_view.py
+++ b/merlinbay/control/consensus/voter_view.py
@@ -45,7 +45,7 @@
         raft = self._raft
         if (
             raft.role is VoterRole.FOLLOWER
-            and raft.now - raft.heard_leader_at >= 2 * self._raft.settings.election_timeout
+            and raft.now - raft.heard_leader_at >= 2 * self._raft.settings.election_timeout_s
         ):
             return ""
         return raft.leader
--- a/merlinbay/control/simulation/linearizability.py
+++ b/merlinbay/control/simulation/linearizability.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Register:
+class KeyRegister:
     """The state of one key: its value (None where it does not exist) and the revision of its last change."""
 
     value: bytes | None = None
@@ -40,27 +40,27 @@
     return known == claimed or UNKNOWN in (known, claimed)
 
 
-def _after_read(register: Register, operation: Operation) -> Register | None:
+def _after_read(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     seen = operation.value
     if seen is None or seen.value is None:
         return register if register.value is None else None
     if seen.value != register.value or not _agrees(register.revision, seen.revision):
         return None
-    return Register(seen.value, seen.revision)
+    return KeyRegister(seen.value, seen.revision)
 
 
-def _matches_expectation(register: Register, expected: int) -> bool:
+def _matches_expectation(register: KeyRegister, expected: int) -> bool:
     if expected == 0:
         return register.value is None
     return register.value is not None and _agrees(register.revision, expected)
 
 
-def _after_conflict(register: Register, expected: int) -> Register | None:
+def _after_conflict(register: KeyRegister, expected: int) -> KeyRegister | None:
     certain = expected == 0 or register.revision != UNKNOWN
     return None if certain and _matches_expectation(register, expected) else register
 
 
-def _after_change(register: Register, operation: Operation) -> Register | None:
+def _after_change(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     change, result = operation.change, operation.result
     assert change is not None
     if isinstance(result, ChangeRejected):
@@ -70,11 +70,11 @@
     if change.expected_revision is not None and not _matches_expectation(register, change.expected_revision):
         return None
     if not isinstance(result, ChangeApplied):
-        return Register(change.value, UNKNOWN)
-    return Register(change.value, result.revision) if result.revision > register.revision else None
+        return KeyRegister(change.value, UNKNOWN)
+    return KeyRegister(change.value, result.revision) if result.revision > register.revision else None
 
 
-def step(register: Register, operation: Operation) -> Register | None:
+def step(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     """Return the register after the operation, or None where the operation's outcome rules this out."""
     if operation.kind is OperationKind.READ:
         return _after_read(register, operation)
@@ -88,8 +88,8 @@
         key=lambda one: one.invoked,
     )
     must = sum(1 << number for number, one in enumerate(ordered) if one.is_complete)
-    stack = [(0, Register())]
-    visited: set[tuple[int, Register]] = set(stack)
+    stack = [(0, KeyRegister())]
+    visited: set[tuple[int, KeyRegister]] = set(stack)
     while stack:
         done, register = stack.pop()
         if done & must == must:
--- a/merlinbay/control/simulation/simulation.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -42,7 +42,7 @@
     steps: int
 
 
-class Simulation:
+class ControlSimulation:
     """The parts of one run."""
 
     def __init__(self, scenario: Scenario, core: CoreUnderTest) -> None:
@@ -234,7 +234,7 @@
 
 def play(scenario: Scenario, core: CoreUnderTest) -> SimulationRun:
     """Play a scenario and check its history."""
-    world = Simulation(scenario, core)
+    world = ControlSimulation(scenario, core)
     history = world.run()
     violations = check(history)
     text = "\n".join([*world.lines, repr(history.states), repr(history.entries), repr(history.operations)])
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -150,7 +150,7 @@
     # Requests.
 
     def propose(self, now: float, change: Change, token: int) -> None:
-        """Propose a change; answered by ``ProposalDone`` within ``request_timeout``."""
+        """Propose a change; answered by ``ProposalDone`` within ``request_timeout_s``."""
         self._begin(now)
         leadership = self._leadership
         rejected = self._not_leading() or invalid_change(self.settings, change)
@@ -176,7 +176,7 @@
         return ChangeRejected("not_leader", leader=self.leader)
 
     def read(self, now: float, key: str, token: int) -> None:
-        """Read linearizably, confirmed by a majority; answered by ``ReadDone`` within ``request_timeout``."""
+        """Read linearizably, by a majority; answered by ``ReadDone`` within ``request_timeout_s``."""
         self._begin(now)
         leadership = self._leadership
         if leadership is None or len(leadership.requests.reads) >= self.settings.max_reads:
@@ -187,7 +187,7 @@
         self._end()
 
     def change_voters(self, now: float, add: str | None, remove: str | None, token: int) -> None:
-        """Add, remove or replace one voter; answered by ``ProposalDone`` within ``voters_timeout``.
+        """Add, remove or replace one voter; answered by ``ProposalDone`` within ``voters_timeout_s``.
 
         The one that is added first catches up without a vote. ``add`` equal to ``remove`` readmits a voter
         with the disk that it has now, which a leader also does by itself. ``ChangeApplied`` has the
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -16,7 +16,7 @@
 ProcessRole = Literal["voter", "relay", "follower"]
 
 
-class LogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class EventLogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """How events are written to standard error."""
 
     format: Literal["plain", "console", "json"] = "plain"
@@ -89,7 +89,7 @@
     upstreams: list[Name] = []  # machines that a relay or follower may watch
     voter: VoterSection | None = None
     relay: RelaySection | None = None
-    log: LogSection = msgspec.field(default_factory=LogSection)
+    log: EventLogSection = msgspec.field(default_factory=EventLogSection)
 
     def role(self) -> ProcessRole:
         """Return the role that the file describes; a voter serves watches as well."""
--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:
+class AwaitedAnswer:
     """A proposal or read that the core has not answered yet."""
 
     done: trio.Event = field(default_factory=trio.Event)
@@ -76,7 +76,7 @@
         self._role = self.voter.role
         self._inputs: deque[VoterInput] = deque()
         self._wake = trio.Event()
-        self._pending: dict[int, PendingRequest] = {}  # by token
+        self._pending: dict[int, AwaitedAnswer] = {}  # by token
         self._last_token = 0
         self._rebuild = False
 
@@ -201,7 +201,7 @@
     async def _ask(self, make: Callable[[int], VoterInput]) -> ProposalDone | ReadDone:
         self._last_token += 1
         token = self._last_token
-        pending = self._pending[token] = PendingRequest()
+        pending = self._pending[token] = AwaitedAnswer()
         try:
             self._put(make(token))
             await pending.done.wait()
--- a/merlinbay/control_service/wiring.py
+++ b/merlinbay/control_service/wiring.py
@@ -51,9 +51,9 @@
     return VoterSettings(
         initial_voters=tuple(section.initial),
         placements={name: Placement(one.region, one.zone) for name, one in file.machines.items()},
-        election_timeout=section.election,
-        heartbeat_interval=section.heartbeat,
-        lease=section.election,
+        election_timeout_s=section.election,
+        heartbeat_interval_s=section.heartbeat,
+        lease_s=section.election,
         compact_after_entries=section.compact_after,
         keep_entries=section.compact_after // 4,
         history_revisions=section.compact_after * 4,
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -516,7 +516,7 @@
 
 def test_a_side_without_a_majority_rejects_and_tells_its_age() -> None:
     """Within a lease and two election timeouts; after an hour, both sides come to one state."""
-    cluster = Cluster(names=tuple("abcdefg"), heartbeat_interval=2.0, election_timeout=7.0, lease=7.0)
+    cluster = Cluster(names=tuple("abcdefg"), heartbeat_interval_s=2.0, election_timeout_s=7.0, lease_s=7.0)
     cluster.commit("k", "1")
     leader = cluster.leader()
     side = {leader, *[name for name in "abcdefg" if name != leader][:2]}
@@ -830,7 +830,7 @@
 
 @pytest.mark.parametrize(
     "more",
-    [{"heartbeat_interval": 0.4}, {"max_change_bytes": 2000}, {"keep_entries": 24}, {"initial_voters": ()}],
+    [{"heartbeat_interval_s": 0.4}, {"max_change_bytes": 2000}, {"keep_entries": 24}, {"initial_voters": ()}],
 )
 def test_settings_that_cannot_work(more: dict[str, Any]) -> None:
     """Said when they are read."""
