--- a/merlinbay/control/consensus/core.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of a voter share, and the only places where it becomes durable."""
+"""The state that all parts of a voter share. Its methods are the only places where it changes."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 from merlinbay.control.consensus import records
 from merlinbay.control.consensus.log import LogEntry
-from merlinbay.control.consensus.membership import Member
-from merlinbay.control.consensus.messages import Message, encode
-from merlinbay.control.consensus.roles import TRANSITIONS, Role
+from merlinbay.control.consensus.membership import VoterIdentity
+from merlinbay.control.consensus.messages import VoterMessage, encode
+from merlinbay.control.consensus.roles import TRANSITIONS, VoterRole
 from merlinbay.control.consensus.settings import VoterSettings
-from merlinbay.control.effects import Effect, Persist, Send
+from merlinbay.control.effects import Persist, SendMessage, VoterEffect
 from merlinbay.control.entries import Change, ChangeResult
 from merlinbay.control.keyspace import Keyspace
 
-LEAST_CANDIDACY = 0.3  # of an election timeout: above a round trip between regions
+LEAST_CANDIDACY_SHARE = 0.3  # of an election timeout: longer than a round trip between regions
 
 
 @dataclass(slots=True)
-class Counters:
-    """What happened since the start."""
+class VoterCounters:
+    """Events since the start; ``status`` shows them with the prefix ``log_``."""
 
-    unreadable_messages: int = 0
+    unreadable_messages: int = 0  # not decodable, or of another version
     impossible_messages: int = 0  # readable, but no correct voter sends them
-    elections_started: int = 0
-    leaderships_lost: int = 0
-    checkpoints: int = 0
-    snapshots_installed: int = 0
+    elections_started: int = 0  # candidacies with a new term
+    leaderships_lost: int = 0  # step-downs of this voter as leader
+    checkpoints: int = 0  # own snapshots stored, and installed ones
+    snapshots_installed: int = 0  # received from a leader
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedChange:
     """A change that was applied to the keyspace."""
 
     index: int
@@ -48,7 +48,7 @@
     return hashlib.blake2b(drawn, digest_size=8).hexdigest()
 
 
-class Core:
+class RaftState:
     """Term, vote, log, applied state and role of one voter, with the effects not taken yet."""
 
     def __init__(
@@ -58,21 +58,21 @@
         self.settings = settings
         self.random = random
         self.now = now
-        self.effects: list[Effect] = []
-        self.counters = Counters()
+        self.effects: list[VoterEffect] = []
+        self.counters = VoterCounters()
         self.term = state.term
         self.voted_for = state.voted_for
         self.log = state.log
         self.snapshot = state.snapshot
         self.keyspace = state.keyspace
-        self.role = Role.FOLLOWER
+        self.role = VoterRole.FOLLOWER
         self.leader = ""
-        self.heard_leader_at = -math.inf
-        self.current_at = -math.inf  # the applied state had all that was committed then, as far as known
+        self.heard_leader_at = -math.inf  # when the last message of a leader was received
+        self.current_at = -math.inf  # the applied state included all commits up to then
         self.election_deadline = math.inf
         self.commit_index = state.snapshot.index if state.snapshot is not None else 0
         if state.identity is None:
-            self.identity = Member(name, new_incarnation(random, now))
+            self.identity = VoterIdentity(name, new_incarnation(random, now))
             self._persist(records.IdentityRecord(self.identity))
         else:
             self.identity = state.identity
@@ -91,62 +91,88 @@
 
     @property
     def own_term_committed(self) -> bool:
-        """Return whether an entry of the current term is committed, and so all entries of earlier leaders."""
+        """Return whether an entry of the current term is committed, and with it all of earlier terms."""
         return self.log.term_at(self.commit_index) == self.term
 
-    def become(self, role: Role) -> None:
+    def advance_clock(self, now: float) -> None:
+        """Set the time of the current call; it never goes back."""
+        self.now = max(self.now, now)
+
+    def take_effects(self) -> list[VoterEffect]:
+        """Return the effects since the last call."""
+        effects, self.effects = self.effects, []
+        return effects
+
+    def set_leader(self, leader: str) -> None:
+        """Set the leader of the term, as far as known; empty if unknown."""
+        self.leader = leader
+
+    def record_leader_contact(self) -> None:
+        """Record a message of the current leader."""
+        self.heard_leader_at = self.now
+        self.restart_election_timer()
+
+    def record_confirmation(self, confirmed_at: float) -> None:
+        """Record when a majority last confirmed the leader whose commits are applied here."""
+        self.current_at = confirmed_at
+
+    def count_impossible_message(self) -> None:
+        """Count a message that no correct voter sends."""
+        self.counters.impossible_messages += 1
+
+    def become(self, role: VoterRole) -> None:
         """Change the role."""
         if role not in TRANSITIONS[self.role]:
             raise AssertionError(f"{self.role.value} becomes {role.value}")
         self.role = role
 
     def restart_election_timer(self) -> None:
-        """Wait for a leader from now on; differently long each time, so that votes seldom split."""
-        self.election_deadline = self.now + self.settings.election_timeout * (1 + self.random.random())
+        """Restart the election timeout, randomized so that votes seldom split."""
+        self.election_deadline = self.now + self.settings.election_timeout_s * (1 + self.random.random())
 
     def restart_candidacy_timer(self) -> None:
-        """Wait for votes: shorter, since no leader is there whom another election could disturb."""
-        share = LEAST_CANDIDACY + (1 - LEAST_CANDIDACY) * self.random.random()
-        self.election_deadline = self.now + self.settings.election_timeout * share
+        """Restart the timeout of a candidacy: shorter, since there is no leader to disturb."""
+        share = LEAST_CANDIDACY_SHARE + (1 - LEAST_CANDIDACY_SHARE) * self.random.random()
+        self.election_deadline = self.now + self.settings.election_timeout_s * share
 
     def step_down(self, term: int, leader: str = "") -> None:
         """Become a follower in ``term``."""
-        if self.role is Role.LEADER:
+        if self.role is VoterRole.LEADER:
             self.counters.leaderships_lost += 1
             self.restart_election_timer()
         if term > self.term:
             self.set_term(term, None)
-        self.become(Role.FOLLOWER)
+        self.become(VoterRole.FOLLOWER)
         self.leader = leader
 
-    def send(self, receiver: str, message: Message) -> None:
-        """Send a message once all that was persisted before is stored."""
-        self.effects.append(Send(receiver, encode(self.identity.incarnation, message)))
+    def send(self, receiver: str, message: VoterMessage) -> None:
+        """Send a message once all earlier records are stored."""
+        self.effects.append(SendMessage(receiver, encode(self.identity.incarnation, message)))
 
-    def _persist(self, record: records.Record, replaces_all: bool = False) -> None:
+    def _persist(self, record: records.VoterRecord, replaces_all: bool = False) -> None:
         self.effects.append(Persist(records.encode_record(record), replaces_all))
 
-    def set_term(self, term: int, voted_for: Member | None) -> None:
+    def set_term(self, term: int, voted_for: VoterIdentity | None) -> None:
         """Enter a term, or vote in it."""
         if (term, voted_for) != (self.term, self.voted_for):
             self.term, self.voted_for = term, voted_for
             self._persist(records.TermRecord(term, voted_for))
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries to the log, in place of those from the first one's index on."""
+        """Append entries; they replace existing ones from the first entry's index on."""
         if entries[0].index <= self.log.last_index:
             self.log.truncate_from(entries[0].index)
         self.log.append(entries)
         self._persist(records.EntriesRecord(self.commit_index, entries))
 
-    def commit_to(self, index: int) -> list[Applied]:
-        """Apply the entries up to ``index``, which are committed."""
-        applied: list[Applied] = []
+    def commit_to(self, index: int) -> list[AppliedChange]:
+        """Commit the entries up to ``index`` and apply them; return the changes among them."""
+        applied: list[AppliedChange] = []
         while self.commit_index < index:
             self.commit_index += 1
             entry = self.log.get(self.commit_index)
             if entry is not None and isinstance(entry.command, Change):
-                applied.append(Applied(entry.index, self.keyspace.apply(entry.command)))
+                applied.append(AppliedChange(entry.index, self.keyspace.apply(entry.command)))
         self._bound_history()
         return applied
 
@@ -167,7 +193,7 @@
         self._persist_checkpoint(self.snapshot)
 
     def install(self, snapshot: records.SnapshotData, keyspace: Keyspace) -> None:
-        """Take the leader's snapshot in place of the state and of the entries that it contains."""
+        """Install the leader's snapshot; it replaces the state and the entries that it includes."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot.index)
         else:
--- a/merlinbay/control/consensus/requests.py
+++ b/merlinbay/control/consensus/requests.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-from merlinbay.control.consensus.core import Applied, Core
-from merlinbay.control.consensus.replication import Replication
+from merlinbay.control.consensus.raft_state import AppliedChange, RaftState
+from merlinbay.control.consensus.replication import LeaderReplication
 from merlinbay.control.effects import ProposalDone, ReadDone
 from merlinbay.control.entries import Change, ChangeUncertain
 
 
 @dataclass(frozen=True, slots=True)
 class PendingProposal:
-    """A change that stands in the leader's log."""
+    """A change that is in the leader's log and not answered yet."""
 
     token: int
     deadline: float
@@ -20,61 +20,61 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits until a majority has confirmed, after it came, that nobody else leads."""
+    """A read that waits until a majority has confirmed the leader after the read arrived."""
 
     token: int
     key: str
     deadline: float
-    round: int = 0  # that has to be confirmed; 0: not begun
+    round: int = 0  # the heartbeat round that has to be confirmed; 0: not started
 
 
-class Requests:
-    """The open requests of one leadership. Each is answered once, in bounded time."""
+class ClientRequests:
+    """The open requests of one leader. Each is answered once, within ``request_timeout_s``."""
 
-    def __init__(self, core: Core, replication: Replication) -> None:
-        self.core = core
+    def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
+        self.raft = raft
         self.replication = replication
-        self.proposals: dict[int, PendingProposal] = {}  # by index, so also in the order of deadlines
+        self.proposals: dict[int, PendingProposal] = {}  # by log index, and so in the order of deadlines
         self.reads: list[PendingRead] = []  # in the order of deadlines and rounds
 
     def propose(self, change: Change, token: int) -> None:
-        """Put a change into the log."""
-        deadline = self.core.now + self.core.settings.request_timeout
+        """Append a change to the log."""
+        deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.proposals[self.replication.append(change)] = PendingProposal(token, deadline)
 
     def read(self, key: str, token: int) -> None:
         """Wait for a read's confirmation."""
-        deadline = self.core.now + self.core.settings.request_timeout
+        deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.reads.append(PendingRead(token, key, deadline))
 
-    def applied(self, changes: list[Applied]) -> None:
+    def applied(self, changes: list[AppliedChange]) -> None:
         """Answer the proposals that were applied."""
         for change in changes:
             pending = self.proposals.pop(change.index, None)
             if pending is not None:
-                self.core.effects.append(ProposalDone(pending.token, change.result))
+                self.raft.effects.append(ProposalDone(pending.token, change.result))
 
     def begin_reads(self) -> None:
-        """Begin one round for all reads that came since the last."""
-        # Before an entry of its own term is committed, a new leader does not know what is.
-        if self.reads and not self.reads[-1].round and self.core.own_term_committed:
+        """Start one heartbeat round for all reads that arrived since the last."""
+        # Guards against stale reads: a new leader learns the commit index with an entry of its own term.
+        if self.reads and not self.reads[-1].round and self.raft.own_term_committed:
             begun = self.replication.begin_round()
             for read in self.reads:
                 read.round = read.round or begun
 
     def answer_reads(self) -> None:
-        """Answer the reads whose round is confirmed, from the state now, which has all committed before."""
+        """Answer the reads whose round is confirmed from the applied state."""
         if not self.reads:
             return
         confirmed = self.replication.confirmed_round()
         while self.reads and 0 < self.reads[0].round <= confirmed:
             read = self.reads.pop(0)
-            keyspace = self.core.keyspace
+            keyspace = self.raft.keyspace
             value = keyspace.get(read.key)
-            self.core.effects.append(ReadDone(read.token, value, keyspace.revision, leader=self.core.name))
+            self.raft.effects.append(ReadDone(read.token, value, keyspace.revision, leader=self.raft.name))
 
     def next_deadline(self) -> float:
-        """Return when the first request has waited too long."""
+        """Return the first deadline of the open requests."""
         deadlines = [read.deadline for read in self.reads[:1]]
         for pending in self.proposals.values():
             deadlines.append(pending.deadline)
@@ -82,25 +82,25 @@
         return min(deadlines, default=float("inf"))
 
     def expire(self) -> None:
-        """Answer what has waited too long; a change may commit all the same."""
-        now = self.core.now
+        """Answer the requests whose deadline has passed; a change may still commit."""
+        now = self.raft.now
         while self.proposals:
             index, pending = next(iter(self.proposals.items()))
             if pending.deadline > now:
                 break
             del self.proposals[index]
-            self.core.effects.append(ProposalDone(pending.token, ChangeUncertain()))
+            self.raft.effects.append(ProposalDone(pending.token, ChangeUncertain()))
         while self.reads and self.reads[0].deadline <= now:
             self._fail_read(self.reads.pop(0))
 
     def _fail_read(self, read: PendingRead) -> None:
-        revision = self.core.keyspace.revision
-        self.core.effects.append(ReadDone(read.token, None, revision, True, self.core.leader))
+        revision = self.raft.keyspace.revision
+        self.raft.effects.append(ReadDone(read.token, None, revision, True, self.raft.leader))
 
-    def give_up(self) -> None:
-        """Answer all: leadership is lost."""
+    def fail_all(self) -> None:
+        """Answer all requests as uncertain or failed: leadership is lost."""
         for pending in self.proposals.values():
-            self.core.effects.append(ProposalDone(pending.token, ChangeUncertain()))
+            self.raft.effects.append(ProposalDone(pending.token, ChangeUncertain()))
         for read in self.reads:
             self._fail_read(read)
         self.proposals.clear()
--- a/merlinbay/control/consensus/roles.py
+++ b/merlinbay/control/consensus/roles.py
@@ -1,25 +1,31 @@
-"""What a voter can be, and what may follow on what."""
+"""The roles of a voter and the transitions between them."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 
-class Role(Enum):
-    """What a voter is at the moment. Only a leader takes proposals and reads."""
+class VoterRole(Enum):
+    """The role of a voter. Only a leader accepts proposals and reads."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"  # asks whether an election could be won, without a new term
     CANDIDATE = "candidate"
     LEADER = "leader"
-    STORAGE_FAILED = "storage_failed"  # for good: a new Voter is built from the records that are stored
+    STORAGE_FAILED = "storage_failed"  # final: a new Voter is built from the stored records
 
 
-TRANSITIONS: dict[Role, frozenset[Role]] = {
-    # A candidate by the leader's word (a transfer of leadership) needs no preliminary election.
-    Role.FOLLOWER: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE, Role.STORAGE_FAILED}),
-    Role.PRE_CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE, Role.STORAGE_FAILED}),
-    Role.CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.LEADER, Role.STORAGE_FAILED}),
-    Role.LEADER: frozenset({Role.FOLLOWER, Role.STORAGE_FAILED}),
-    Role.STORAGE_FAILED: frozenset(),
+TRANSITIONS: dict[VoterRole, frozenset[VoterRole]] = {
+    # At a leadership transfer, the candidate needs no preliminary election.
+    VoterRole.FOLLOWER: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.PRE_CANDIDATE: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.CANDIDATE: frozenset(
+        {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.LEADER, VoterRole.STORAGE_FAILED}
+    ),
+    VoterRole.LEADER: frozenset({VoterRole.FOLLOWER, VoterRole.STORAGE_FAILED}),
+    VoterRole.STORAGE_FAILED: frozenset(),
 }
--- a/merlinbay/control/fanout/effects.py
+++ b/merlinbay/control/fanout/effects.py
@@ -1,4 +1,4 @@
-"""What the fan-out asks of its host. Effects are carried out in the order in which they were taken."""
+"""The effects of the fan-out. A host carries them out in order."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     """End a watch after the frames before this, without waiting for them long. No ``closed`` is wanted."""
 
     connection: int
-    reason: GoodbyeReason | None = None  # None: it was not admitted
+    reason: GoodbyeReason | None = None  # None: it was not accepted
 
 
-class Connect(msgspec.Struct, frozen=True):
+class ConnectUpstream(msgspec.Struct, frozen=True):
     """Open a stream to an upstream; call ``connected`` or ``closed`` with the attempt's number."""
 
     attempt: int
@@ -55,5 +55,5 @@
 
 
 DownstreamEffect = SendDownstream | CloseDownstream
-UpstreamEffect = Connect | SendUpstream | CloseUpstream | StateAdvanced
+UpstreamEffect = ConnectUpstream | SendUpstream | CloseUpstream | StateAdvanced
 RelayEffect = DownstreamEffect | UpstreamEffect
--- a/merlinbay/control/fanout/messages.py
+++ b/merlinbay/control/fanout/messages.py
@@ -1,9 +1,9 @@
 """The watch protocol: msgpack arrays, one message a frame, tagged by a number.
 
-A follower sends ``Watch`` first, then ``Progress``; a server answers with ``Accepted``, ``Busy`` or
-``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at
-the end with a default, so that a reader of the same version takes messages of a newer program; an
-incompatible change raises ``PROTOCOL_VERSION``.
+A follower sends ``WatchRequest`` first, then ``ProgressReport``. A server answers with ``WatchAccepted``,
+``WatchRejected`` or ``Goodbye``, then sends deltas, snapshots and keep-alives. New fields are added at the
+end with a default, so that a reader of the same version accepts messages of a newer program; an incompatible
+change raises ``PROTOCOL_VERSION``.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 MAX_NAMES = 64  # names in one message
 NEVER_MS = 2**40  # staleness of data that was never known to be the latest
 
-Name = Annotated[str, msgspec.Meta(max_length=255)]
-Key = Annotated[str, msgspec.Meta(min_length=1, max_length=1024)]
+MemberName = Annotated[str, msgspec.Meta(max_length=255)]
+WireKey = Annotated[str, msgspec.Meta(min_length=1, max_length=1024)]
 Revision = Annotated[int, msgspec.Meta(ge=0)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=NEVER_MS)]
-Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
+UpstreamNames = Annotated[tuple[MemberName, ...], msgspec.Meta(max_length=MAX_NAMES)]
 
 
 class MalformedMessageError(Exception):
-    """The bytes are no message of this protocol that may come from that side."""
+    """The bytes are no message of this protocol, or none of that side."""
 
 
-class Role(enum.StrEnum):
-    """What watches."""
+class WatcherRole(enum.StrEnum):
+    """The role of a watcher."""
 
     FOLLOWER = "follower"
     RELAY = "relay"
 
 
-class BusyReason(enum.StrEnum):
-    """Why a server does not take a watch now."""
+class RejectionReason(enum.StrEnum):
+    """Why a server rejects a watch for now."""
 
     RATE = "rate"  # too many new watches at once
     FULL = "full"  # too many watches
@@ -71,22 +71,22 @@
     """
 
     number: Revision
-    log_id: Name
+    log_id: MemberName
 
 
-NO_GENERATION = Generation(0, "")  # of who has no state yet
+NO_GENERATION = Generation(0, "")  # without any state yet
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class WireEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A ``KeyValue`` on the wire, without the names of its fields."""
 
-    key: Key
+    key: WireKey
     value: bytes | None
     revision: Revision
 
 
 class RevisionCount(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """So many followers have this revision in force, or a later one up to the next count's."""
+    """How many followers have applied this revision, or a later one below the next count's."""
 
     revision: Revision
     followers: Annotated[int, msgspec.Meta(ge=0)]
@@ -95,39 +95,39 @@
 class Laggard(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A follower by name with the last revision that it reported."""
 
-    member: Name
+    member: MemberName
     revision: Revision
 
 
 class Summary(msgspec.Struct, frozen=True, array_like=True):
-    """What the followers below a relay have in force, in a bounded form."""
+    """The revisions that the followers below a relay have applied, bounded in size."""
 
     counts: Annotated[tuple[RevisionCount, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # newest first
     laggards: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # oldest first
     absent: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MAX_NAMES)] = ()  # lost a short time ago
 
 
-class Watch(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The first message of a connection: who watches, and from which state on."""
+class WatchRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """The first message of a connection: the watcher and the state that it has."""
 
-    member: Name
-    role: Role
-    zone: Name
+    member: MemberName
+    role: WatcherRole
+    zone: MemberName
     generation: Generation
     revision: Revision
     version: int = PROTOCOL_VERSION
 
 
-class Progress(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The revision that the sender has in force; from a relay with a summary of what is below it."""
+class ProgressReport(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """The revision that the sender has applied; from a relay, with a summary of the followers below."""
 
     generation: Revision  # the number of the generation that the revision belongs to
     revision: Revision
     summary: Summary | None = None
 
 
-class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The watch is held. A generation above the watcher's is followed by a snapshot that replaces all."""
+class WatchAccepted(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """The watch is accepted. After a generation above the watcher's comes a snapshot."""
 
     generation: Generation
     revision: Revision
@@ -143,7 +143,7 @@
     after_revision: Revision
     revision: Revision
     staleness_ms: Milliseconds
-    entries: tuple[Entry, ...]
+    entries: tuple[WireEntry, ...]
     index: Revision = 0
     count: Annotated[int, msgspec.Meta(ge=1)] = 1
 
@@ -151,39 +151,39 @@
 class SnapshotMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Part ``index`` of ``count`` of the state at ``revision``. Parts come in order, with nothing between.
 
-    It is encoded once for many, and so does not say how old it is; a ``KeepAlive`` follows.
+    It is encoded once for many watches and so has no staleness; a ``KeepAlive`` follows.
     """
 
     revision: Revision
-    entries: tuple[Entry, ...]
+    entries: tuple[WireEntry, ...]
     index: Revision = 0
     count: Annotated[int, msgspec.Meta(ge=1)] = 1
 
 
 class KeepAlive(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The server is there; its state was known to be the latest ``staleness_ms`` ago."""
+    """Nothing has changed; the server's state was known to be the latest ``staleness_ms`` ago."""
 
     revision: Revision
     staleness_ms: Milliseconds
 
 
-class Busy(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The watch is not taken now: come back after the time, or go to one of the others, best first."""
+class WatchRejected(msgspec.Struct, frozen=True, array_like=True, tag=7):
+    """The watch is rejected: retry after the time, or go to one of the others, best first."""
 
-    reason: BusyReason
+    reason: RejectionReason
     retry_after_ms: Milliseconds
-    upstreams: Names = ()
+    upstreams: UpstreamNames = ()
 
 
 class Goodbye(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """The last message of a side; a server may name others to go to, best first."""
 
     reason: GoodbyeReason
-    upstreams: Names = ()
+    upstreams: UpstreamNames = ()
 
 
-FollowerMessage = Watch | Progress | Goodbye
-ServerMessage = Accepted | DeltaMessage | SnapshotMessage | KeepAlive | Busy | Goodbye
+FollowerMessage = WatchRequest | ProgressReport | Goodbye
+ServerMessage = WatchAccepted | DeltaMessage | SnapshotMessage | KeepAlive | WatchRejected | Goodbye
 
 _Message = TypeVar("_Message")
 _encoder = msgspec.msgpack.Encoder()
@@ -225,11 +225,6 @@
     return math.inf if sent >= NEVER_MS else sent / 1000
 
 
-def wire_entries(entries: Iterable[KeyValue]) -> tuple[Entry, ...]:
+def wire_entries(entries: Iterable[KeyValue]) -> tuple[WireEntry, ...]:
     """Return entries as they are sent."""
-    return tuple([Entry(entry.key, entry.value, entry.revision) for entry in entries])
-
-
-def key_values(entries: Iterable[Entry]) -> list[KeyValue]:
-    """Return received entries as the rest of the program holds them."""
-    return [KeyValue(entry.key, entry.value, entry.revision) for entry in entries]
+    return tuple([WireEntry(entry.key, entry.value, entry.revision) for entry in entries])
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -6,39 +6,38 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
 
-from merlinbay.control.entries import Delta, KeyValue, StateSnapshot
-from merlinbay.control.fanout.changes import RecentChanges
+from merlinbay.control.entries import KeyValue
 from merlinbay.control.fanout.effects import StateAdvanced
+from merlinbay.control.fanout.fleet_measurements import FleetMeasurements
 from merlinbay.control.fanout.follower import Follower
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.relay import Relay
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
-from merlinbay.control.fanout.simulated_network import (
-    OTHER_REGION_DELAY,
-    Host,
-    Network,
-    follower_host,
-    relay_host,
-    server_host,
+from merlinbay.control.fanout.simulated_machine import (
+    SimulatedMachine,
+    follower_machine,
+    relay_machine,
+    server_machine,
 )
-from merlinbay.control.fanout.source import WatchServer
+from merlinbay.control.fanout.simulated_network import OTHER_REGION_DELAY_S, FanoutNetwork
+from merlinbay.control.fanout.simulated_source import SourceStore
 from merlinbay.control.fanout.status import ForceStatus, force_status, merge
 from merlinbay.control.fanout.topology import Location, Upstream
+from merlinbay.control.fanout.watch_server import WatchServer
 
 GENERATION = Generation(1, "simulated")
-HEARTBEAT = 0.25  # from the leader to the other voters
-COMMIT_DELAY = 2 * OTHER_REGION_DELAY  # to a majority and back
-FRAME_HEADER = 4  # bytes of the length before each message
+HEARTBEAT_S = 0.25  # from the leader to the other voters
+COMMIT_DELAY_S = 2 * OTHER_REGION_DELAY_S  # to a majority and back
+FRAME_HEADER_BYTES = 4  # bytes of the length before each message
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What is played."""
+    """The size and settings of a simulated fleet."""
 
     followers: int = 250
     regions: int = 3
@@ -57,70 +56,26 @@
         return Location(f"r{zone % self.regions}", f"z{zone}")
 
 
-class SourceStore:
-    """The state of a voter, which has applied the log up to some revision."""
-
-    def __init__(self, kept_changes: int) -> None:
-        self.values: dict[str, KeyValue] = {}
-        self.changes = RecentChanges(kept_changes, 64 * 1024 * 1024)
-
-    @property
-    def revision(self) -> int:
-        """Return the revision of the state."""
-        return self.changes.revision
-
-    def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
-        return self.changes.after(revision)
-
-    def snapshot(self) -> StateSnapshot:
-        """Return the whole state."""
-        return StateSnapshot(self.revision, tuple(self.values.values()))
-
-    def restore(self, other: SourceStore) -> None:
-        """Take the state of another store, as an operator's reset does."""
-        self.values, self.changes = other.values, other.changes
-
-    def apply(self, entry: KeyValue) -> None:
-        """Apply the next entry of the log."""
-        if entry.value is None:
-            self.values.pop(entry.key, None)
-        else:
-            self.values[entry.key] = entry
-        self.changes.add([entry], entry.revision)
-
-
 @dataclass(slots=True)
-class Voter:
+class SimulatedVoter:
     """A voter's store and what serves it."""
 
     store: SourceStore
     server: WatchServer
-    host: Host
-
-
-@dataclass(slots=True)
-class Measured:
-    """What followers went through."""
+    host: SimulatedMachine
 
-    times_to_force: list[float] = field(default_factory=list)  # of every change at every follower
-    times_disturbed: list[float] = field(default_factory=list)  # the same, at those that lost something
-    broken: list[str] = field(default_factory=list)  # what must not be
-    most_watches: int = 0  # at one relay at a time
-    admissions: Counter[tuple[str, int]] = field(default_factory=Counter)  # by relay and second
 
-
-class Fleet:
+class SimulatedFleet:
     """Voters, relays, followers and the log."""
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan = plan
-        self.network = Network(seed)
+        self.network: FanoutNetwork[SimulatedMachine] = FanoutNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
-        self.asked_at: list[float] = []  # by revision: when the leader was asked for the change
+        self.proposed_at: list[float] = []  # by revision: when the change was proposed
         self.disturbed: set[str] = set()  # followers whose relay, zone, region or process was taken away
-        self.measured = Measured()
+        self.measured = FleetMeasurements()
         self.voters = [self._voter(number) for number in range(plan.voters)]
         self.relays: dict[str, Relay] = {}
         self.followers: dict[str, Follower] = {}
@@ -144,7 +99,7 @@
         settings = RelaySettings(server=self.plan.server, follower=self.plan.follower)
         rng = Random(self.rng.getrandbits(64))
         relay = Relay(name, self.plan.location(number), upstreams, settings, rng, self.network.now)
-        host = relay_host(self.network, relay)
+        host = relay_machine(self.network, relay)
         self.relays[name] = relay
         relay.start(self.network.now)
         host.done()
@@ -157,25 +112,25 @@
         )
         self.followers[name] = follower
         self._seen[name] = 0
-        host = follower_host(self.network, follower, self._heard)
+        host = follower_machine(self.network, follower, self._on_advance)
         follower.start(self.network.now)
         host.done()
 
     def restart_follower(self, number: int) -> None:
         """End a follower's process and start it anew."""
-        self.network.hosts[f"member{number}"].die(told=True)
+        self.network.hosts[f"member{number}"].die(closes_streams=True)
         self.start_follower(number)
 
-    def stop(self, name: str, told: bool = True) -> None:
-        """End a process: ``told`` where its machine goes on."""
-        self.network.hosts[name].die(told)
+    def stop(self, name: str, closes_streams: bool = True) -> None:
+        """End a process: ``closes_streams`` if its machine still runs."""
+        self.network.hosts[name].die(closes_streams)
 
     # The log.
 
     def change(self, keys: int = 1) -> None:
         """Ask for changes of so many keys now; they are in force at the leader a little later."""
         first = len(self.log)
-        self.network.at(self.network.now + COMMIT_DELAY, lambda: self._spread(first + keys))
+        self.network.at(self.network.now + COMMIT_DELAY_S, lambda: self._spread(first + keys))
         for _ in range(keys):
             self._append(self.rng.randrange(self.plan.keys))
 
@@ -183,7 +138,7 @@
         value = self.rng.randbytes(self.plan.value_bytes)
         deleted = len(self.log) >= self.plan.keys and self.rng.random() < 0.05
         self.log.append(KeyValue(f"team/{key}/limit", None if deleted else value, len(self.log) + 1))
-        self.asked_at.append(self.network.now)
+        self.proposed_at.append(self.network.now)
 
     def _spread(self, revision: int) -> None:
         """Let the leader apply the log and tell the other voters."""
@@ -196,9 +151,9 @@
 
     def _heartbeat(self) -> None:
         self._spread(self.voters[0].store.revision)
-        self.network.at(self.network.now + HEARTBEAT, self._heartbeat)
+        self.network.at(self.network.now + HEARTBEAT_S, self._heartbeat)
 
-    def _catch_up(self, voter: Voter, revision: int, sent_at: float) -> None:
+    def _catch_up(self, voter: SimulatedVoter, revision: int, sent_at: float) -> None:
         if not self.network.reachable(self.voters[0].host, voter.host):
             return
         now = self.network.now
@@ -210,7 +165,7 @@
 
     # What is measured.
 
-    def _heard(self, host: Host, effect: StateAdvanced) -> None:
+    def _on_advance(self, host: SimulatedMachine, effect: StateAdvanced) -> None:
         name, now = host.name, self.network.now
         if self.network.hosts[name] is not host:
             return
@@ -218,7 +173,7 @@
         if effect.revision <= seen:
             self.measured.broken.append(f"{name} went from {seen} to {effect.revision}")
         if seen:  # its first state is no measure of a change's time
-            times = [now - asked for asked in self.asked_at[seen : effect.revision]]
+            times = [now - proposed for proposed in self.proposed_at[seen : effect.revision]]
             if name in self.disturbed:
                 self.measured.times_disturbed += times
             else:
@@ -233,7 +188,7 @@
         self.network.at(self.network.now + 0.5, self._watch_over)
 
     def differing(self) -> list[str]:
-        """Return the followers that are there and hold another state than the log's."""
+        """Return the followers that run and hold another state than the log's."""
         state: dict[str, KeyValue] = {}
         for entry in self.log:
             if entry.value is None:
@@ -248,33 +203,21 @@
         ]
 
     def force_status(self, revision: int) -> ForceStatus:
-        """Return what the summaries at the voters say together."""
+        """Return the status from the summaries of all voters."""
         now = self.network.now
         summaries = [voter.server.summary(now) for voter in self.voters]
         return force_status(merge(summaries, 8, 16), revision, expected=len(self.followers))
 
-    def most_admissions(self, since: float) -> int:
-        """Return the most watches that one relay took within a second of the clock."""
-        taken = self.measured.admissions
-        return max(
-            (
-                count - taken[name, second - 1]
-                for (name, second), count in list(taken.items())
-                if second > since
-            ),
-            default=0,
-        )
-
     def disturb(self, chosen: Callable[[Follower], bool]) -> None:
         """Count these followers' times apart from now on."""
         self.disturbed |= {name for name, follower in self.followers.items() if chosen(follower)}
 
     def alive(self) -> int:
-        """Return how many followers are there."""
+        """Return how many followers run."""
         return sum(self.network.hosts[name].alive for name in self.followers)
 
     def behind(self, revision: int) -> int:
-        """Return how many followers that are there lack ``revision``."""
+        """Return how many running followers lack ``revision``."""
         return sum(
             follower.revision < revision
             for name, follower in self.followers.items()
@@ -287,7 +230,7 @@
         return sum(upstream is not None and upstream.name == relay for upstream in upstreams)
 
     def without_watch(self) -> int:
-        """Return how many followers that are there hold no watch."""
+        """Return how many running followers hold no watch."""
         return sum(
             follower.upstream is None
             for name, follower in self.followers.items()
@@ -298,9 +241,9 @@
         plan = self.plan
         return [Upstream(f"relay{n}", "", plan.location(n)) for n in range(plan.relays)]
 
-    def _voter(self, number: int) -> Voter:
+    def _voter(self, number: int) -> SimulatedVoter:
         name, location = f"voter{number}", self.plan.location(number)
         store = SourceStore(self.plan.kept_changes)
         rng = Random(self.rng.getrandbits(64))
         server = WatchServer(store, GENERATION, self.plan.server, rng, 0.0)
-        return Voter(store, server, server_host(self.network, name, location, server))
+        return SimulatedVoter(store, server, server_machine(self.network, name, location, server))
--- a/merlinbay/control/simulation/checker.py
+++ b/merlinbay/control/simulation/checker.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass
 
 from merlinbay.control.entries import ChangeApplied, ChangeRejected
-from merlinbay.control.simulation.history import Attempt, EntrySeen, History, LogSeen, Operation, StateSeen
+from merlinbay.control.simulation.history import (
+    EntrySeen,
+    History,
+    LogSeen,
+    Operation,
+    ProposalAttempt,
+    StateSeen,
+)
 from merlinbay.control.simulation.linearizability import Verdict, check_key
 
 FINAL_REASONS = ("conflict", "invalid")  # rejections that a repeat of the change cannot turn round
@@ -175,7 +182,7 @@
 def rejected_changes_have_no_effect(history: History) -> Iterator[str]:
     """Check that a change rejected for good, or by every attempt, is never applied."""
     values = {seen.entry.value for seen in history.applied}
-    by_change: dict[str, list[Attempt]] = defaultdict(list)
+    by_change: dict[str, list[ProposalAttempt]] = defaultdict(list)
     for attempt in history.attempts:
         by_change[attempt.change.change_id].append(attempt)
     for change_id, attempts in by_change.items():
@@ -202,7 +209,7 @@
     for operation in history.operations:
         change = operation.change
         # An open change that every attempt rejected, or that reached no voter, has no effect: another check.
-        if operation.complete or change is None or change.change_id in uncertain:
+        if operation.is_complete or change is None or change.change_id in uncertain:
             by_key[operation.key].append(operation)
     for key, operations in by_key.items():
         verdict = check_key(operations)
@@ -231,7 +238,7 @@
         if not final.admitted:
             yield f"{final.voter} has no vote at the end"
     last = [one for one in history.operations if one.client == "final"]
-    if not all(one.complete for one in last):
+    if not all(one.is_complete for one in last):
         yield "the log takes no changes or reads after the faults"
 
 
--- a/merlinbay/control/simulation/history.py
+++ b/merlinbay/control/simulation/history.py
@@ -1,7 +1,7 @@
-"""What a run of the simulation records: the operations of clients, and what voters and followers showed.
+"""The history of a run: the operations of clients, and the observed states of voters and followers.
 
-A history is plain data. The checks in ``checker`` judge it afterwards and know nothing of how it came about,
-so that tests can hand them histories made by hand.
+A history is plain data. The checks in ``checker`` judge it afterwards and know nothing of the simulation,
+so that tests can check histories made by hand.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from merlinbay.control.entries import Change, ChangeApplied, ChangeRejected, ChangeResult, KeyValue
 
 
-class Kind(Enum):
-    """What a client asked for."""
+class OperationKind(Enum):
+    """The kind of a client's operation."""
 
     CHANGE = "change"
     READ = "read"
@@ -29,7 +29,7 @@
     """
 
     client: str
-    kind: Kind
+    kind: OperationKind
     key: str
     invoked: float
     change: Change | None = None
@@ -38,14 +38,14 @@
     value: KeyValue | None = None  # of a read
 
     @property
-    def complete(self) -> bool:
-        """Whether the client knows the outcome."""
+    def is_complete(self) -> bool:
+        """Return whether the client knows the outcome."""
         return self.returned < math.inf
 
 
 @dataclass
-class Attempt:
-    """One change handed to one voter; ``result`` stays None where the voter stopped before it answered."""
+class ProposalAttempt:
+    """One change passed to one voter; ``result`` stays None if the voter stopped before its answer."""
 
     time: float
     voter: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class LeaderSeen:
-    """A voter that takes itself for the leader of a term, and the end of its log at that moment."""
+    """A voter that leads a term by its own account, and the last index of its log at that moment."""
 
     time: float
     voter: str
@@ -78,7 +78,7 @@
 class EntrySeen:
     """An entry in a voter's log. ``content`` identifies the payload.
 
-    ``voter_term`` is the voter's term: what it takes for committed was committed in that term or before.
+    ``voter_term`` is the voter's term: its committed entries were committed in that term or before.
     """
 
     time: float
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class FinalState:
-    """What a voter ends with, after all faults are over and some quiet time has passed."""
+    """The state of a voter at the end of the run."""
 
     voter: str
     revision: int
@@ -142,7 +142,7 @@
     """All records of one run, each list in the order of virtual time."""
 
     operations: list[Operation] = field(default_factory=list)
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[ProposalAttempt] = field(default_factory=list)
     leaders: list[LeaderSeen] = field(default_factory=list)
     votes: list[VoteSeen] = field(default_factory=list)
     entries: list[EntrySeen] = field(default_factory=list)
--- a/merlinbay/control/simulation/linearizability.py
+++ b/merlinbay/control/simulation/linearizability.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from merlinbay.control.entries import ChangeApplied, ChangeRejected
-from merlinbay.control.simulation.history import Kind, Operation
+from merlinbay.control.simulation.history import Operation, OperationKind
 
 MOST_CONFIGURATIONS = 200_000  # some 100 MB of visited configurations
 UNKNOWN = -1  # the revision of a change whose client never learned it
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Register:
+class KeyRegister:
     """The state of one key: its value (None where it does not exist) and the revision of its last change."""
 
     value: bytes | None = None
@@ -40,27 +40,27 @@
     return known == claimed or UNKNOWN in (known, claimed)
 
 
-def _after_read(register: Register, operation: Operation) -> Register | None:
+def _after_read(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     seen = operation.value
     if seen is None or seen.value is None:
         return register if register.value is None else None
     if seen.value != register.value or not _agrees(register.revision, seen.revision):
         return None
-    return Register(seen.value, seen.revision)
+    return KeyRegister(seen.value, seen.revision)
 
 
-def _matches_expectation(register: Register, expected: int) -> bool:
+def _matches_expectation(register: KeyRegister, expected: int) -> bool:
     if expected == 0:
         return register.value is None
     return register.value is not None and _agrees(register.revision, expected)
 
 
-def _after_conflict(register: Register, expected: int) -> Register | None:
+def _after_conflict(register: KeyRegister, expected: int) -> KeyRegister | None:
     certain = expected == 0 or register.revision != UNKNOWN
     return None if certain and _matches_expectation(register, expected) else register
 
 
-def _after_change(register: Register, operation: Operation) -> Register | None:
+def _after_change(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     change, result = operation.change, operation.result
     assert change is not None
     if isinstance(result, ChangeRejected):
@@ -70,13 +70,13 @@
     if change.expected_revision is not None and not _matches_expectation(register, change.expected_revision):
         return None
     if not isinstance(result, ChangeApplied):
-        return Register(change.value, UNKNOWN)
-    return Register(change.value, result.revision) if result.revision > register.revision else None
+        return KeyRegister(change.value, UNKNOWN)
+    return KeyRegister(change.value, result.revision) if result.revision > register.revision else None
 
 
-def step(register: Register, operation: Operation) -> Register | None:
+def step(register: KeyRegister, operation: Operation) -> KeyRegister | None:
     """Return the register after the operation, or None where the operation's outcome rules this out."""
-    if operation.kind is Kind.READ:
+    if operation.kind is OperationKind.READ:
         return _after_read(register, operation)
     return _after_change(register, operation)
 
@@ -84,11 +84,12 @@
 def check_key(operations: list[Operation], most: int = MOST_CONFIGURATIONS) -> Verdict:
     """Search an order of one key's operations that explains all outcomes."""
     ordered = sorted(
-        (one for one in operations if one.complete or one.kind is Kind.CHANGE), key=lambda one: one.invoked
+        (one for one in operations if one.is_complete or one.kind is OperationKind.CHANGE),
+        key=lambda one: one.invoked,
     )
-    must = sum(1 << number for number, one in enumerate(ordered) if one.complete)
-    stack = [(0, Register())]
-    visited: set[tuple[int, Register]] = set(stack)
+    must = sum(1 << number for number, one in enumerate(ordered) if one.is_complete)
+    stack = [(0, KeyRegister())]
+    visited: set[tuple[int, KeyRegister]] = set(stack)
     while stack:
         done, register = stack.pop()
         if done & must == must:
--- a/merlinbay/control/simulation/ports.py
+++ b/merlinbay/control/simulation/ports.py
@@ -1,4 +1,4 @@
-"""What the simulation needs of the consensus core, so that a stand-in can take its place in tests."""
+"""The interface of the simulation to the consensus core, so that tests can use a stand-in."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Protocol
 
-from merlinbay.control.effects import Effect
+from merlinbay.control.effects import VoterEffect
 from merlinbay.control.entries import Change, Delta, StateSnapshot
 
 
@@ -19,7 +19,7 @@
         """Return the revision of the last change applied."""
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after a revision, or None where that was compacted."""
+        """Return what changed after a revision, or None if they were compacted."""
 
 
 class VoterPort(Protocol):
@@ -50,15 +50,15 @@
     def transfer_leadership(self, now: float) -> None:
         """Hand the leadership to another voter."""
 
-    def storage_failed(self, now: float, dropped: Sequence[Effect] = ()) -> None:
-        """Give up: a record could not be made durable; the effects from it on are dropped."""
+    def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
+        """Stop taking part: a record could not be stored; the effects from it on are dropped."""
 
-    def take_effects(self) -> list[Effect]:
+    def take_effects(self) -> list[VoterEffect]:
         """Return the effects since the last call."""
 
 
 @dataclass(frozen=True)
-class LogEntry:
+class ObservedEntry:
     """An entry as the checks compare it."""
 
     index: int
@@ -67,8 +67,8 @@
 
 
 @dataclass(frozen=True)
-class Extent:
-    """How far a voter's log goes, and how far it is committed."""
+class LogExtent:
+    """The last entry and the commit index of a voter's log."""
 
     last_index: int
     last_term: int
@@ -77,17 +77,17 @@
 
 @dataclass(frozen=True)
 class LogView:
-    """A voter's log from ``first_index`` on; what is before was compacted into a snapshot."""
+    """A voter's log from ``first_index`` on; earlier entries are compacted."""
 
     term: int  # of the voter
     first_index: int
-    state_digest: str  # of all that is applied up to the commit index, ids of changes included
+    state_digest: str  # of the applied state, ids of changes included
     previous_term: int | None  # of the entry before the first one
-    entries: tuple[LogEntry, ...]
+    entries: tuple[ObservedEntry, ...]
 
 
 @dataclass(frozen=True)
-class Vote:
+class ObservedVote:
     """A vote that a voter gives; ``voter`` names its disk too."""
 
     voter: str
@@ -96,8 +96,8 @@
 
 
 @dataclass(frozen=True)
-class Boot:
-    """What a voter is started with."""
+class VoterStart:
+    """The arguments of a voter's start."""
 
     name: str
     first_voters: tuple[str, ...]  # the voters of the first configuration
@@ -107,14 +107,14 @@
 
 
 @dataclass(frozen=True)
-class Core:
+class CoreUnderTest:
     """The code under test: how to start a voter, and how to look into it."""
 
-    start: Callable[[Boot], VoterPort]
+    start: Callable[[VoterStart], VoterPort]
     snapshot: Callable[[VoterPort], StateSnapshot]
-    leading_term: Callable[[VoterPort], int | None]  # the term that the voter takes itself for the leader of
-    voters: Callable[[VoterPort], frozenset[str]]  # the configuration that the voter goes by
+    leading_term: Callable[[VoterPort], int | None]  # the term that the voter leads by its own account
+    voters: Callable[[VoterPort], frozenset[str]]  # of the voter's configuration
     admitted: Callable[[VoterPort], bool]  # whether its vote counts, with the disk that it has
-    extent: Callable[[VoterPort], Extent | None]  # None: it shows no log
+    extent: Callable[[VoterPort], LogExtent | None]  # None: it has no observable log
     log: Callable[[VoterPort, int], LogView]  # from an index on
-    vote: Callable[[str, bytes], Vote | None]  # what a message of a sender says, if it is a vote
+    vote: Callable[[str, bytes], ObservedVote | None]  # the vote in a message of a sender, if it is one
--- a/merlinbay/control/simulation/shrink.py
+++ b/merlinbay/control/simulation/shrink.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 
 from merlinbay.control.simulation.scenario import Scenario
-from merlinbay.control.simulation.world import Run
+from merlinbay.control.simulation.simulation import SimulationRun
 
-MOST_RUNS = 200
+MAX_RUNS = 200
 
 
 def _smaller(scenario: Scenario) -> Iterator[Scenario]:
@@ -26,10 +26,12 @@
         yield replace(scenario, followers=())
 
 
-def shrink(run: Run, play: Callable[[Scenario], Run], most_runs: int = MOST_RUNS) -> Run:
+def shrink(
+    run: SimulationRun, play: Callable[[Scenario], SimulationRun], max_runs: int = MAX_RUNS
+) -> SimulationRun:
     """Return the smallest run found that breaks the check that the given one broke first."""
     wanted = run.violations[0].check
-    left = most_runs
+    left = max_runs
     progress = True
     while progress and left > 0:
         progress = False
--- a/merlinbay/control/simulation/world.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One run: voters, clients and followers in virtual time, from a scenario to a history."""
+"""One simulation run: voters, clients and followers in virtual time, from a scenario to a history."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from merlinbay.control.effects import ProposalDone, ReadDone
 from merlinbay.control.entries import Change
 from merlinbay.control.simulation.checker import Violation, check
-from merlinbay.control.simulation.client import Client, OnAnswer
-from merlinbay.control.simulation.faults import Faults
-from merlinbay.control.simulation.follower import Follower, News
-from merlinbay.control.simulation.history import Attempt, History, Kind, Operation, VoteSeen
-from merlinbay.control.simulation.host import Host
-from merlinbay.control.simulation.machine import Clock
-from merlinbay.control.simulation.network import Network
+from merlinbay.control.simulation.client import OnAnswer, SimulatedClient
+from merlinbay.control.simulation.fault_injection import FaultInjector
+from merlinbay.control.simulation.follower import SimulatedFollower, StateUpdate
+from merlinbay.control.simulation.history import History, Operation, OperationKind, ProposalAttempt, VoteSeen
+from merlinbay.control.simulation.machine import SkewedClock
+from merlinbay.control.simulation.network import FaultyNetwork
 from merlinbay.control.simulation.observer import Observer
-from merlinbay.control.simulation.ports import Core, VoterPort
+from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort
+from merlinbay.control.simulation.process import SimulatedProcess
 from merlinbay.control.simulation.scenario import KEYS, Scenario
 from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
-FINAL = "final"  # the client that asks after the faults are over
-FINAL_EVERY = 6.0  # seconds for a change and a read; a spare knows no leader, so some tries go astray
-NEXT_MOVE_AFTER = 0.02  # seconds from the answer to a change of voters to the next one
-MOST_STEPS = 3000  # calls a second of virtual time; a sound run has some 150
+FINAL = "final"  # the client that checks every key after the faults are over
+FINAL_INTERVAL_S = 6.0  # for a change and a read; a spare knows no leader, so some attempts fail
+NEXT_MOVE_AFTER_S = 0.02  # from the answer to a change of voters to the next one
+MAX_STEPS_PER_S = 3000  # of virtual time; a correct run has some 150
 
 
 @dataclass(frozen=True)
-class Run:
-    """What came out of a run. ``fingerprint`` is equal for two runs that went the same way."""
+class SimulationRun:
+    """The result of a run. ``fingerprint`` is equal for two runs that went the same way."""
 
     scenario: Scenario
     history: History
@@ -42,28 +42,28 @@
     steps: int
 
 
-class World:
-    """All that a run consists of."""
+class ControlSimulation:
+    """The parts of one run."""
 
-    def __init__(self, scenario: Scenario, core: Core) -> None:
-        """Set everything up; ``run`` plays it."""
+    def __init__(self, scenario: Scenario, core: CoreUnderTest) -> None:
+        """Create all parts; ``run`` plays the scenario."""
         self.scenario = scenario
         self.core = core
-        self.scheduler = Scheduler(int(MOST_STEPS * (scenario.duration + scenario.quiet)))
+        self.scheduler = Scheduler(int(MAX_STEPS_PER_S * (scenario.duration + scenario.quiet)))
         self.history = History()
         self.lines: list[str] = []
         self.tokens = itertools.count(1)
         self.observer = Observer(core, self.history)
         regions = {**scenario.regions, FINAL: scenario.regions[scenario.voters[0]]}
-        self.network = Network(scenario.network, regions, self._random("network"))
+        self.network = FaultyNetwork(scenario.network, regions, self._random("network"))
         self.hosts = {name: self._host(name) for name in scenario.machines}
         think = scenario.think_time
         self.clients = [self._client(name, think) for name in scenario.clients]
-        self.final = self._client(FINAL, FINAL_EVERY)
+        self.final = self._client(FINAL, FINAL_INTERVAL_S)
         self.followers = [
-            Follower(name, self, self._random(name), scenario.voters) for name in scenario.followers
+            SimulatedFollower(name, self, self._random(name), scenario.voters) for name in scenario.followers
         ]
-        self.faults = Faults(
+        self.faults = FaultInjector(
             scenario,
             self.scheduler,
             self.network,
@@ -76,13 +76,13 @@
     def _random(self, purpose: str) -> Random:
         return Random(f"control {self.scenario.seed} {purpose}")
 
-    def _host(self, name: str) -> Host:
-        clock = Clock(*self.scenario.clocks[name])
+    def _host(self, name: str) -> SimulatedProcess:
+        clock = SkewedClock(*self.scenario.clocks[name])
         random, scenario = self._random(name), self.scenario
-        return Host(name, self.core, self, clock, random, scenario.voters, scenario.batches)
+        return SimulatedProcess(name, self.core, self, clock, random, scenario.voters, scenario.batches)
 
-    def _client(self, name: str, think_time: float) -> Client:
-        return Client(name, self, self._random(name), self.scenario.machines, think_time)
+    def _client(self, name: str, think_time: float) -> SimulatedClient:
+        return SimulatedClient(name, self, self._random(name), self.scenario.machines, think_time)
 
     def run(self) -> History:
         """Play the scenario; return its history."""
@@ -94,7 +94,7 @@
         return self.history
 
     def _run(self) -> None:
-        """Play the scenario, end the faults, and let the voters come to rest."""
+        """Play the scenario, end the faults, and let the voters settle."""
         scenario = self.scenario
         for host in self.hosts.values():
             host.start()
@@ -108,28 +108,30 @@
         for client in self.clients:
             client.stop()
         self.scheduler.run_until(scenario.duration + scenario.quiet / 2)
-        self._ask_finally()
+        self._check_keys_finally()
         self.scheduler.run_until(scenario.duration + scenario.quiet)
         leader = self.leader()
         names = self.core.voters(leader.voter) if leader is not None and leader.voter else scenario.voters
         self.observer.finish([self.hosts[name] for name in sorted(names)])
 
-    def _ask_finally(self) -> None:
-        """Write and read every key, one after the other, with a client that does not give up at a stop."""
+    def _check_keys_finally(self) -> None:
+        """Write and read every key with a client that goes on after its stop."""
         self.final.stop()
         for number, key in enumerate(KEYS):
-            self._finally(number * FINAL_EVERY, key, Change(f"{FINAL}/{key}", key, f"{FINAL}/{key}".encode()))
-            self._finally((number + 0.5) * FINAL_EVERY, key, None)
+            self._finally(
+                number * FINAL_INTERVAL_S, key, Change(f"{FINAL}/{key}", key, f"{FINAL}/{key}".encode())
+            )
+            self._finally((number + 0.5) * FINAL_INTERVAL_S, key, None)
 
     def _finally(self, after: float, key: str, change: Change | None) -> None:
-        kind = Kind.READ if change is None else Kind.CHANGE
+        kind = OperationKind.READ if change is None else OperationKind.CHANGE
 
         def begin() -> None:
             self.final.begin(Operation(FINAL, kind, key, self.scheduler.time, change))
 
         self.scheduler.after(after, begin)
 
-    def leader(self) -> Host | None:
+    def leader(self) -> SimulatedProcess | None:
         """Return the running voter that leads the highest term."""
         leading = [
             (term, host)
@@ -150,7 +152,7 @@
 
         def answered(done: ProposalDone | ReadDone) -> None:
             self.trace(f"change of voters: {done}")
-            self.scheduler.after(NEXT_MOVE_AFTER, partial(self.move_voters, choices[1:]))
+            self.scheduler.after(NEXT_MOVE_AFTER_S, partial(self.move_voters, choices[1:]))
 
         leader.change_voters(add, remove, next(self.tokens), answered)
 
@@ -195,46 +197,46 @@
         for delay in self.network.arrivals(voter, client):
             self.scheduler.after(delay, partial(on_answer, answer))
 
-    def request_news(
-        self, follower: str, voter: str, revision: int, on_answer: Callable[[News], None]
+    def request_update(
+        self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
-        """Ask a voter for what came after a revision; one that has nothing newer does not answer."""
+        """Ask a voter for the changes after a revision; it does not answer if it has none."""
 
         def call(running: VoterPort, now: float) -> None:
             if running.keyspace.revision <= revision:
                 return
-            news = running.keyspace.delta_after(revision) or self.core.snapshot(running)
+            update = running.keyspace.delta_after(revision) or self.core.snapshot(running)
             for delay in self.network.arrivals(voter, follower):
-                self.scheduler.after(delay, lambda: on_answer(news))
+                self.scheduler.after(delay, lambda: on_answer(update))
 
         for delay in self.network.arrivals(follower, voter):
             self.scheduler.after(delay, lambda: self.hosts[voter].give(call))
 
-    def observe(self, host: Host) -> None:
+    def observe(self, host: SimulatedProcess) -> None:
         """Record what is new at a voter."""
         line = self.observer.observe(host, self.scheduler.time)
         if line:
             self.trace(line)
 
-    def attempted(self, attempt: Attempt) -> None:
+    def attempted(self, attempt: ProposalAttempt) -> None:
         """Record that a change was handed to a voter."""
         self.history.attempts.append(attempt)
 
-    def failed(self, host: Host, problem: str) -> None:
+    def failed(self, host: SimulatedProcess, problem: str) -> None:
         """Record an exception of the code under test."""
         self.trace(f"{host.name} fails: {problem}")
         self.history.failures.append(f"{host.name} at {self.scheduler.time:.3f}: {problem}")
 
     def trace(self, text: str) -> None:
-        """Note what happens."""
+        """Add a line to the trace."""
         self.lines.append(f"{self.scheduler.time:9.3f} {text}")
 
 
-def play(scenario: Scenario, core: Core) -> Run:
+def play(scenario: Scenario, core: CoreUnderTest) -> SimulationRun:
     """Play a scenario and check its history."""
-    world = World(scenario, core)
+    world = ControlSimulation(scenario, core)
     history = world.run()
     violations = check(history)
     text = "\n".join([*world.lines, repr(history.states), repr(history.entries), repr(history.operations)])
     fingerprint = hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
-    return Run(scenario, history, violations, world.lines, fingerprint, world.scheduler.steps)
+    return SimulationRun(scenario, history, violations, world.lines, fingerprint, world.scheduler.steps)
