--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -9,7 +9,7 @@
 from merlinbay.core.attempts import Responder
 from merlinbay.core.values import EndpointView, ExitDetails, RequestSpec, ServiceEntry
 from merlinbay.decision.events import CallFailure
-from merlinbay.decision.learned import Learned
+from merlinbay.decision.handover_snapshot import HandoverSnapshot
 from merlinbay.decision.outcomes import Outcome
 
 
@@ -152,7 +152,7 @@
 class SnapshotRequested(msgspec.Struct, frozen=True):
     """The process that is to take this one's place asks what the module has learned."""
 
-    told: Callable[[Learned], None]
+    told: Callable[[HandoverSnapshot], None]
 
 
 class CallbackRelayed(msgspec.Struct, frozen=True):
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -6,7 +6,8 @@
 
 from merlinbay.core.messages import AttemptFinished, AttemptProgress, AttemptStarted
 from merlinbay.core.values import ServiceEntry
-from merlinbay.decision.learned import Learned, LearnedWorker
+from merlinbay.decision.handover_snapshot import HandoverSnapshot
+from merlinbay.handover.snapshot_codec import EncodedEndpoint, EncodedSnapshot, to_encoded
 
 SPEAKS = 1  # raised when words change their meaning; another number's process is not replaced but stopped
 PART = 200  # entries, or workers, in one packet
@@ -22,14 +23,14 @@
     """Some of what is known of real servers."""
 
     entries: list[ServiceEntry] = []
-    workers: list[LearnedWorker] = []
+    workers: list[EncodedEndpoint] = []
 
 
 class Whole(msgspec.Struct, tag=True, frozen=True):
     """The rest of it; with it the old process has told all."""
 
     version: int | None  # of discovery's list
-    learned: Learned  # without the workers, which came in parts
+    learned: EncodedSnapshot  # without the workers, which came in parts
     away: bool  # whether clients are sent away
     clock_us: int = 0  # the clock of all times in it; 0: an older program, which does not tell
 
@@ -71,11 +72,15 @@
 
 
 def told(
-    version: int | None, entries: list[ServiceEntry], learned: Learned, away: bool, clock_us: int = 0
+    version: int | None,
+    entries: list[ServiceEntry],
+    snapshot: HandoverSnapshot,
+    away: bool,
+    clock_us: int = 0,
 ) -> list[Word]:
     """Return the words that tell all, in packets of a bounded size."""
-    workers = learned.workers
+    learned = to_encoded(snapshot)
+    workers, learned.endpoints = learned.endpoints, []
     words: list[Word] = [Part(entries=entries[at : at + PART]) for at in range(0, len(entries), PART)]
     words += [Part(workers=workers[at : at + PART]) for at in range(0, len(workers), PART)]
-    bare = Learned(learned.load, learned.kinds, learned.classes, learned.banned)
-    return [*words, Whole(version, bare, away, clock_us)]
+    return [*words, Whole(version, learned, away, clock_us)]
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -24,9 +24,10 @@
 )
 from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
-from merlinbay.decision.learned import Learned
+from merlinbay.decision.handover_snapshot import HandoverSnapshot
 from merlinbay.handover import control_socket, messages
 from merlinbay.handover.control_socket import ControlSocket
+from merlinbay.handover.snapshot_codec import from_encoded
 from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Connection
 from merlinbay.http.server import Listener
@@ -42,7 +43,7 @@
 
     version: int | None
     away: bool
-    learned: Learned
+    learned: HandoverSnapshot
     clock_us: int  # the predecessor's clock as it told; 0: it has not told
     entries: list[ServiceEntry] = field(default_factory=list)
 
@@ -102,9 +103,10 @@
                     parts.workers.extend(word.workers)
                 elif isinstance(word, messages.Whole):
                     self.predecessor = end
-                    word.learned.workers = parts.workers
-                    self.log.event("inherited", entries=len(parts.entries), banned=len(word.learned.banned))
-                    return Inherited(word.version, word.away, word.learned, word.clock_us, parts.entries)
+                    word.learned.endpoints = parts.workers
+                    snapshot, disabled = from_encoded(word.learned), word.learned.disabled_since_us
+                    self.log.event("inherited", entries=len(parts.entries), banned=len(disabled))
+                    return Inherited(word.version, word.away, snapshot, word.clock_us, parts.entries)
         # Guards against a start that hangs on an old process: without its word the new one starts alone.
         self.log.event("not_inherited", level="warning", path=self.path)
         sock.close()
@@ -169,9 +171,9 @@
             self.log.event("successor_refused", level="warning", said=ascii(heard)[:80])
             return
 
-        def told(learned: Learned) -> None:
+        def told(snapshot: HandoverSnapshot) -> None:
             # Called in the owner's turn: bans after it are passed on behind what is told here.
-            for word in messages.told(*listing(), learned, self.attendance.away, self.clock.now_us()):
+            for word in messages.told(*listing(), snapshot, self.attendance.away, self.clock.now_us()):
                 end.post(word)
             self.successor = end
 
