--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -21,7 +21,8 @@
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
-from merlinbay.node import log_for, run
+from merlinbay.node import run
+from merlinbay.node_components import open_log
 
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
@@ -94,7 +95,7 @@
     directory_sock: trio.socket.SocketType,
 ) -> None:
     """Run all of it in one nursery, until the node ends."""
-    limits, log, clock = config.limits, log_for(config), Clock()
+    limits, log, clock = config.limits, open_log(config), Clock()
     async with trio.open_nursery() as nursery:
         rows = []
         for number in range(1, executors + 1):
--- /dev/null
+++ b/merlinbay/node_signals.py
@@ -0,0 +1,100 @@
+"""Signals of a node: reload on SIGHUP, counters on SIGUSR1, graceful shutdown on SIGTERM and SIGINT."""
+
+from __future__ import annotations
+
+import signal
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import trio
+
+from merlinbay.config import Config, reload
+from merlinbay.core.messages import DiscoveryReloaded, Message, ShutdownRequested
+from merlinbay.counters import Counters
+from merlinbay.errors import ConfigurationError, address
+from merlinbay.http.server import Listener
+from merlinbay.log import Log
+from merlinbay.node_components import OptionalComponents
+from merlinbay.platform.discovery import Discovery
+
+if TYPE_CHECKING:
+    from merlinbay.dnssd.directory import DnsSdDirectory
+
+pending_sigterms: list[int] = []  # SIGTERMs that arrived before trio's receiver opened, or after it closed
+
+
+@dataclass
+class SignalHandler:
+    """Handles the signals of one node."""
+
+    config: Config
+    listener: Listener
+    discovery: Discovery | DnsSdDirectory
+    inbox: trio.MemorySendChannel[Message]
+    nursery: trio.Nursery  # the node's: its deadline is the latest end of the shutdown
+    counters: Counters
+    log: Log
+    optional: OptionalComponents
+
+    async def run(self) -> None:
+        """Handle signals until cancelled. Only the first SIGTERM or SIGINT starts the shutdown."""
+        with trio.open_signal_receiver(
+            signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1
+        ) as received:
+            is_stopping = bool(pending_sigterms)
+            if (
+                is_stopping
+            ):  # Guards against a SIGTERM during the start that is lost: the node would serve on.
+                self.nursery.start_soon(self.shut_down)
+            async for number in received:
+                if number == signal.SIGUSR1:
+                    self.counters.print()
+                elif number == signal.SIGHUP:
+                    await self._reload()
+                elif not is_stopping:
+                    is_stopping = True
+                    self.nursery.start_soon(self.shut_down)
+
+    async def _reload(self) -> None:
+        """Read the configuration again; one that cannot be used is logged and changes nothing."""
+        try:
+            new = reload(self.config)
+            self.optional.reload()
+        except ConfigurationError as error:
+            self.counters.add("reloads_bad")
+            self.log.event("reload_failed", level="warning", error=str(error), kept="the old configuration")
+            return
+        has_moved = self._move_discovery(new)
+        self.counters.add("reloads")
+        self.log.event("reloaded", discovery=new.discovery, moved=has_moved)
+        await self.inbox.send(DiscoveryReloaded(self.config.limits.reload_told_us, has_moved))
+
+    def _move_discovery(self, new: Config) -> bool:
+        """Move the watch to the configured address; return whether the dispatcher has to subscribe there."""
+        if isinstance(self.discovery, Discovery):
+            return self.discovery.move(new.discovery)
+        if new.operator is not None and new.operator.dnssd is not None:
+            self.discovery.move(address(new.operator.dnssd.nameserver), new.operator.dnssd.service)
+        return False
+
+    async def shut_down(self) -> None:
+        """Serve on while clients still arrive, then reject new requests and end with the last answer."""
+        limits = self.config.limits
+        began = trio.current_time()
+        self.nursery.cancel_scope.deadline = began + limits.stop_most
+        if self.optional.fleet is not None:
+            self.optional.fleet.leaving()
+        if self.optional.takeover is not None and await self.optional.takeover.leave():
+            await self.inbox.send(ShutdownRequested())
+            return
+        await trio.sleep(limits.stop_arrivals)
+        self.listener.leaving = True
+        if self.config.settings.balancers > 1:
+            # Guards against rejecting clients that another node could serve: their connections are closed
+            # before rejection begins, and their new connections reach another node.
+            await trio.sleep_until(began + limits.stop_serving - limits.stop_retiring)
+            self.listener.close_idle()
+        await trio.sleep_until(began + limits.stop_serving)
+        self.optional.stop()  # before connections close: waiting calls are answered on their own connections
+        self.listener.close_idle()
+        await self.inbox.send(ShutdownRequested())
--- a/tests/duplicate_world.py
+++ b/tests/duplicate_world.py
@@ -23,10 +23,9 @@
 import trio
 
 from merlinbay import clock as clock_module
-from merlinbay import node
-from merlinbay.config import Config, load
+from merlinbay import node, node_signals
+from merlinbay.config import load
 from merlinbay.counters import Counters
-from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from tests.duplicate_case import Case, Disturbance, DrawnDisturbance, DrawnJob, Fault, draw, milliseconds
 from tests.duplicate_executor import HOST, Message, SimulatedExecutor, read_message, response
@@ -142,20 +141,10 @@
 
     switches: dict[str, trio.Event] = field(default_factory=dict)
 
-    async def signals(
-        self,
-        config: Config,
-        listener: Listener,
-        discovery: object,
-        inbox: trio.MemorySendChannel[Any],
-        nursery: trio.Nursery,
-        counters: Counters,
-        log: Log,
-        sides: node.Sides,
-    ) -> None:
+    async def wait_and_stop(self, handler: node_signals.SignalHandler) -> None:
         """Stop the node as SIGTERM would."""
-        await self.switches[config.name].wait()
-        await node.stop(config, listener, inbox, nursery, sides)
+        await self.switches[handler.config.name].wait()
+        await handler.shut_down()
 
 
 class DuplicateWorld:
@@ -383,8 +372,8 @@
     trio.socket.set_custom_socket_factory(SlowSockets(network))
     with (
         patch.object(clock_module, "time", unix),
-        patch.object(node, "signals", switches.signals),
-        patch.object(node, "log_for", lambda config: Log(0)),
+        patch.object(node_signals.SignalHandler, "run", lambda handler: switches.wait_and_stop(handler)),
+        patch.object(node, "open_log", lambda config: Log(0)),
     ):
         yield
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 import trio
 import trio.testing
 
-from merlinbay import node
+from merlinbay import node, node_signals
 from merlinbay.clock import Clock
 from merlinbay.config import load
 from merlinbay.core.attempts import Responder
@@ -604,7 +604,7 @@
         async with stage(tmp_path) as at:
             at.add("s")
             quick = [{**CONF["classes"][0], "deadlineUs": 200_000}]
-            monkeypatch.setattr(node, "early", [signal.SIGTERM])
+            monkeypatch.setattr(node_signals, "pending_sigterms", [signal.SIGTERM])
             await node.run(load(at.configure(classes=quick)), Counters())
 
     play(scene)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -20,7 +20,7 @@
         "scale",
         "capacity",
     },
-    {"node", "simhost"},
+    {"node", "node_components", "node_signals", "simhost"},
     {"config"},
     {"operator_file"},
     {"platform", "drmaa", "fleet", "handover", "control_service"},
