--- a/merlinbay/__main__.py
+++ b/merlinbay/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m merlinbay``: one node; with arguments the command line, of which else nothing is imported."""
+"""``python -m merlinbay`` runs one node; with arguments it is the command line, imported only then."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Serve; with arguments, hand over to the command line."""
+    """Run a node; with arguments, run the command line."""
     if len(sys.argv) > 1:
         from merlinbay.cli.main import main as command_line
 
--- a/merlinbay/cli/operate.py
+++ b/merlinbay/cli/operate.py
@@ -8,7 +8,7 @@
 import click
 
 from merlinbay.cli.caller import OTHER, UNREACHABLE
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 
 MOST = 4096  # bytes of an answer
 
@@ -21,7 +21,7 @@
 def operate(at: str, timeout: float, call: str, id: str) -> None:
     """Make one CALL: status, standby, active, maint-on ID, maint-off ID."""
     try:
-        with socket.create_connection(address(at), timeout=timeout) as sock:
+        with socket.create_connection(parse_address(at), timeout=timeout) as sock:
             sock.sendall(f"{call} {id}".strip().encode() + b"\n")
             answer = b""
             while b"\n" not in answer and len(answer) < MOST and (more := sock.recv(MOST)):
--- a/merlinbay/config.py
+++ b/merlinbay/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the platform's environment and configuration file."""
+"""A node's configuration: environment variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 from merlinbay.core.values import NodeIdentity
 from merlinbay.decision.settings import Settings
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.limits import ResourceLimits, limits_from
 from merlinbay.platform import messages
 from merlinbay.site_settings import settings_from
 
 if TYPE_CHECKING:
+    from merlinbay.drmaa.settings import Drmaa
     from merlinbay.operator_file import Operator
 
 
-class Bounds(msgspec.Struct):
-    """The ``limits`` of the file."""
+class FileLimits(msgspec.Struct):
+    """The ``limits`` of the configuration file: what the platform grants the process."""
 
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
 
 
-class File(msgspec.Struct):
+class ConfigurationFile(msgspec.Struct):
     """The configuration file."""
 
     name: str
@@ -38,7 +39,7 @@
     discovery: str
     settings: dict[str, Any]
     seed: str = "0"
-    limits: Bounds = msgspec.field(default_factory=Bounds)
+    limits: FileLimits = msgspec.field(default_factory=FileLimits)
     known: messages.Listing = msgspec.field(default_factory=lambda: messages.Listing(0, True, []))
     admin_addr: str = ""
 
@@ -49,86 +50,91 @@
 
     name: str
     listen: tuple[str, int]
-    discovery: str
+    discovery: str  # the address, as text
     seed: int
-    known: messages.Listing
+    initial_list: messages.Listing  # the endpoint list until discovery has answered
     settings: Settings
     limits: ResourceLimits
-    operator: Operator | None = None  # without one, everything beside the platform's protocol is off
-    admin: tuple[str, int] | None = None  # where operators call
+    operator: Operator | None = None  # None: every optional component is off
+    admin: tuple[str, int] | None = None  # the address of the admin listener; None: there is none
 
-    def facts(self) -> NodeIdentity:
-        """Return what the parts of an operator's file are told."""
+    def identity(self) -> NodeIdentity:
+        """Return what optional components need to know of the node."""
         return NodeIdentity(self.name, self.listen, self.settings, self.limits)
 
 
-def operator_file(path: str) -> Operator | None:
-    """Read the operator's file, if there is one."""
-    if not path:
-        return None
-    from merlinbay.operator_file import (
-        read,  # Guards against a slow start: without a file, nothing of it is used.
-    )
-
-    return read(path)
-
-
 def load(environ: Mapping[str, str] = os.environ) -> Config:
     """Read the configuration. Raises ``ConfigurationError``."""
     path = environ.get("LB_CONFIG", "")
     if not path:
         raise ConfigurationError("LB_CONFIG is not set")
-    try:
-        file = msgspec.json.decode(Path(path).read_bytes(), type=File)
-    except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from None
-    except (msgspec.DecodeError, RecursionError) as error:
-        raise ConfigurationError(f"{path}: {error}") from None
+    file = _read_file(path)
     try:
         settings = settings_from(file.settings)
         seed = int(file.seed, 16)
-        extra = file.settings.get("limits", {})
-        limits = limits_from(
-            file.limits.sockets,
-            file.limits.memory_mb,
-            settings,
-            int(extra.get("dialTimeoutUs") or 0),
-            int(extra.get("keepaliveUs") or 0),
-            int(extra.get("mostHeld") or ResourceLimits.most_held),
-        )
+        limits = _limits_for(file, settings)
     except (ValueError, TypeError, OverflowError) as error:
         raise ConfigurationError(f"{path}: {error}") from None
     admin_text = environ.get("LB_ADMIN_ADDR") or file.admin_addr
-    admin = address(admin_text) if admin_text else None
-    limits = replace(limits, accept_fd=accept_fd(environ.get("LB_ACCEPT_FD", "")))
-    listen = address(environ.get("LB_LISTEN", file.listen))
+    admin = parse_address(admin_text) if admin_text else None
+    limits = replace(limits, accept_fd=read_accept_fd(environ.get("LB_ACCEPT_FD", "")))
+    listen = parse_address(environ.get("LB_LISTEN", file.listen))
     discovery = environ.get("LB_DISCOVERY", file.discovery)
-    address(discovery)
-    operator = operator_file(environ.get("LB_OPERATOR", ""))
+    parse_address(discovery)  # raises where it is none
+    operator = read_operator_file(environ.get("LB_OPERATOR", ""))
     if operator is not None and operator.drmaa.front:
-        limits = replace(limits, body_bytes=max(limits.body_bytes, operator.drmaa.body_kib * 1024))
-        if operator.drmaa.access.tls:  # two listeners share the descriptors
-            limits = replace(
-                limits,
-                edge_connections=limits.edge_connections // 2,
-                most_held=min(limits.most_held, limits.edge_connections * 3 // 8),
-                waits=max(limits.waits // 2, 1),
-            )
-    return Config(
-        environ.get("LB_NAME", file.name),
-        listen,
-        discovery,
-        seed,
-        file.known,
+        limits = _share_with_front(limits, operator.drmaa)
+    name = environ.get("LB_NAME", file.name)
+    return Config(name, listen, discovery, seed, file.known, settings, limits, operator, admin)
+
+
+def _read_file(path: str) -> ConfigurationFile:
+    """Read the configuration file. Raises ``ConfigurationError``."""
+    try:
+        return msgspec.json.decode(Path(path).read_bytes(), type=ConfigurationFile)
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise ConfigurationError(f"{path}: {error}") from None
+
+
+def _limits_for(file: ConfigurationFile, settings: Settings) -> ResourceLimits:
+    """Return the resource limits that follow from the file."""
+    extra = file.settings.get("limits", {})
+    return limits_from(
+        file.limits.sockets,
+        file.limits.memory_mb,
         settings,
+        int(extra.get("dialTimeoutUs") or 0),
+        int(extra.get("keepaliveUs") or 0),
+        int(extra.get("mostHeld") or ResourceLimits.most_held),
+    )
+
+
+def _share_with_front(limits: ResourceLimits, drmaa: Drmaa) -> ResourceLimits:
+    """Return the limits of a node that also runs the DRMAA front."""
+    limits = replace(limits, body_bytes=max(limits.body_bytes, drmaa.body_kib * 1024))
+    if not drmaa.access.tls:
+        return limits
+    return replace(  # two listeners share the descriptors
         limits,
-        operator,
-        admin,
+        edge_connections=limits.edge_connections // 2,
+        most_held=min(limits.most_held, limits.edge_connections * 3 // 8),
+        waits=max(limits.waits // 2, 1),
     )
 
 
-def accept_fd(text: str) -> int:
-    """Read which descriptor listens for clients, -1 for none. Raises ``ConfigurationError``."""
+def read_operator_file(path: str) -> Operator | None:
+    """Read the operator's file; None: no path is set. Raises ``ConfigurationError``."""
+    if not path:
+        return None
+    from merlinbay.operator_file import read  # Guards against a slow start where there is no such file.
+
+    return read(path)
+
+
+def read_accept_fd(text: str) -> int:
+    """Return the descriptor of the inherited listening socket, -1 for none. Raises ``ConfigurationError``."""
     if not text:
         return -1
     try:
@@ -141,20 +147,15 @@
 
 
 def reload(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration again.
+    """Read the configuration again; the file's ``discovery`` counts, and ``LB_DISCOVERY`` does not.
 
-    Raises ``ConfigurationError``, also where what only a restart can change differs.
-
-    The file's ``discovery`` counts, whatever the environment said at the start.
+    Raises ``ConfigurationError``, also for a change that needs a restart.
     """
     new = load({name: value for name, value in environ.items() if name != "LB_DISCOVERY"})
-    was, now = old.operator, new.operator
-    if (
-        was is not None
-        and now is not None
-        and ((now.dnssd is None) != (was.dnssd is None) or now.drmaa != was.drmaa)
-    ):
-        raise ConfigurationError(
-            "the operator's file: fronts and the kind of discovery change by a restart only"
-        )
+    if old.operator is not None and new.operator is not None:
+        has_other_discovery = (new.operator.dnssd is None) != (old.operator.dnssd is None)
+        if has_other_discovery or new.operator.drmaa != old.operator.drmaa:
+            raise ConfigurationError(
+                "the operator's file: fronts and the kind of discovery change by a restart only"
+            )
     return new
--- a/merlinbay/control_service/process.py
+++ b/merlinbay/control_service/process.py
@@ -29,7 +29,7 @@
 from merlinbay.control_service.transport import Endpoint, listen_at
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.counters import Counters
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
@@ -226,7 +226,7 @@
     if not file.operator:
         return
     listener = Listener(Routes([("/control", calls)]), CALL_LIMITS, counters, log)
-    host, port = address(file.operator)
+    host, port = parse_address(file.operator)
     try:
         sock = await listener.bind(host, port)
     except OSError as error:
@@ -268,7 +268,7 @@
     """Return the log that the file asks for."""
     if file.log.format == "plain":
         return Log(file.log.lines)
-    from merlinbay.events import EventLog
+    from merlinbay.event_log import EventLog
 
     return EventLog(file.log.lines, file.log.format, file.log.level, file.name)
 
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from merlinbay.control.fanout.topology import Location, Upstream
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.settings import Name, Seconds
 from merlinbay.fleet.wire import Keys
 
@@ -103,7 +103,7 @@
 
     def bind_address(self) -> str:
         """Return the local address of its own connections."""
-        return self.bind or (address(self.listen)[0] if self.listen else "")
+        return self.bind or (parse_address(self.listen)[0] if self.listen else "")
 
 
 def load_keys(path: str) -> Keys:
@@ -166,7 +166,7 @@
 def _address_problem(key: str, value: str) -> str:
     try:
         if value:
-            address(value)
+            parse_address(value)
     except ConfigurationError as error:
         return f"{key}: {error}"
     return ""
--- a/merlinbay/control_service/transport.py
+++ b/merlinbay/control_service/transport.py
@@ -26,7 +26,7 @@
     seal_greeting,
 )
 from merlinbay.control_service.traffic import Traffic
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.wire import Keys, MessageRejectedError
 
 GREETING_BYTES = 1024
@@ -64,7 +64,7 @@
         with trio.fail_after(limits.connect):
             if endpoint.bind:
                 await sock.bind((endpoint.bind, 0))
-            await sock.connect(address(target))
+            await sock.connect(parse_address(target))
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
         stream = trio.SocketStream(sock)
         with trio.fail_after(limits.handshake):
@@ -148,7 +148,7 @@
     sock = trio.socket.socket()
     try:
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
-        await sock.bind(address(target))
+        await sock.bind(parse_address(target))
         sock.listen(BACKLOG)
     except BaseException:
         sock.close()
--- a/merlinbay/counters.py
+++ b/merlinbay/counters.py
@@ -1,4 +1,4 @@
-"""What the node takes in, sends and answers, counted by name."""
+"""Counters by name of what the node receives, sends and answers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, number: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self.counts[name] += number
 
     def print(self) -> None:
-        """Print all counts on one line of standard error."""
+        """Print all counters on one line of standard error."""
         counts = " ".join(f"{name}={number}" for name, number in sorted(self.counts.items()))
         print(f"merlinbay: counters {counts}", file=sys.stderr, flush=True)
--- a/merlinbay/dnssd/wiring.py
+++ b/merlinbay/dnssd/wiring.py
@@ -8,7 +8,7 @@
 from merlinbay.counters import Counters
 from merlinbay.dnssd.directory import DnsSdDirectory
 from merlinbay.dnssd.settings import DnsSd
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -21,4 +21,4 @@
     log: Log,
 ) -> DnsSdDirectory:
     """Make the directory. Raises ``BadConfig``."""
-    return DnsSdDirectory(address(section.nameserver), section.service, inbox, limits, counters, log)
+    return DnsSdDirectory(parse_address(section.nameserver), section.service, inbox, limits, counters, log)
--- a/merlinbay/drmaa/calls.py
+++ b/merlinbay/drmaa/calls.py
@@ -259,7 +259,7 @@
         self.counters.add("drmaa_jobs_taken")
         job = self.engine.submit(session, what, incoming.now, call)
         log = self.front.log
-        if log.debug:
+        if log.writes_debug:
             log.event("job_taken", level="debug", job=job.id, session=session.name, account=what.account)
         return taken(job) if session.backlog is not None else call
 
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -92,7 +92,7 @@
         else:
             exception, note = self._why_failed(ending, now)
             front.engine.failed(job, exception, note, now, ending.exit_status, ending.signal, ending.output)
-        if front.log.debug:
+        if front.log.writes_debug:
             front.log.event(
                 "job_ended" if job.ended else "job_refused",
                 level="debug",
--- a/merlinbay/drmaa/wiring.py
+++ b/merlinbay/drmaa/wiring.py
@@ -14,7 +14,7 @@
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.servers import DrmaaServers, NotificationHandler
 from merlinbay.drmaa.settings import Drmaa
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
 from merlinbay.http.routes import Routes
@@ -56,7 +56,7 @@
             log.event("front_open", level="warning", says="everybody may do everything on the front")
         if settings.front and access.tls:
             self.handshakes = self._certificates()
-        own = (facts.listen, address(access.tls)) if access.tls else (facts.listen,)
+        own = (facts.listen, parse_address(access.tls)) if access.tls else (facts.listen,)
         self.front = (
             DrmaaFront(
                 inbox,
@@ -123,7 +123,7 @@
             return
         listener = Listener(Routes([("/drmaa2", self.front)]), limits, self.counters, self.log)
         listener.prepare = self.handshakes
-        host, port = address(self.settings.access.tls)
+        host, port = parse_address(self.settings.access.tls)
         try:
             sock = await listener.bind(host, port)
         except OSError as error:
--- a/merlinbay/errors.py
+++ b/merlinbay/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with what a node was told, and how addresses are written."""
+"""The error of an unusable configuration, and the addresses that a configuration names."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
     """The configuration cannot be used; the text is one plain line."""
 
 
-def address(text: str) -> tuple[str, int]:
-    """Read ``host:port``. Raises ``ConfigurationError``."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Return host and port of ``host:port``. Raises ``ConfigurationError``."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ConfigurationError(f"not an address: {text!r}")
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -8,7 +8,7 @@
 import trio
 
 from merlinbay.counters import Counters
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet import wire
 from merlinbay.fleet.agreeing import VoteNotStoredError
 from merlinbay.fleet.effects import Event, Exchange
@@ -27,7 +27,7 @@
     def __init__(
         self, view: View, listen: str, seeds: Callable[[], list[str]], counters: Counters, log: Log
     ) -> None:
-        self.view, self.listen, self.read_seeds = view, address(listen), seeds
+        self.view, self.listen, self.read_seeds = view, parse_address(listen), seeds
         self.counters, self.log = counters, log
         self.changed: list[Callable[[], None]] = []  # called after anything that may have changed the view
         self.events: list[Event] = []
@@ -86,7 +86,7 @@
 
     async def _send(self, addr: str, data: bytes) -> None:
         try:
-            await self.udp.sendto(data, address(addr))
+            await self.udp.sendto(data, parse_address(addr))
         except (OSError, ConfigurationError):  # a member with an odd address, or a network that is not there
             self.counters.add("fleet_sends_failed")
 
@@ -111,7 +111,7 @@
                 try:
                     with trio.socket.socket() as sock:
                         await sock.bind((self.listen[0], 0))
-                        await sock.connect(address(effect.addr))
+                        await sock.connect(parse_address(effect.addr))
                         stream = trio.SocketStream(sock)
                         await stream.send_all(LENGTH.pack(len(effect.data)) + effect.data)
                         answer = await self._read(stream)
--- a/merlinbay/fleet/wiring.py
+++ b/merlinbay/fleet/wiring.py
@@ -15,7 +15,7 @@
 from merlinbay.core.messages import BalancersChanged, Message
 from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.agreeing import AgreeingView
 from merlinbay.fleet.boots import disk_of, load_kept, next_boot, store_kept
 from merlinbay.fleet.control import FleetControl
@@ -125,7 +125,7 @@
             listener = Listener(
                 Routes([("/fleet", FleetControl(self.net))]), self.facts.limits, self.counters, self.log
             )
-            host, port = address(self.section.control)
+            host, port = parse_address(self.section.control)
             try:
                 sock = await listener.bind(host, port)
             except OSError as error:
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -118,7 +118,7 @@
         inherited = await self.optional.takeover.inherit()
         if inherited is not None and inherited.clock_us:
             # Guards against a wall clock stepped between the two starts: running timeouts would be off by it.
-            self.clock.carry_on(inherited.clock_us)
+            self.clock.continue_from(inherited.clock_us)
         return inherited
 
     def _start_dispatcher(
@@ -140,7 +140,7 @@
         if self.optional.fleet is not None:
             self.optional.fleet.gauges = dispatcher.gauges
         if inherited is None:
-            dispatcher.turn([EndpointListReceived("remembered", messages.entries(config.known))])
+            dispatcher.turn([EndpointListReceived("remembered", messages.entries(config.initial_list))])
             return dispatcher
         notified_in_us = config.limits.inherit_told_us
         if isinstance(discovery, Discovery):
--- a/merlinbay/node_components.py
+++ b/merlinbay/node_components.py
@@ -62,11 +62,11 @@
     # Guards against a slow start: without an operator's file, none of these modules is imported.
     from merlinbay.drmaa.wiring import wire as wire_drmaa
 
-    components.drmaa = wire_drmaa(operator.drmaa, config.facts(), inbox, clock, counters, log)
+    components.drmaa = wire_drmaa(operator.drmaa, config.identity(), inbox, clock, counters, log)
     if operator.fleet.listen:
         from merlinbay.fleet.wiring import wire as wire_fleet
 
-        components.fleet = wire_fleet(operator.fleet, config.facts(), inbox, counters, log)
+        components.fleet = wire_fleet(operator.fleet, config.identity(), inbox, counters, log)
     return components
 
 
@@ -87,7 +87,7 @@
     if inherited is not None:
         version, entries = inherited.version, inherited.entries
     else:
-        version, entries = config.known.version, messages.entries(config.known)
+        version, entries = config.initial_list.version, messages.entries(config.initial_list)
     return Discovery(
         config.discovery,
         version,
@@ -106,6 +106,6 @@
     section = config.operator.log if config.operator is not None else None
     if section is None or section.format == "plain":
         return Log(config.limits.log_lines)
-    from merlinbay.events import EventLog
+    from merlinbay.event_log import EventLog
 
     return EventLog(section.lines, section.format, section.level, config.name)
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -11,7 +11,7 @@
 from merlinbay.config import Config, reload
 from merlinbay.core.messages import DiscoveryReloaded, Message, ShutdownRequested
 from merlinbay.counters import Counters
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from merlinbay.node_components import OptionalComponents
@@ -74,7 +74,7 @@
         if isinstance(self.discovery, Discovery):
             return self.discovery.move(new.discovery)
         if new.operator is not None and new.operator.dnssd is not None:
-            self.discovery.move(address(new.operator.dnssd.nameserver), new.operator.dnssd.service)
+            self.discovery.move(parse_address(new.operator.dnssd.nameserver), new.operator.dnssd.service)
         return False
 
     async def shut_down(self) -> None:
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is on beside the platform's protocol, section by section."""
+"""The operator's file: the optional components, a section each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from merlinbay.control_service.settings import Section as Control
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.settings import Fleet
 from merlinbay.notify.targets import Allowed
 
@@ -21,7 +21,7 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # of one event a second; what is beyond it is counted
+    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # of one event a second; those beyond are counted
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -38,38 +38,47 @@
     """Read an operator's file. Raises ``ConfigurationError`` with one line that names file, key and cause."""
     try:
         operator = msgspec.convert(tomllib.loads(Path(path).read_text()), Operator)
-        if operator.dnssd is not None:
-            address(operator.dnssd.nameserver)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from None
     except (ValueError, msgspec.ValidationError) as error:
         raise ConfigurationError(f"{path}: {error}") from None
+    try:
+        _check(operator)
     except ConfigurationError as error:
-        raise ConfigurationError(f"{path}: dnssd.nameserver: {error}") from None
-    if operator.drmaa.front and (wrong := operator.drmaa.access.wrong()):
-        raise ConfigurationError(f"{path}: drmaa.{wrong}")
-    if wrong := operator.fleet.wrong():
-        raise ConfigurationError(f"{path}: fleet.{wrong}")
-    if operator.control is not None and (wrong := operator.control.wrong()):
-        raise ConfigurationError(f"{path}: control.{wrong}")
+        raise ConfigurationError(f"{path}: {error}") from None
+    return operator
+
+
+def _check(operator: Operator) -> None:
+    """Check what types alone cannot. Raises ``ConfigurationError`` with key and cause."""
+    drmaa, fleet, control = operator.drmaa, operator.fleet, operator.control
+    if operator.dnssd is not None:
+        _check_address("dnssd.nameserver", operator.dnssd.nameserver)
+    if drmaa.front and (wrong := drmaa.access.wrong()):
+        raise ConfigurationError(f"drmaa.{wrong}")
+    if wrong := fleet.wrong():
+        raise ConfigurationError(f"fleet.{wrong}")
+    if control is not None and (wrong := control.wrong()):
+        raise ConfigurationError(f"control.{wrong}")
     for key in ("listen", "advertise", "control"):
-        try:
-            if text := getattr(operator.fleet, key):
-                address(text)
-        except ConfigurationError as error:
-            raise ConfigurationError(f"{path}: fleet.{key}: {error}") from None
+        if text := getattr(fleet, key):
+            _check_address(f"fleet.{key}", text)
+    if drmaa.access.tls:
+        _check_address("drmaa.access.tls", drmaa.access.tls)
     try:
-        if operator.drmaa.access.tls:
-            address(operator.drmaa.access.tls)
-        Allowed.read(operator.drmaa.events.to, ())
-    except ConfigurationError as error:
-        raise ConfigurationError(f"{path}: drmaa.access.tls: {error}") from None
+        Allowed.read(drmaa.events.to, ())
     except ValueError as error:
-        raise ConfigurationError(f"{path}: drmaa.events.to: {error}") from None
-    names = [session.name for session in operator.drmaa.session]
+        raise ConfigurationError(f"drmaa.events.to: {error}") from None
+    names = [session.name for session in drmaa.session]
     if "default" in names or len(set(names)) < len(names):
-        raise ConfigurationError(f"{path}: drmaa.session: names must differ, and from 'default'")
-    return operator
+        raise ConfigurationError("drmaa.session: names must differ, and from 'default'")
+
+
+def _check_address(key: str, text: str) -> None:
+    try:
+        parse_address(text)
+    except ConfigurationError as error:
+        raise ConfigurationError(f"{key}: {error}") from None
 
 
 def schema() -> dict[str, object]:
--- a/merlinbay/scale/control_roles.py
+++ b/merlinbay/scale/control_roles.py
@@ -22,7 +22,7 @@
 from merlinbay.control_service.settings import MachineSection, load_keys
 from merlinbay.control_service.transport import Endpoint
 from merlinbay.counters import Counters
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
@@ -65,7 +65,7 @@
             else:
                 parts = await process.relay_parts(file, endpoint, nursery)
             listener = Listener(Routes([("/control", parts.calls)]), process.CALL_LIMITS, Counters(), log)
-            sock = await listener.bind(*address(file.operator))
+            sock = await listener.bind(*parse_address(file.operator))
             nursery.start_soon(listener.serve, sock)
             parts.start(nursery)
             self.parts = parts
--- a/merlinbay/scale/membership.py
+++ b/merlinbay/scale/membership.py
@@ -14,7 +14,7 @@
 from merlinbay.core.values import NodeIdentity
 from merlinbay.counters import Counters
 from merlinbay.decision.settings import RequestClass, Settings
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.fleet.agreeing import AgreeingView
 from merlinbay.fleet.members import Health
 from merlinbay.fleet.settings import Fleet
@@ -96,7 +96,9 @@
     def __init__(self, context: MemberContext) -> None:
         self.context = context
         section = section_of(context.plan, context.run, context.number)
-        facts = NodeIdentity(member_name(context.number), address(section.listen), NO_WORK, ResourceLimits())
+        facts = NodeIdentity(
+            member_name(context.number), parse_address(section.listen), NO_WORK, ResourceLimits()
+        )
         send, self.inbox = trio.open_memory_channel[Message](1024)
         self.parts = FleetParts(section, facts, send, Counters(), Log(0))
         self.parts.net.changed.append(self._look)
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -39,7 +39,7 @@
     TimerFired,
 )
 from merlinbay.decision.rules import Balancer
-from merlinbay.site_settings import int_of, num_of, settings_from, str_of
+from merlinbay.site_settings import as_float, as_int, as_text, settings_from
 
 
 class Wire(msgspec.Struct, gc=False):
@@ -85,16 +85,16 @@
             entries.append(
                 EndpointEntry(
                     endpoint=row["worker"],
-                    zone=str_of(row.get("locality")),
-                    kind=str_of(row.get("hw")),
-                    cell=int_of(row.get("pack")),
-                    state=str_of(row.get("state")) or "up",
-                    share=num_of(row.get("share"), 1.0),
-                    ready_at_us=int_of(row.get("readyAtUs")),
+                    zone=as_text(row.get("locality")),
+                    kind=as_text(row.get("hw")),
+                    cell=as_int(row.get("pack")),
+                    state=as_text(row.get("state")) or "up",
+                    share=as_float(row.get("share"), 1.0),
+                    ready_at_us=as_int(row.get("readyAtUs")),
                 )
             )
     # A failed call gives more time on this wire, and does not say how it failed.
-    return EndpointsChanged(str_of(line.scope), entries, failure=CallFailure.UNREACHABLE)
+    return EndpointsChanged(as_text(line.scope), entries, failure=CallFailure.UNREACHABLE)
 
 
 def _job_arrived(line: Wire) -> RequestReceived:
@@ -102,13 +102,13 @@
     return RequestReceived(
         line.msgId,
         line.tierClass,
-        int_of(line.timeBudgetUs),
-        num_of(line.needs, 1.0),
-        num_of(line.ramUnits),
+        as_int(line.timeBudgetUs),
+        as_float(line.needs, 1.0),
+        as_float(line.ramUnits),
         line.key or "",
         line.team if isinstance(line.team, str) else "",
         bool(attrs & 2),
-        int_of(line.costUs) if attrs & 1 else 0,
+        as_int(line.costUs) if attrs & 1 else 0,
     )
 
 
@@ -127,7 +127,7 @@
 def _update(line: Wire) -> Event | None:
     if line.kind == 1:
         return ExecutionStarted(line.msgId, line.attempt)
-    return ExecutionProgressed(line.msgId, line.attempt, num_of(line.value)) if line.kind == 2 else None
+    return ExecutionProgressed(line.msgId, line.attempt, as_float(line.value)) if line.kind == 2 else None
 
 
 # Lines of balancers to each other, which this one has no use for; they end what a batch says all the same.
@@ -141,12 +141,12 @@
     "Withdrawn": lambda line: ClientDisconnected(line.msgId),
     "Flowing": lambda line: StreamStarted(line.msgId, line.attempt),
     "PingResult": lambda line: HealthCheckEnded(
-        str_of(line.worker),
-        int_of(line.status),
-        int_of(line.costTimeUs),
+        as_text(line.worker),
+        as_int(line.status),
+        as_int(line.costTimeUs),
         line.gauge if isinstance(line.gauge, list) else None,
     ),
-    "Reminder": lambda line: TimerFired(str_of(line.ref)),
+    "Reminder": lambda line: TimerFired(as_text(line.ref)),
 }
 
 _dump = msgspec.json.encode
@@ -196,7 +196,7 @@
                 self.balancers.pop(instance, None)
             elif line.what == "Create":
                 try:
-                    self.balancers[instance] = Balancer(settings_from(line.conf), int_of(line.salt), now_us)
+                    self.balancers[instance] = Balancer(settings_from(line.conf), as_int(line.salt), now_us)
                 except Exception as error:
                     self._fault(instance, error, out)
             elif line.what in IGNORED and self.balancers.get(instance) is not None:
--- a/merlinbay/site_settings.py
+++ b/merlinbay/site_settings.py
@@ -1,8 +1,12 @@
-"""The site's settings, as the simulator's wire and the node's configuration name them, read once for both."""
+"""The one place that maps the names of the site's settings to those of the program.
+
+The ``conf`` of the simulator's wire and the ``settings`` of the configuration file have the same names.
+"""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from typing import Any
 
 from merlinbay.decision.settings import (
@@ -15,141 +19,197 @@
     Tenant,
 )
 
+NUMBER = (int, float)
+_REQUIRED: Any = object()
+
 
-def int_of(value: object, default: int = 0) -> int:
-    """Return a number as a whole one; the default for what is none."""
-    return int(value) if isinstance(value, (int, float)) and math.isfinite(value) else default
+def as_int(value: object, default: int = 0) -> int:
+    """Return a finite number as an integer; the default for any other value."""
+    return int(value) if isinstance(value, NUMBER) and math.isfinite(value) else default
 
 
-def num_of(value: object, default: float = 0.0) -> float:
-    """Return a number; the default for what is none."""
-    return float(value) if isinstance(value, (int, float)) and math.isfinite(value) else default
+def as_float(value: object, default: float = 0.0) -> float:
+    """Return a finite number; the default for any other value."""
+    return float(value) if isinstance(value, NUMBER) and math.isfinite(value) else default
 
 
-def str_of(value: object) -> str:
-    """Return a text; the empty one for what is none."""
+def as_text(value: object) -> str:
+    """Return a string; the empty one for any other value."""
     return value if isinstance(value, str) else ""
 
 
-_REQUIRED: Any = object()
+@dataclass(frozen=True, slots=True)
+class Table:
+    """One table of the settings.
 
+    Each method reads one key. It raises ``ValueError`` with the key's path where the key is missing and has
+    no default, or has a value of another type.
+    """
 
-def get_of(table: object, path: str, kind: type | tuple[type, ...], default: Any = _REQUIRED) -> Any:
-    """Read one setting, raising ``ValueError`` with its path where it is missing or of a wrong type."""
-    name = path.rsplit(".", 1)[-1]
-    value = table.get(name) if isinstance(table, dict) else None
-    if value is None and default is not _REQUIRED:
-        return default
-    wrong_bool = isinstance(value, bool) and kind is not bool
-    if not isinstance(value, kind) or wrong_bool:
-        raise ValueError(f"{path}: {'missing' if value is None else 'malformed'}")
-    return value
+    values: object
+    path: str = ""  # of the table; empty: the settings themselves
 
+    def read(self, key: str, kind: type | tuple[type, ...], default: Any = _REQUIRED) -> Any:
+        """Return the value of a key."""
+        value = self.value(key)
+        if value is None and default is not _REQUIRED:
+            return default
+        is_wrong_bool = isinstance(value, bool) and kind is not bool
+        if not isinstance(value, kind) or is_wrong_bool:
+            raise ValueError(f"{self.path_of(key)}: {'missing' if value is None else 'malformed'}")
+        return value
 
-NUMBER = (int, float)
+    def value(self, key: str) -> object:
+        """Return the value of a key, of any type; None where it is missing."""
+        return self.values.get(key) if isinstance(self.values, dict) else None
 
+    def path_of(self, key: str) -> str:
+        """Return the path of a key, for errors."""
+        return f"{self.path}.{key}" if self.path else key
 
-def repeats_of(row: object, at: str, doubts: list[str]) -> tuple[str, str]:
-    """Read a class's effect and group. What this version does not know counts as unsafe to repeat."""
-    effect = get_of(row, f"{at}.effect", str)
-    group = get_of(row, f"{at}.group", str, "all")
-    if effect not in EFFECTS:
-        doubts.append(f"{at}.effect: unknown value {effect!r}, taken for 'once'")
-        effect = "once"
-    if group not in GROUPS:
-        if effect == "by_key":
-            doubts.append(f"{at}.group: unknown value {group!r}, the class is taken for one of effect 'once'")
-            effect = "once"
-        group = "all"  # which counts for keyed classes only
-    return effect, group
+    def flag(self, key: str) -> bool:
+        """Return a boolean; False where it is missing."""
+        return bool(self.read(key, bool, False))
 
+    def integer(self, key: str) -> int:
+        """Return an integer."""
+        return int(self.read(key, int))
 
-def settings_from(conf: object) -> Settings:
-    """Translate the ``conf`` of a ``Create``."""
-    extra = get_of(conf, "extra", dict, {})
-    limits = get_of(conf, "limits", dict)
-    safety = get_of(conf, "safety", dict)
-    report = get_of(conf, "report", dict, {})
-    prices = get_of(conf, "prices", dict, {})
-    rows = get_of(conf, "classes", list)
-
-    def per_class(name: str, at: int, default: float) -> float:
-        values = get_of(extra, f"extra.{name}", list, [])
-        return num_of(values[at], default) if at < len(values) else default
-
-    classes = []
-    doubts: list[str] = []
-    for i, row in enumerate(rows):
-        at = f"classes[{i}]"
-        effect, group = repeats_of(row, at, doubts)
-        classes.append(
-            RequestClass(
-                name=get_of(row, f"{at}.name", str),
-                aim_us=int(get_of(row, f"{at}.aimUs", NUMBER)),
-                deadline_us=int(get_of(row, f"{at}.deadlineUs", NUMBER)),
-                worth=float(get_of(row, f"{at}.worth", NUMBER)),
-                effect=effect,
-                group=group,
-                window_us=int(get_of(row, f"{at}.windowUs", NUMBER, 0)),
-                late_worth=float(get_of(row, f"{at}.lateWorth", NUMBER, 0.0)),
-                stretch=per_class("classStretch", i, num_of(get_of(row, f"{at}.aimStretch", NUMBER, 0.0))),
-                kind=int(per_class("classKind", i, -1)),
-                priority=int(per_class("classPriority", i, 0)),
-                stream=get_of(row, f"{at}.stream", bool, False),
-            )
-        )
-    fields = [str_of(name) for name in get_of(report, "report.fields", list, [])]
+    def number(self, key: str, default: float = _REQUIRED) -> float:
+        """Return a number."""
+        return float(self.read(key, NUMBER, default))
+
+    def microseconds(self, key: str, default: int = _REQUIRED) -> int:
+        """Return a duration; the settings may write it with a fraction."""
+        return int(self.read(key, NUMBER, default))
+
+    def text(self, key: str, default: str = _REQUIRED) -> str:
+        """Return a string."""
+        return str(self.read(key, str, default))
+
+    def rows(self, key: str, default: list[object] = _REQUIRED) -> list[object]:
+        """Return an array."""
+        return list(self.read(key, list, default))
 
-    def meaning(text: str) -> str:
-        return next((x for x in ("x0", "x1") if x in fields and extra.get(f"reportX{x[1]}") == text), "")
+    def texts(self, key: str) -> list[str]:
+        """Return an array of strings, empty where it is missing; an element of another type is empty."""
+        return [as_text(value) for value in self.rows(key, [])]
 
+    def table(self, key: str, default: dict[str, object] = _REQUIRED) -> Table:
+        """Return a table within this one."""
+        return Table(self.read(key, dict, default), self.path_of(key))
+
+    def element(self, key: str, index: int, default: float) -> float:
+        """Return a number of an array by its index; the default where the array is shorter or missing."""
+        values = self.rows(key, [])
+        return as_float(values[index], default) if index < len(values) else default
+
+
+def settings_from(conf: object) -> Settings:
+    """Read the site's settings. Raises ``ValueError`` with the key's path and the cause."""
+    top = Table(conf)
+    extra = top.table("extra", {})
+    limits, safety = top.table("limits"), top.table("safety")
+    report, prices = top.table("report", {}), top.table("prices", {})
+    doubts: list[str] = []
+    classes = [
+        _request_class(Table(row, f"classes[{index}]"), index, extra, doubts)
+        for index, row in enumerate(top.rows("classes"))
+    ]
+    fields = report.texts("fields")
     return Settings(
         classes=classes,
-        balancers=max(get_of(conf, "balancers", int), 1),  # Guards against a count of 0: shares divide by it
-        me=get_of(conf, "me", int),
-        zone=get_of(conf, "az", str, ""),
-        limits=DispatchLimits(
-            cancelling=get_of(limits, "limits.cancelling", bool, False),
-            probes=get_of(limits, "limits.probes", bool, False),
-            peers=get_of(limits, "limits.peers", bool, False),
-            retry_after=get_of(limits, "limits.retryAfter", bool, False),
-            second_copies=get_of(limits, "limits.secondCopies", bool, False),
-            send_cap=get_of(limits, "limits.sendCap", int),
-            max_retry_after_us=int(get_of(limits, "limits.maxRetryAfterUs", NUMBER, 0)),
-        ),
-        safety=SafetyMargins(
-            drain_grace_us=int(get_of(safety, "safety.drainGraceUs", NUMBER)),
-            cold_from=float(get_of(safety, "safety.coldFrom", NUMBER)),
-            cold_us=int(get_of(safety, "safety.coldUs", NUMBER)),
-            tip_multiple=float(get_of(safety, "safety.tipMultiple", NUMBER)),
-            overload_for_us=int(get_of(safety, "safety.overloadForUs", NUMBER)),
-            answer_slack_us=int(get_of(safety, "safety.answerSlackUs", NUMBER, 0)),
-            must_ask_in_us=int(get_of(safety, "safety.mustAskInUs", NUMBER, 0)),
-        ),
-        kinds=[str_of(name) for name in get_of(conf, "kinds", list, [])],
-        tenants=[
-            Tenant(
-                get_of(row, "tenants[].name", str),
-                float(get_of(row, "tenants[].quotaPerS", NUMBER)),
-                float(get_of(row, "tenants[].share", NUMBER, 1.0)),
-            )
-            for row in get_of(conf, "tenants", list, [])
-        ],
-        over_share_worth=float(get_of(conf, "overShareWorth", NUMBER, 1.0)),
-        report_fields=fields if report.get("how") != "off" else [],
+        balancers=max(top.integer("balancers"), 1),  # Guards against a count of 0: quotas are divided by it
+        me=top.integer("me"),
+        zone=top.text("az", ""),
+        limits=_dispatch_limits(limits),
+        safety=_safety_margins(safety),
+        kinds=top.texts("kinds"),
+        tenants=[_tenant(Table(row, "tenants[]")) for row in top.rows("tenants", [])],
+        over_share_worth=top.number("overShareWorth", 1.0),
+        report_fields=fields if report.value("how") != "off" else [],
         errors_field="err_rps" if "err_rps" in fields else "",
         held_field="active" if "active" in fields else "",
         queued_field="waiting" if "waiting" in fields else "",
-        free_slots_field=meaning("free slots"),
-        free_memory_field=meaning("free memory"),
-        tells_start=get_of(extra, "extra.tellsStart", bool, False),
-        progress_us=int(get_of(extra, "extra.progressUs", NUMBER, 0)),
-        queue_order=get_of(extra, "extra.queueOrder", str, "fifo"),
-        must_subscribe=get_of(conf, "discovery", str, "automatic") == "subscribe",
-        asks_first=get_of(report, "report.how", str, "") == "on_probe",
-        probe_price=float(get_of(prices, "prices.probe", NUMBER, 0.0)),
-        waste_price=float(get_of(prices, "prices.waste", NUMBER, 0.0)),
-        worth_by_work=get_of(conf, "worthBy", str, "") == "work",
-        cross_zone_price=float(get_of(prices, "prices.crossZone", NUMBER, 0.0)),
+        free_slots_field=_field_that_means("free slots", fields, extra),
+        free_memory_field=_field_that_means("free memory", fields, extra),
+        tells_start=extra.flag("tellsStart"),
+        progress_us=extra.microseconds("progressUs", 0),
+        queue_order=extra.text("queueOrder", "fifo"),
+        must_subscribe=top.text("discovery", "automatic") == "subscribe",
+        asks_first=report.text("how", "") == "on_probe",
+        probe_price=prices.number("probe", 0.0),
+        waste_price=prices.number("waste", 0.0),
+        worth_by_work=top.text("worthBy", "") == "work",
+        cross_zone_price=prices.number("crossZone", 0.0),
         doubts=doubts,
     )
+
+
+def _request_class(row: Table, index: int, extra: Table, doubts: list[str]) -> RequestClass:
+    """Read a row of ``classes``; some of its settings stand in arrays of ``extra``, by the row's index."""
+    effect, group = idempotency_of(row, doubts)
+    return RequestClass(
+        name=row.text("name"),
+        aim_us=row.microseconds("aimUs"),
+        deadline_us=row.microseconds("deadlineUs"),
+        worth=row.number("worth"),
+        effect=effect,
+        group=group,
+        window_us=row.microseconds("windowUs", 0),
+        late_worth=row.number("lateWorth", 0.0),
+        stretch=extra.element("classStretch", index, as_float(row.read("aimStretch", NUMBER, 0.0))),
+        kind=int(extra.element("classKind", index, -1)),
+        priority=int(extra.element("classPriority", index, 0)),
+        stream=row.flag("stream"),
+    )
+
+
+def idempotency_of(row: Table, doubts: list[str]) -> tuple[str, str]:
+    """Read a class's effect and group. An unknown value counts as not idempotent and adds to ``doubts``."""
+    effect, group = row.text("effect"), row.text("group", "all")
+    if effect not in EFFECTS:
+        doubts.append(f"{row.path}.effect: unknown value {effect!r}, taken for 'once'")
+        effect = "once"
+    if group not in GROUPS:
+        if effect == "by_key":
+            doubts.append(
+                f"{row.path}.group: unknown value {group!r}, the class is taken for one of effect 'once'"
+            )
+            effect = "once"
+        group = "all"  # which counts for classes of effect by_key only
+    return effect, group
+
+
+def _dispatch_limits(limits: Table) -> DispatchLimits:
+    return DispatchLimits(
+        cancelling=limits.flag("cancelling"),
+        probes=limits.flag("probes"),
+        peers=limits.flag("peers"),
+        retry_after=limits.flag("retryAfter"),
+        second_copies=limits.flag("secondCopies"),
+        send_cap=limits.integer("sendCap"),
+        max_retry_after_us=limits.microseconds("maxRetryAfterUs", 0),
+    )
+
+
+def _safety_margins(safety: Table) -> SafetyMargins:
+    return SafetyMargins(
+        drain_grace_us=safety.microseconds("drainGraceUs"),
+        cold_from=safety.number("coldFrom"),
+        cold_us=safety.microseconds("coldUs"),
+        tip_multiple=safety.number("tipMultiple"),
+        overload_for_us=safety.microseconds("overloadForUs"),
+        answer_slack_us=safety.microseconds("answerSlackUs", 0),
+        must_ask_in_us=safety.microseconds("mustAskInUs", 0),
+    )
+
+
+def _tenant(row: Table) -> Tenant:
+    return Tenant(row.text("name"), row.number("quotaPerS"), row.number("share", 1.0))
+
+
+def _field_that_means(meaning: str, fields: list[str], extra: Table) -> str:
+    """Return the custom report field, ``x0`` or ``x1``, with a meaning by ``extra``; empty: none."""
+    names = {"x0": "reportX0", "x1": "reportX1"}
+    return next((field for field in names if field in fields and extra.value(names[field]) == meaning), "")
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -19,7 +19,7 @@
 
 from merlinbay.access import tokens
 from merlinbay.access.settings import Access
-from merlinbay.config import File
+from merlinbay.config import ConfigurationFile
 from merlinbay.control import keyspace
 from merlinbay.control.consensus import messages as consensus
 from merlinbay.control.consensus import records
@@ -113,7 +113,7 @@
     "access.ring": Form(tokens.Ring, "json"),
     "scale.run": Form(ScaleRun, "json"),
     # Files of settings, and scripts.
-    "file.node": Form(File, "names"),
+    "file.node": Form(ConfigurationFile, "names"),
     "file.operator": Form(Operator, "names"),
     "file.access": Form(Access, "names"),
     "file.control": Form(ControlFile, "names"),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 
 from merlinbay.cli.local import prompt_stop
 from merlinbay.cli.main import main
-from merlinbay.events import EventLog
+from merlinbay.event_log import EventLog, EventRate
 from merlinbay.limits import ResourceLimits
 from tests.net import ROOT, free_port
 from tests.test_executor import alive
@@ -241,7 +241,7 @@
     for number in range(5):
         log.event("job_ended", job=str(number), session="q")
     log.event("job_refused", level="debug", job="x")
-    log.seen["job_ended"] = (0, 2, 3)  # a second later
+    log.rates["job_ended"] = EventRate(0, 2, 3)  # a second later
     log.event("job_ended", level="warning", job="6", session="q")
     log.line("free text")
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -25,7 +25,7 @@
     {"operator_file"},
     {"platform", "drmaa", "fleet", "handover", "control_service"},
     {"http", "dnssd", "batch", "notify", "access", "reserve", "monitor", "store", "control"},
-    {"core", "log", "events", "site_settings"},
+    {"core", "log", "event_log", "site_settings"},
     {"decision", "limits", "counters", "clock", "errors", ""},
 ]
 RANK = {name: rank for rank, layer in enumerate(LAYERS) for name in layer}
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -217,10 +217,10 @@
 
     async def scene() -> None:
         before = Clock()
-        with patch("merlinbay.clock.time.time", lambda: before.unix + 3600):
+        with patch("merlinbay.clock.time.time", lambda: before.unix_start_s + 3600):
             after = Clock()
         assert after.now_us() - before.now_us() > 3500 * SECOND
-        after.carry_on(before.now_us())
+        after.continue_from(before.now_us())
         assert abs(after.now_us() - before.now_us()) < SECOND // 10
 
     trio.run(scene)
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -9,13 +9,13 @@
 import pytest
 
 from merlinbay.access.settings import Access
-from merlinbay.config import operator_file
+from merlinbay.config import read_operator_file
 from merlinbay.core.values import ServiceEntry
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.settings import RequestClass, SafetyMargins, Settings
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.client import Reply
 from merlinbay.limits import limits_from
 from merlinbay.platform import messages
@@ -192,11 +192,14 @@
 
 def test_the_operators_file_turns_the_second_front_on() -> None:
     """As it stands under deploy/; without one, all of it is off."""
-    operator = operator_file(str(ROOT / "deploy" / "drmaa.toml"))
+    operator = read_operator_file(str(ROOT / "deploy" / "drmaa.toml"))
     assert operator is not None
     assert operator.drmaa == Drmaa(front=True, servers=True, access=Access(open=True))
-    assert isinstance(operator.dnssd, DnsSd) and address(operator.dnssd.nameserver) == ("127.0.0.1", 5353)
-    assert operator_file("") is None and not Drmaa().front and not Drmaa().servers
+    assert isinstance(operator.dnssd, DnsSd) and parse_address(operator.dnssd.nameserver) == (
+        "127.0.0.1",
+        5353,
+    )
+    assert read_operator_file("") is None and not Drmaa().front and not Drmaa().servers
 
 
 @pytest.mark.parametrize(
@@ -216,5 +219,5 @@
     if text is not None:
         path.write_text(text)
     with pytest.raises(ConfigurationError) as caught:
-        operator_file(str(path))
+        read_operator_file(str(path))
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
