--- a/bench/standin.py
+++ b/bench/standin.py
@@ -16,7 +16,7 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-LIMITS = replace(ResourceLimits(), edge_connections=4000, server_connections=4000)
+LIMITS = replace(ResourceLimits(), client_connections=4000, server_connections=4000)
 
 
 class Scheduler:
--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -152,7 +152,13 @@
 
 def prompt_stop(limits: ResourceLimits) -> ResourceLimits:
     """Return limits for a node that a person ends by Ctrl-C: no front layer still sends clients to it."""
-    return replace(limits, stop_serving=0.0, stop_arrivals=0.0, stop_answers_us=50_000, stop_most=1.0)
+    return replace(
+        limits,
+        stop_serving_for_s=0.0,
+        stop_arrivals_for_s=0.0,
+        stop_answers_for_us=50_000,
+        stop_timeout_s=1.0,
+    )
 
 
 def start(port: int, executors: int, slots: int, log_format: str, folder: Path) -> int:
--- a/merlinbay/config.py
+++ b/merlinbay/config.py
@@ -107,7 +107,7 @@
         settings,
         int(extra.get("dialTimeoutUs") or 0),
         int(extra.get("keepaliveUs") or 0),
-        int(extra.get("mostHeld") or ResourceLimits.most_held),
+        int(extra.get("mostHeld") or ResourceLimits.max_open_requests),
     )
 
 
@@ -118,9 +118,9 @@
         return limits
     return replace(  # two listeners share the descriptors
         limits,
-        edge_connections=limits.edge_connections // 2,
-        most_held=min(limits.most_held, limits.edge_connections * 3 // 8),
-        waits=max(limits.waits // 2, 1),
+        client_connections=limits.client_connections // 2,
+        max_open_requests=min(limits.max_open_requests, limits.client_connections * 3 // 8),
+        drmaa_waits=max(limits.drmaa_waits // 2, 1),
     )
 
 
--- a/merlinbay/control_service/process.py
+++ b/merlinbay/control_service/process.py
@@ -37,7 +37,7 @@
 
 LOG_NAME = "control.db"
 CALL_LIMITS = replace(
-    ResourceLimits(), body_bytes=256 * 1024, edge_connections=128
+    ResourceLimits(), body_bytes=256 * 1024, client_connections=128
 )  # a value of 64 KiB, escaped
 STOP_S = 1.0  # after SIGTERM, for a new leader to be chosen and followers to move
 
--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -76,7 +76,7 @@
         self.fields = balancer.settings.report_fields
         self.classes = {spec.name for spec in balancer.settings.classes}
         self.other: PeerProcess | None = None  # the one that this replaces, or that replaces this
-        self.requests = RequestTable(limits.names_remembered)
+        self.requests = RequestTable(limits.finished_names)
         self.timers = Timers()
         self.request_count = 0
         self.stopping = False
@@ -119,14 +119,14 @@
         end = float("inf")
         while trio.current_time() < end:
             if self.stopping and end == float("inf") and self.requests.all_answered():
-                end = trio.current_time() + self.limits.stop_tail
+                end = trio.current_time() + self.limits.stop_rejecting_for_s
             messages: list[Message] = []
             due = self.timers.next_us()
             wake = min(end, float("inf") if due is None else self.clock.to_trio(due))
             with trio.move_on_at(wake):
                 messages.append(await inbox.receive())
             try:
-                while len(messages) < self.limits.inbox:
+                while len(messages) < self.limits.inbox_messages:
                     messages.append(inbox.receive_nowait())
             except trio.WouldBlock:
                 pass
@@ -174,10 +174,10 @@
             self.counters.add("answers_failed")
             message.responder.answer(Answer(AnswerStatus.FAILED))
             return
-        if self.stopping or len(self.requests) >= self.limits.most_held:
+        if self.stopping or len(self.requests) >= self.limits.max_open_requests:
             self.counters.add("answers_refused")
             message.responder.answer(
-                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.stop_retry_after_us)
             )
             return
         self.request_count += 1
@@ -254,7 +254,7 @@
     def _on_stopping(self, message: ShutdownRequested) -> None:
         self.stopping = True
         # Guards against requests that outlast the process: what it has taken is answered before.
-        last = self.now + self.limits.stop_answers_us
+        last = self.now + self.limits.stop_answers_for_us
         for request in self.requests:
             if not request.done and request.deadline_us > last:
                 request.deadline_us = last
@@ -336,7 +336,7 @@
             self.servers.give_up(attempt)
             self._end_attempt(attempt, Outcome.TIMEOUT)
         if attempts:
-            self.timers.add(self.now + self.limits.recheck_us, request)
+            self.timers.add(self.now + self.limits.deadline_recheck_us, request)
             return
         # Guards against a request that the module holds, or has failed on, past its time.
         self._answer(request, Answer(AnswerStatus.FAILED))
--- a/merlinbay/dnssd/directory.py
+++ b/merlinbay/dnssd/directory.py
@@ -53,7 +53,7 @@
         """Ask at once, be it another name server or for another service; what is known stays until then."""
         self.server, self.service = server, dns.name.from_text(service)
         self.failed = True
-        told_s = self.limits.reload_told_us / 1e6 + self.limits.watch_confirm
+        told_s = self.limits.reload_notified_in_us / 1e6 + self.limits.confirm_margin_s
         self.confirm_at = trio.current_time() + told_s
         self.asked.set()
         self.watch.cancel()
@@ -78,14 +78,14 @@
                             self.confirm_at = math.inf if due else self.confirm_at
                             await self.inbox.send(EndpointListReceived("all", list(listed.values())))
                         self.counters.add("dns_listings")
-                        wait = min(max(ttl, self.limits.dns_least), self.limits.dns_most)
+                        wait = min(max(ttl, self.limits.dns_min_interval_s), self.limits.dns_max_interval_s)
                         until = min(trio.current_time() + wait, self.confirm_at)
                         await trio.sleep_until(until)
                 except (DnsQueryError, OSError, dns.exception.DNSException, trio.TooSlowError) as error:
                     # Guards against an outage that empties the list: what was heard last still stands.
                     self.counters.add("dns_failed")
                     self.log.event("dnssd_failed", level="warning", error=repr(error))
-                    await trio.sleep(self.limits.dns_backoff)
+                    await trio.sleep(self.limits.dns_backoff_s)
                     self.failed = True
                     await self.inbox.send(EndpointListReceived("refused", failure=CallFailure.UNREACHABLE))
 
@@ -114,7 +114,7 @@
         host, port = self.server
         query = dns.message.make_query(name, kind)
         answer, _ = await dns.asyncquery.udp_with_fallback(
-            query, host, timeout=self.limits.dns_query, port=port
+            query, host, timeout=self.limits.dns_query_timeout_s, port=port
         )
         if answer.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
             raise DnsQueryError(f"{name}: {dns.rcode.to_text(answer.rcode())}")
--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -95,7 +95,7 @@
         self.hub = Hub(
             journal,
             wish.bounds(),
-            self.limits.waits,
+            self.limits.drmaa_waits,
             Allowed.read(wish.to, own),
             self.engine.timers,
             lambda: secrets.token_hex(8),
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -149,7 +149,7 @@
             templates.template_for(attempt.spec, attempt.deadline_us), attempt.server, self.notify
         )
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_at(self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer):
+        with trio.move_on_at(self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer_timeout_s):
             reply = await self.exchange(
                 attempt.server,
                 "POST",
@@ -180,13 +180,13 @@
             )
 
     async def _terminate(self, server: str, job_id: str) -> None:
-        with trio.move_on_after(self.limits.cancel_exchange):
+        with trio.move_on_after(self.limits.cancel_timeout_s):
             reply = await self.exchange(server, "POST", f"{JOBS}/{job_id}/terminate", [])
             self.counters.add("drmaa_terminates" if isinstance(reply, Reply) else "drmaa_terminates_failed")
 
     async def _recall(self, attempt: ServerAttempt, job_id: str) -> None:
         done = False
-        with trio.move_on_after(self.limits.cancel_exchange):
+        with trio.move_on_after(self.limits.cancel_timeout_s):
             reply = await self.exchange(attempt.server, "POST", f"{JOBS}/{job_id}/recall", [])
             done = isinstance(reply, Reply) and reply.status == 200
         self.counters.add("drmaa_recalls" if done else "drmaa_recalls_failed")
@@ -194,7 +194,7 @@
 
     async def _control(self, attempt: ServerAttempt, job_id: str, action: str) -> None:
         error, message = "DrmCommunicationException", "its scheduler did not answer"
-        with trio.move_on_after(self.limits.cancel_exchange):
+        with trio.move_on_after(self.limits.cancel_timeout_s):
             reply = await self.exchange(attempt.server, "POST", f"{JOBS}/{job_id}/{action}", [])
             if isinstance(reply, Reply):
                 error, message = error_of(reply)
@@ -204,7 +204,7 @@
     async def _ask(self, attempt: ServerAttempt, job_id: str) -> None:
         """IncomingCall for one job's state, and tell what differs from what is known."""
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_after(self.limits.cancel_exchange):
+        with trio.move_on_after(self.limits.cancel_timeout_s):
             reply = await self.exchange(attempt.server, "GET", f"{JOBS}/{job_id}", [])
         self.counters.add("drmaa_asked")
         now, name, server = self.clock.now_us(), attempt.spec.name, attempt.server
--- a/merlinbay/drmaa/settings.py
+++ b/merlinbay/drmaa/settings.py
@@ -115,8 +115,8 @@
             array=self.array,
             finished=self.finished,
             finished_keep_us=int(self.finished_keep * 1e6),
-            finished_bytes=limits.finished_bytes,
-            waits=limits.waits,
+            finished_bytes=limits.finished_output_bytes,
+            waits=limits.drmaa_waits,
         )
 
     def asking(self) -> PollingLimits:
--- a/merlinbay/emulator/node_process.py
+++ b/merlinbay/emulator/node_process.py
@@ -16,7 +16,13 @@
 from merlinbay.limits import ResourceLimits
 
 HOST = "127.0.0.2"
-LIMITS = replace(ResourceLimits(), edge_connections=4000, dial=0.5, edge_idle=60.0, read_request=60.0)
+LIMITS = replace(
+    ResourceLimits(),
+    client_connections=4000,
+    connect_timeout_s=0.5,
+    client_idle_timeout_s=60.0,
+    read_request_timeout_s=60.0,
+)
 START_TIMEOUT_S = 20.0
 READY_POLL_S = 0.05
 
--- a/merlinbay/handover/control_socket.py
+++ b/merlinbay/handover/control_socket.py
@@ -25,7 +25,7 @@
 
     def __init__(self, sock: trio.socket.SocketType, limits: ResourceLimits) -> None:
         self.sock, self.limits = sock, limits
-        self.out, self.waiting = trio.open_memory_channel[tuple[messages.Word, int]](limits.inbox)
+        self.out, self.waiting = trio.open_memory_channel[tuple[messages.Word, int]](limits.inbox_messages)
 
     def post(self, word: messages.Word, descriptor: int = -1) -> bool:
         """Have a word written; a descriptor is closed here once it is sent. Does not wait."""
@@ -76,7 +76,7 @@
         """Return the next word and its descriptor or -1; None: the other is gone, or talks nonsense."""
         try:
             data, extra, flags, _ = await self.sock.recvmsg(
-                self.limits.link_bytes, socket.CMSG_SPACE(4), socket.MSG_CMSG_CLOEXEC
+                self.limits.handover_packet_bytes, socket.CMSG_SPACE(4), socket.MSG_CMSG_CLOEXEC
             )
         except OSError:
             return None
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -93,7 +93,7 @@
         if sock is None:
             return None
         end, parts = ControlSocket(sock, self.limits), messages.Part([], [])
-        with trio.move_on_after(self.limits.inherit):
+        with trio.move_on_after(self.limits.handover_timeout_s):
             await sock.send(messages.encode(messages.Hello(messages.SPEAKS)))
             while (heard := await end.read()) is not None:
                 word, _ = heard
@@ -161,7 +161,7 @@
                 return sock
             except OSError as error:
                 self.log.event("successor_not_accepted", level="warning", error=error.strerror)
-                await trio.sleep(self.limits.accept_pause)
+                await trio.sleep(self.limits.accept_retry_pause_s)
 
     async def _succeed(self, end: ControlSocket, listing: Listing) -> None:
         heard = await end.read()
@@ -189,9 +189,9 @@
             return False
         self.log.event("hands_over", connections=len(self.listener.connections))
         self.listener.hand_over(self._give)
-        with trio.move_on_after(self.limits.stop_serving):
+        with trio.move_on_after(self.limits.stop_serving_for_s):
             while self.listener.connections and self.succeeded:
-                await trio.sleep(self.limits.hand_look)
+                await trio.sleep(self.limits.handover_check_interval_s)
         return self.succeeded
 
     def _give(self, connection: Connection) -> bool:
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -99,7 +99,7 @@
 
         The usual time-out is that for real servers.
         """
-        timeout = timeout or limits.dial
+        timeout = timeout or limits.connect_timeout_s
         host, _, port = addr.rpartition(":")
         try:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -46,13 +46,13 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._until_changed, scope)
                     # Guards against clients met by a closed door: new ones come until the front has looked.
-                    await trio.sleep(self.limits.away_arrivals)
+                    await trio.sleep(self.limits.standby_arrivals_for_s)
                     self.listener.retire(True)
                     # Guards against requests that cross the closing: most connections end with an answer.
-                    await trio.sleep_until(began + self.limits.away_idle)
+                    await trio.sleep_until(began + self.limits.standby_close_after_s)
                     while True:
-                        self.listener.close_idle(self.limits.away_quiet)
-                        await trio.sleep(self.limits.away_look)
+                        self.listener.close_idle(self.limits.standby_quiet_for_s)
+                        await trio.sleep(self.limits.standby_check_interval_s)
 
     async def _until_changed(self, scope: trio.CancelScope) -> None:
         await self.changed.wait()
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -75,7 +75,7 @@
         self.idle_since = trio.current_time()
         self.proven = False  # set by a front: a job was served on it, so it is worth keeping
         self.has_answered = False
-        self.expires = self.idle_since + limits.read_request  # watched by the listener's sweep
+        self.expires = self.idle_since + limits.read_request_timeout_s  # watched by the listener's sweep
 
     @property
     def idle(self) -> bool:
@@ -196,7 +196,7 @@
         if self.idle and self.has_answered:
             # Guards against a request that dribbles in: all of it has so long. The first one's time runs from
             # the accept. The look is after the read, which may have begun before the last answer.
-            self.expires = trio.current_time() + self.limits.read_request
+            self.expires = trio.current_time() + self.limits.read_request_timeout_s
         self.h11.receive_data(data)
         return True
 
@@ -262,7 +262,7 @@
         if self.idle:
             # Guards against a request that crosses the end: it is answered, and the end comes after.
             self.ending, self.close_after = False, True
-            self.expires = trio.current_time() + self.limits.read_request
+            self.expires = trio.current_time() + self.limits.read_request_timeout_s
         # Guards also against a request whose rest has come in time and was not read yet. Nothing is waited
         # for, and a request has a bound, so a client that dribbles or floods is cut off all the same.
         return True
@@ -274,7 +274,7 @@
         self.attending = True
         await trio.lowlevel.checkpoint()
         while self.waiting and not self.ending:
-            if ahead > self.limits.ahead_bytes:
+            if ahead > self.limits.read_ahead_bytes:
                 # Guards against what has no end: no usual client sends a second request before its answer.
                 self.handler.gone(self)
                 await self._last_words(400)
@@ -335,7 +335,7 @@
         """Answer what can't be served, then let the connection end."""
         self.waiting, self.ending = False, True  # nobody evicts it before these words are written
         if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            self.expires = trio.current_time() + self.limits.write_answer
+            self.expires = trio.current_time() + self.limits.write_response_timeout_s
             await self._send(Response(status), close=True)
             await self._part()
 
@@ -347,7 +347,7 @@
         self.ending, self.expires = True, float("inf")
         self.sock.shutdown(trio.socket.SHUT_WR)
         left = self.limits.linger_bytes
-        with trio.move_on_after(self.limits.linger):
+        with trio.move_on_after(self.limits.linger_s):
             while left > 0 and (data := await self.sock.recv(self.limits.receive_bytes)):
                 left -= len(data)
 
@@ -368,7 +368,7 @@
 
     async def _answer(self, response: Response) -> None:
         """Write an answer, and make ready for the next request or end the connection."""
-        self.expires = trio.current_time() + self.limits.write_answer
+        self.expires = trio.current_time() + self.limits.write_response_timeout_s
         # Guards against clients that ask for what there is not, and stay: each would hold a descriptor.
         close = (self.close_after and not self.calls_back) or 400 <= response.status < 500
         # Guards against a request that is read behind this one and gets no answer: the end comes after it.
@@ -379,7 +379,7 @@
             self.idle_since = trio.current_time()
             # Guards against clients that ask for little and stay: each would hold a descriptor.
             self.expires = self.idle_since + (
-                self.limits.edge_idle if self.proven else self.limits.read_request
+                self.limits.client_idle_timeout_s if self.proven else self.limits.read_request_timeout_s
             )
             if self.attending or self.give is not None:
                 self.reading.cancel()
@@ -396,4 +396,4 @@
 
     def _count_write_progress(self) -> None:
         """Restart the write timeout, which bounds how long a client may take no bytes at all."""
-        self.expires = trio.current_time() + self.limits.write_answer
+        self.expires = trio.current_time() + self.limits.write_response_timeout_s
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -103,7 +103,7 @@
         if keeps_after(reply):
             # Guards against an answer that comes twice, the second time some milliseconds late: it would pass
             # for the answer to the next request, be it that a job which was taken never ran.
-            self._keep(name, server, connection, trio.current_time() + self.limits.pool_rest)
+            self._keep(name, server, connection, trio.current_time() + self.limits.pool_reuse_pause_s)
         else:
             self._close(connection)
         return reply
@@ -111,8 +111,8 @@
     async def sweep(self) -> None:
         """Close connections before the server's keep-alive does."""
         while True:
-            await trio.sleep(self.limits.pool_idle / 8)
-            before = trio.current_time() - self.limits.pool_idle
+            await trio.sleep(self.limits.pool_idle_timeout_s / 8)
+            before = trio.current_time() - self.limits.pool_idle_timeout_s
             for server in self.servers.values():
                 while server.idle and server.idle[0].idle_since < before:
                     self._close(server.idle.pop(0))
@@ -129,7 +129,7 @@
         now = trio.current_time()
         for connection in [kept for kept in reversed(server.idle) if not rested or kept.rests_until <= now]:
             server.idle.remove(connection)
-            fresh = now - connection.idle_since < self.limits.pool_idle
+            fresh = now - connection.idle_since < self.limits.pool_idle_timeout_s
             if fresh and connection.usable():
                 return connection
             # Guards against a write that crosses the server's keep-alive: it would end as a reset.
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -46,9 +46,9 @@
             kept = socket.socket(fileno=self.limits.accept_fd)
             kept.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if not kept.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                kept.listen(self.limits.backlog)
+                kept.listen(self.limits.accept_backlog)
             return trio.socket.from_stdlib_socket(kept)
-        return await bound(host, port, self.limits.backlog)
+        return await bound(host, port, self.limits.accept_backlog)
 
     async def serve(
         self, sock: trio.socket.SocketType, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -59,10 +59,10 @@
             self.nursery = nursery
             task_status.started()
             while self.give is None:
-                if len(self.connections) >= self.limits.edge_connections and not self._make_room():
+                if len(self.connections) >= self.limits.client_connections and not self._make_room():
                     # Guards against losing a request: one that is accepted and closed may have been written.
                     self.counters.add("accepts_put_off")
-                    await trio.sleep(self.limits.accept_pause)
+                    await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
                 accepted = None
                 try:
@@ -75,7 +75,7 @@
                         self._make_room()
                     if error.errno not in GONE_BEFORE_ACCEPT:
                         # Guards against a loop that takes the whole core while the cause lasts.
-                        await trio.sleep(self.limits.accept_pause)
+                        await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
                 if accepted is not None:
                     self.counters.add("edge_connections")
@@ -99,7 +99,7 @@
         connection.close_after, connection.give = self.closing, self.give
         connection.proven, connection.calls_back = proven, calls_back
         if proven:
-            connection.expires = connection.idle_since + self.limits.edge_idle
+            connection.expires = connection.idle_since + self.limits.client_idle_timeout_s
         self.connections.add(connection)
         self.nursery.start_soon(self._serve, connection)
 
@@ -122,7 +122,7 @@
     async def _sweep(self) -> None:
         """End connections that have stood idle, dribbled or been stuck for too long."""
         while True:
-            await trio.sleep(self.limits.sweep)
+            await trio.sleep(self.limits.sweep_interval_s)
             now = trio.current_time()
             for connection in list(self.connections):
                 if connection.expires < now:
@@ -136,15 +136,15 @@
         # Guards against silent clients that crowd out usual ones: those never served go first, several at
         # a time since the look at all of them costs, and where they hold a third of all, a kept connection
         # stays and what comes next waits for one of them.
-        before = trio.current_time() - self.limits.evict_after
+        before = trio.current_time() - self.limits.evict_idle_after_s
         ripe = [connection for connection in fresh if connection.idle_since < before]
-        most = self.limits.evict_at_once
+        most = self.limits.evict_batch
         slow = [] if ripe else [connection for connection in self.connections if connection.unfinished]
-        if len(slow) > self.limits.edge_connections * 3 // 4:
+        if len(slow) > self.limits.client_connections * 3 // 4:
             # Guards against clients that send a part and stay: call-backs and usual clients, whose requests
             # come whole, find a quarter of the places. Who writes slowly keeps his while there are few.
             ripe = [connection for connection in slow if connection.idle_since < before]
-        elif not ripe and len(fresh) <= self.limits.edge_connections // 3:
+        elif not ripe and len(fresh) <= self.limits.client_connections // 3:
             ripe, most = [connection for connection in idle if connection.idle_since < before], 1
         closed = 0
         for connection in sorted(ripe, key=lambda connection: connection.idle_since):
@@ -158,14 +158,14 @@
         with trio.move_on_after(seconds):
             while self.connections:
                 self.close_idle(calls_back=True)
-                await trio.sleep(self.limits.hand_look)
+                await trio.sleep(self.limits.handover_check_interval_s)
 
     def scarce(self) -> bool:
         """Tell whether clients are about to run out of connections that they kept and cannot replace."""
         if not self.leaving:
             return False
         free = sum(connection.proven and connection.idle for connection in self.connections)
-        return free < self.limits.spare_connections
+        return free < self.limits.spare_client_connections
 
     def retire(self, closing: bool) -> None:
         """Have connections close after their next answer, those to come included, or no longer."""
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -45,7 +45,7 @@
         self.config, self.counters, self.clock = config, counters, Clock()
         self.log: Log = open_log(config)
         self.inbox: trio.MemorySendChannel[Message]  # to the dispatcher
-        self.inbox, self.received = trio.open_memory_channel[Message](limits.inbox)
+        self.inbox, self.received = trio.open_memory_channel[Message](limits.inbox_messages)
         classes = config.settings.classes
         by_key = frozenset(spec.name for spec in classes if spec.effect == "by_key")
         self.client_adapter = ClientAdapter(
@@ -68,7 +68,7 @@
         client_socket = await bind(self.listener.bind(*config.listen), config.listen)
         admin_socket = None
         if config.admin is not None:
-            admin_socket = await bind(bound(*config.admin, config.limits.backlog), config.admin)
+            admin_socket = await bind(bound(*config.admin, config.limits.accept_backlog), config.admin)
         inherited = await self._inherit()
         discovery = make_discovery(config, inherited, self.inbox, self.clock, self.counters, self.log)
         async with trio.open_nursery() as nursery:
@@ -76,7 +76,7 @@
             if isinstance(discovery, Discovery) and discovery.pushed:
                 # Guards against dispatching by an outdated list: all that the machine's agent has counts as
                 # notified from the start.
-                with trio.move_on_after(config.limits.push_start):
+                with trio.move_on_after(config.limits.pushed_start_timeout_s):
                     await discovery.had.wait()
             await self._start_serving(nursery, client_socket, admin_socket, discovery)
             handler = SignalHandler(
@@ -94,7 +94,7 @@
             self.log.event("serves", at=f"{config.listen[0]}:{config.listen[1]}", node=config.name)
             await dispatcher.run(self.received)
             self.client_adapter.end()
-            await self.listener.finish(config.limits.stop_part)
+            await self.listener.finish(config.limits.stop_close_timeout_s)
             nursery.cancel_scope.cancel()
 
     async def _inherit(self) -> Inherited | None:
@@ -142,7 +142,7 @@
         if inherited is None:
             dispatcher.turn([EndpointListReceived("remembered", messages.entries(config.initial_list))])
             return dispatcher
-        notified_in_us = config.limits.inherit_told_us
+        notified_in_us = config.limits.handover_notified_in_us
         if isinstance(discovery, Discovery):
             discovery.confirm_after(notified_in_us)
         self.steering.turn(inherited.away, relayed=True)
--- a/merlinbay/node_components.py
+++ b/merlinbay/node_components.py
@@ -105,7 +105,7 @@
     """Return the log in the format that the operator's file sets."""
     section = config.operator.log if config.operator is not None else None
     if section is None or section.format == "plain":
-        return Log(config.limits.log_lines)
+        return Log(config.limits.log_lines_per_s)
     from merlinbay.event_log import EventLog
 
     return EventLog(section.lines, section.format, section.level, config.name)
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -67,7 +67,7 @@
         has_moved = self._move_discovery(new)
         self.counters.add("reloads")
         self.log.event("reloaded", discovery=new.discovery, moved=has_moved)
-        await self.inbox.send(DiscoveryReloaded(self.config.limits.reload_told_us, has_moved))
+        await self.inbox.send(DiscoveryReloaded(self.config.limits.reload_notified_in_us, has_moved))
 
     def _move_discovery(self, new: Config) -> bool:
         """Move the watch to the configured address; return whether the dispatcher has to subscribe there."""
@@ -81,20 +81,20 @@
         """Serve on while clients still arrive, then reject new requests and end with the last answer."""
         limits = self.config.limits
         began = trio.current_time()
-        self.nursery.cancel_scope.deadline = began + limits.stop_most
+        self.nursery.cancel_scope.deadline = began + limits.stop_timeout_s
         if self.optional.fleet is not None:
             self.optional.fleet.leaving()
         if self.optional.takeover is not None and await self.optional.takeover.leave():
             await self.inbox.send(ShutdownRequested())
             return
-        await trio.sleep(limits.stop_arrivals)
+        await trio.sleep(limits.stop_arrivals_for_s)
         self.listener.leaving = True
         if self.config.settings.balancers > 1:
             # Guards against rejecting clients that another node could serve: their connections are closed
             # before rejection begins, and their new connections reach another node.
-            await trio.sleep_until(began + limits.stop_serving - limits.stop_retiring)
+            await trio.sleep_until(began + limits.stop_serving_for_s - limits.stop_closing_for_s)
             self.listener.close_idle()
-        await trio.sleep_until(began + limits.stop_serving)
+        await trio.sleep_until(began + limits.stop_serving_for_s)
         self.optional.stop()  # before connections close: waiting calls are answered on their own connections
         self.listener.close_idle()
         await self.inbox.send(ShutdownRequested())
--- a/merlinbay/notify/sender.py
+++ b/merlinbay/notify/sender.py
@@ -62,7 +62,11 @@
         most = listeners.bounds.quick + listeners.bounds.trial
         # No rest between: listeners get many batches a second, and a wrong answer costs one told twice.
         self.limits = replace(
-            limits, server_connections=max(most, 2), dial=min(1.0, timeout), pool_idle=4.0, pool_rest=0.0
+            limits,
+            server_connections=max(most, 2),
+            connect_timeout_s=min(1.0, timeout),
+            pool_idle_timeout_s=4.0,
+            pool_reuse_pause_s=0.0,
         )
         self.pool = AddressPool(self.limits, Counters())
         self.nursery: trio.Nursery | None = None
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -47,7 +47,7 @@
                     accepted, _ = await sock.accept()
                 except OSError:  # Guards against running out of descriptors: the listener must outlive it.
                     self.counters.add("admin_accepts_failed")
-                    await trio.sleep(self.limits.accept_pause)
+                    await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
                 if len(self.waiting) >= self.limits.admin_connections:
                     # Guards against callers that stay without a word and would keep others from being heard.
@@ -57,7 +57,7 @@
                 nursery.start_soon(self._answer, accepted)
 
     async def _answer(self, sock: trio.socket.SocketType) -> None:
-        with sock, trio.move_on_after(self.limits.admin_call) as scope:
+        with sock, trio.move_on_after(self.limits.admin_call_timeout_s) as scope:
             self.waiting[scope] = None
             try:
                 line = await self._line(sock)
@@ -75,9 +75,9 @@
         while left > 0 and (more := await sock.recv(self.limits.receive_bytes)):
             left -= len(more)
             # Guards against a reset that overtakes the answer: a line that is too long is read to its end.
-            data = (data + more)[: self.limits.admin_line + 1]
+            data = (data + more)[: self.limits.admin_line_bytes + 1]
             if b"\n" in more:
-                return b"" if len(data) > self.limits.admin_line else data.partition(b"\n")[0]
+                return b"" if len(data) > self.limits.admin_line_bytes else data.partition(b"\n")[0]
         return data or None
 
     async def answer(self, line: bytes) -> str:
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -99,7 +99,7 @@
         # has taken is answered, so nobody has begun these.
         for client_request in list(self.unanswered):
             client_request.answer(
-                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.stop_retry_after_us)
             )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
@@ -107,7 +107,7 @@
         path = request.target.partition("?")[0]
         if self.over:
             # Guards against what crosses the exit: it is answered, and not begun.
-            return TAKEN if path == "/v1/job-events" else refusal(self.limits.retry_when_stopping_us)
+            return TAKEN if path == "/v1/job-events" else refusal(self.limits.stop_retry_after_us)
         if path == "/v1/job-events":
             connection.calls_back = True
             return await self._call_back(request)
@@ -132,7 +132,7 @@
             # Guards against the last kept connection being busy: a client that finds none, and gets no new
             # one from a node that leaves, gives the node up though it still serves.
             self.counters.add("jobs_spared")
-            return refusal(self.limits.retry_when_stopping_us)
+            return refusal(self.limits.stop_retry_after_us)
         client_request = connection.context = ClientRequest(connection, spec.name, self.unanswered)
         arrived = RequestArrived(spec, client_request)
         try:
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -77,7 +77,7 @@
         self.had = trio.Event()  # the list has come, for the first time
         self.heard_us = -1  # when the last answer on this watch came; -1: none yet
         self.called_at = 0.0  # when the call that is under way began
-        self.patience = limits.watch_first  # so long the first answer on a watch is waited for
+        self.patience = limits.first_poll_timeout_s  # so long the first answer on a watch is waited for
         self.watching = False  # a watch is under way
         self.report_next = True  # the next answer is told even if it changes nothing,
         self.confirm_at: list[float] = []  # and so is the first from each of these moments on
@@ -88,7 +88,7 @@
 
         The first answer is waited for so long; 0: as long as is usual.
         """
-        self.patience = patience_us / 1e6 if patience_us else self.limits.watch_first
+        self.patience = patience_us / 1e6 if patience_us else self.limits.first_poll_timeout_s
         self.asked.set()
         if self.watching:
             # Guards against a watch that goes on as it is, and so never tells that the call has worked.
@@ -100,7 +100,7 @@
         Returns whether there is anything to move. Guards against a herd: all nodes are sent there at once.
         """
         self.next_addr = addr
-        self.confirm_after(self.limits.reload_told_us)
+        self.confirm_after(self.limits.reload_notified_in_us)
         if self.pushed and self.former:  # Guards against the list of an agent that nobody calls any more.
             self.subscribe()
         return self.former
@@ -146,7 +146,7 @@
                         EndpointListReceived("refused", [], self.heard_us, failure, self.former)
                     )
                     if self.pushed:
-                        await trio.sleep(self.limits.push_retry)
+                        await trio.sleep(self.limits.pushed_retry_pause_s)
             self.watching = False
             if self.watch.cancelled_caught:
                 # Guards against news that were taken in, and whose telling was cut off: all is wanted.
@@ -201,7 +201,7 @@
         connection = await self._dial()
         try:
             # The first call waits for nothing: the module learns from it what a call takes discovery.
-            wait_ms, most = 0, self.limits.push_first if self.pushed else self.patience
+            wait_ms, most = 0, self.limits.pushed_poll_timeout_s if self.pushed else self.patience
             spoilt = False
             while True:
                 self.called_at = trio.current_time()
@@ -219,11 +219,11 @@
                     if spoilt:
                         raise
                     spoilt = True
-                    await trio.sleep(self.limits.watch_spoilt)
+                    await trio.sleep(self.limits.malformed_retry_pause_s)
                 else:
                     await self._hear(listing)
                     wait = self._wait()
-                    wait_ms, most = int(wait * 1000), wait + self.limits.watch_slack
+                    wait_ms, most = int(wait * 1000), wait + self.limits.watch_slack_s
                     spoilt = False
                 if not connection.reusable:
                     connection.close()
@@ -235,11 +235,13 @@
         """Return how long the next call of a watch waits: not past a moment that has to be confirmed."""
         now = trio.current_time()
         soonest = min((at for at in self.confirm_at), default=math.inf)
-        return min(self.limits.watch_wait, max(soonest + self.limits.watch_confirm - now, 0.0))
+        return min(self.limits.watch_wait_s, max(soonest + self.limits.confirm_margin_s - now, 0.0))
 
     async def _dial(self) -> ClientConnection:
         limits = self.limits
-        return await ClientConnection.dial(self.addr, limits, limits.listing_bytes, limits.watch_dial)
+        return await ClientConnection.dial(
+            self.addr, limits, limits.endpoint_list_bytes, limits.watch_connect_timeout_s
+        )
 
     async def _hear(self, listing: messages.Listing) -> None:
         """Take an answer, and tell what it says."""
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -38,7 +38,9 @@
 
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
-        scope = trio.CancelScope(deadline=self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer)
+        scope = trio.CancelScope(
+            deadline=self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer_timeout_s
+        )
         if self.spawn(self._send, attempt, scope):
             self.sending[attempt] = scope
         else:
@@ -130,7 +132,7 @@
     async def _delete(self, attempt: ServerAttempt) -> bool:
         """Give up an attempt at its server; tell whether the server has answered."""
         reply: Reply | Outcome | None = None
-        with trio.move_on_after(self.limits.cancel_exchange):
+        with trio.move_on_after(self.limits.cancel_timeout_s):
             target = f"/jobs/{attempt.spec.name}"
             reply = await self.exchange(attempt.server, "DELETE", target, [], rested=False)
             self.counters.add("deletes" if isinstance(reply, Reply) else "deletes_failed")
@@ -139,7 +141,7 @@
     async def _probe(self, name: str) -> None:
         began = self.clock.now_us()
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_after(self.limits.probe_exchange):
+        with trio.move_on_after(self.limits.health_check_timeout_s):
             reply = await self.exchange(name, "GET", "/-/load" if self.has_load else "/-/healthy", [])
         outcome, report = reply if isinstance(reply, Outcome) else Outcome.ERROR, None
         if isinstance(reply, Reply):
--- a/merlinbay/scale/control_writer.py
+++ b/merlinbay/scale/control_writer.py
@@ -14,7 +14,7 @@
 from merlinbay.scale.control_plane import VOTER, name_of, operator_of
 from merlinbay.scale.roles import RunFacts
 
-LIMITS = replace(ResourceLimits(), dial=3.0)
+LIMITS = replace(ResourceLimits(), connect_timeout_s=3.0)
 ANSWER_S = 5.0
 AGAIN_S = 0.05  # after a call that nobody took: a leader is being elected
 MOST_BYTES = 1024 * 1024
--- a/tests/net.py
+++ b/tests/net.py
@@ -128,7 +128,7 @@
 
     async def listen(self) -> None:
         """Serve for ever."""
-        self.sock.listen(LIMITS.backlog)
+        self.sock.listen(LIMITS.accept_backlog)
         listener = Listener(self, LIMITS, Counters(), Log(100))
         await listener.serve(trio.socket.from_stdlib_socket(self.sock))
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -200,8 +200,8 @@
 def test_ctrl_c_waits_for_no_clients() -> None:
     """The time that a node serves on after SIGTERM is for a front layer, which a person does not have."""
     limits = prompt_stop(ResourceLimits())
-    assert limits.stop_serving == limits.stop_arrivals == 0.0
-    assert limits.stop_most <= 1.0
+    assert limits.stop_serving_for_s == limits.stop_arrivals_for_s == 0.0
+    assert limits.stop_timeout_s <= 1.0
 
 
 def test_nobody_there_is_said_in_one_line() -> None:
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -161,7 +161,7 @@
             async with trio.open_nursery() as nursery:
                 at = MeddledDoor(nursery)
                 at.how = how
-                await at.open(evict_after=-1.0, receive_bytes=at_once)
+                await at.open(evict_idle_after_s=-1.0, receive_bytes=at_once)
                 await at.client.send(ASK)
                 got = await at.answered()
                 assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"served")
@@ -215,7 +215,7 @@
     """What never becomes whole is not taken: its connection is closed, and its rest is not read."""
 
     async def scene() -> None:
-        async with door(read_request=0.3, sweep=0.05) as at:
+        async with door(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
             with pytest.raises(OSError):
                 for byte in ASK[:-1]:
                     await at.client.send(bytes([byte]))
@@ -252,7 +252,7 @@
     """It does not end with the time for which the connection may rest."""
 
     async def scene() -> None:
-        async with door(read_request=5.0, sweep=0.02) as at:
+        async with door(read_request_timeout_s=5.0, sweep_interval_s=0.02) as at:
             await at.client.send(ASK)
             await at.heard.wait()
             at.connection.respond(Response(200))
@@ -271,7 +271,7 @@
     """As the first one is, though the connection may rest for much longer."""
 
     async def scene() -> None:
-        async with door(read_request=0.3, sweep=0.05) as at:
+        async with door(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
             await at.client.send(ASK)
             await at.heard.wait()
             at.connection.proven = True
@@ -377,7 +377,7 @@
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
                 at = CrossingDoor(nursery)
-                await at.open(ahead_bytes=1000, linger=0.2)
+                await at.open(read_ahead_bytes=1000, linger_s=0.2)
                 await at.client.send(ASK + b"x" * 2000)
                 assert (await at.client.recv(4096)).startswith(b"HTTP/1.1 400")
                 for _ in range(3):  # a reset would show
@@ -576,7 +576,7 @@
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
-            await client.send(b"x" * (LIMITS.ahead_bytes + 1))
+            await client.send(b"x" * (LIMITS.read_ahead_bytes + 1))
             assert (await client.recv(100)).startswith(b"HTTP/1.1 400")
             assert [type(message) for message in node.take(1)] == [RequestArrived]
             assert not node.started
@@ -874,7 +874,9 @@
     play(scene)
 
 
-@pytest.mark.parametrize("limit", ["inbox", "server_tasks", "most_held", "server_connections"])
+@pytest.mark.parametrize(
+    "limit", ["inbox_messages", "server_tasks", "max_open_requests", "server_connections"]
+)
 def test_each_usual_request_has_one_answer_in_its_time_at_the_nodes_own_limits(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -126,7 +126,7 @@
     """A client that floods is told so, its request is withdrawn, and its connection ends."""
 
     async def scene() -> None:
-        async with door(ahead_bytes=1000) as at:
+        async with door(read_ahead_bytes=1000) as at:
             await at.client.send(ASK + b"x" * 2000)
             got = await at.answered()
             assert got.startswith(b"HTTP/1.1 400") and at.left == at.asked == [at.connection]
@@ -198,7 +198,7 @@
     """A close over them would be a reset, and may overtake the answer."""
 
     async def scene() -> None:
-        async with door(linger=5.0) as at:
+        async with door(linger_s=5.0) as at:
             await at.client.send(ASK)
             await at.heard.wait()
             at.connection.close_after = True
@@ -252,7 +252,7 @@
     """There is no good order left for it; others wait for its place."""
 
     async def scene() -> None:
-        async with door(write_answer=0.05, sweep=0.02) as at:
+        async with door(write_response_timeout_s=0.05, sweep_interval_s=0.02) as at:
             if at_once:
                 at.answer = Response(200, b"x" * 50_000_000)
             await at.client.send(ASK)
@@ -323,7 +323,7 @@
 def test_a_client_that_takes_a_little_each_second_gets_its_whole_answer() -> None:
     """The write timeout counts from the last byte taken, so an answer may take longer than it in all."""
     client = PacedSocket(bytes_a_second=1000, bytes_in_all=1_000_000)
-    seconds = int(4 * LIMITS.write_answer)
+    seconds = int(4 * LIMITS.write_response_timeout_s)
     trio.run(serve_paced_client, client, 1000 * seconds, clock=trio.testing.MockClock(autojump_threshold=0))
     assert client.taken > 1000 * seconds
 
@@ -333,7 +333,11 @@
     client = PacedSocket(bytes_a_second=1000, bytes_in_all=3000)
     ended = trio.run(serve_paced_client, client, 20_000, clock=trio.testing.MockClock(autojump_threshold=0))
     assert client.taken == 3000
-    assert 3.0 + LIMITS.write_answer <= ended <= 3.0 + LIMITS.write_answer + 2 * LIMITS.sweep
+    assert (
+        3.0 + LIMITS.write_response_timeout_s
+        <= ended
+        <= 3.0 + LIMITS.write_response_timeout_s + 2 * LIMITS.sweep_interval_s
+    )
 
 
 def test_accepted_connections_hold_nothing_back() -> None:
@@ -438,7 +442,7 @@
     spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, repeat_key="k")
     owner.turn([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
-    clock.now_us.return_value += LIMITS.stop_answers_us
+    clock.now_us.return_value += LIMITS.stop_answers_for_us
     owner.turn([])
     assert servers.start.call_count == servers.give_up.call_count == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
@@ -582,7 +586,7 @@
                 pool.entries_changed("all", [ServiceEntry("s", f"127.0.0.1:{port}")])
                 first = await pool.exchange("s", "POST", "/", [], b"x")
                 if not late:  # both are read at once
-                    await trio.sleep(2 * LIMITS.pool_rest)
+                    await trio.sleep(2 * LIMITS.pool_reuse_pause_s)
                 assert (await pool.exchange("s", "POST", "/", [], b"x")).status == first.status
                 assert counters.counts["server_connections"] == 2  # on a connection of its own
                 # A give-up takes any connection, but the next job not the one that it used.
--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -119,7 +119,7 @@
         async with trio.open_nursery() as nursery:
             send, receive = trio.open_memory_channel[Message](8)
             at = await listen(nursery, NameServer(ONE + TWO))
-            limits = replace(LIMITS, reload_told_us=300_000)
+            limits = replace(LIMITS, reload_notified_in_us=300_000)
             directory = DnsSdDirectory(at, SERVICE, send, limits, Counters(), Log(9))
             nursery.start_soon(directory.run)
             directory.subscribe()
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -323,7 +323,7 @@
 
 @pytest.mark.parametrize(
     "operator, limits",
-    [(BOTH + "finished = 2\n", ResourceLimits()), (BOTH, ResourceLimits(finished_bytes=20))],
+    [(BOTH + "finished = 2\n", ResourceLimits()), (BOTH, ResourceLimits(finished_output_bytes=20))],
 )
 def test_finished_jobs_are_kept_within_bounds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, operator: str, limits: ResourceLimits
--- a/tests/test_in_service.py
+++ b/tests/test_in_service.py
@@ -193,7 +193,9 @@
         while busy.usable():
             jobs += 1
             assert (await busy.exchange("POST", "/admit", admission(f"busy-{jobs}"), b"seat")).status == 200
-        assert trio.current_time() - began > LIMITS.away_arrivals - 0.1 and idle.usable()  # these end later
+        assert (
+            trio.current_time() - began > LIMITS.standby_arrivals_for_s - 0.1 and idle.usable()
+        )  # these end later
         assert (await s.admit("late")).status == 200  # whoever comes all the same is served
         await trio.sleep(began + 2.0 - trio.current_time())
         assert not idle.usable() and server.usable()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -49,12 +49,12 @@
 SECOND = 1_000_000
 QUICK = replace(
     LIMITS,
-    watch_wait=0.05,
-    watch_slack=0.05,
-    watch_first=0.1,
-    push_first=0.1,
-    watch_spoilt=0.01,
-    reload_told_us=200_000,
+    watch_wait_s=0.05,
+    watch_slack_s=0.05,
+    first_poll_timeout_s=0.1,
+    pushed_poll_timeout_s=0.1,
+    malformed_retry_pause_s=0.01,
+    reload_notified_in_us=200_000,
 )
 
 
@@ -274,7 +274,7 @@
         for n in range(1024)
     ]
     text = json.dumps({"version": 1, "full": True, "servers": rows}, indent=4).encode()
-    assert len(text) < LIMITS.listing_bytes / 4
+    assert len(text) < LIMITS.endpoint_list_bytes / 4
     found = messages.entries(messages.read_listing(text))
     made = Balancer(settings(balancers=230), 1, 0)
     made.handle(
@@ -290,7 +290,7 @@
     told = handed.told(1, found, learned(made, made.classes), False)
     assert sum(len(word.entries) for word in told if isinstance(word, handed.Part)) == 1024
     assert sum(len(word.workers) for word in told if isinstance(word, handed.Part)) == 1024
-    assert max(len(handed.encode(word)) for word in told) < LIMITS.link_bytes
+    assert max(len(handed.encode(word)) for word in told) < LIMITS.handover_packet_bytes
 
 
 def test_a_node_with_1024_entries_keeps_to_its_descriptors(tmp_path: Path) -> None:
@@ -452,9 +452,9 @@
         async with stage(tmp_path) as at:
             discovery = Told(at, False, []).discovery
             discovery.limits = LIMITS
-            assert discovery._wait() == LIMITS.watch_wait
+            assert discovery._wait() == LIMITS.watch_wait_s
             discovery.confirm_after(300_000)
-            assert 0.3 < discovery._wait() <= 0.3 + LIMITS.watch_confirm
+            assert 0.3 < discovery._wait() <= 0.3 + LIMITS.confirm_margin_s
 
     play(scene)
 
@@ -583,7 +583,7 @@
             pool = ConnectionPool(LIMITS, counters, lambda name: not leaves)
             pool.entries_changed("all", [ServiceEntry("s", server.addr)])
             assert (await pool.exchange("s", "POST", "/", [], b"x", last_look=list)).status == 202
-            await trio.sleep(1.2 * LIMITS.pool_rest)
+            await trio.sleep(1.2 * LIMITS.pool_reuse_pause_s)
             leaves = True
             with pytest.raises(RequestNotSentError):
                 await pool.exchange("s", "POST", "/", [], b"x", last_look=list)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -255,7 +255,7 @@
             await s.start()
             for number in range(10):
                 assert (await s.admit(f"a{number}")).status == 200
-                await trio.sleep(1.2 * LIMITS.pool_rest)
+                await trio.sleep(1.2 * LIMITS.pool_reuse_pause_s)
             assert len(server.connections) == 1
 
     play(scene)
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -180,14 +180,23 @@
         [RequestClass("admit", 1, 5_000_000)], safety=SafetyMargins(must_ask_in_us=10_000_000)
     )
     limits = limits_from(sockets, 192, settings, 120_000, 10_000_000, 20_000)
-    assert limits.edge_connections + limits.server_connections + 32 <= sockets
-    assert 0 < limits.most_held < limits.edge_connections
-    assert 0 < limits.waits < limits.edge_connections
-    assert (limits.dial, limits.pool_idle < 10, limits.stop_most) == (0.12, True, 3.65)
+    assert limits.client_connections + limits.server_connections + 32 <= sockets
+    assert 0 < limits.max_open_requests < limits.client_connections
+    assert 0 < limits.drmaa_waits < limits.client_connections
+    assert (limits.connect_timeout_s, limits.pool_idle_timeout_s < 10, limits.stop_timeout_s) == (
+        0.12,
+        True,
+        3.65,
+    )
     # Each step of the end has its time before the cut-off, and that comes before SIGKILL.
-    steps = limits.stop_serving + limits.stop_answers_us / 1e6 + limits.stop_tail + limits.stop_part
-    assert steps <= limits.stop_most + 1e-9 < 3.7
-    assert limits.watch_wait + limits.watch_slack < 10
+    steps = (
+        limits.stop_serving_for_s
+        + limits.stop_answers_for_us / 1e6
+        + limits.stop_rejecting_for_s
+        + limits.stop_close_timeout_s
+    )
+    assert steps <= limits.stop_timeout_s + 1e-9 < 3.7
+    assert limits.watch_wait_s + limits.watch_slack_s < 10
 
 
 def test_the_operators_file_turns_the_second_front_on() -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -144,7 +144,7 @@
             finished=500,
             finished_keep=1000,
         )
-        limits = ResourceLimits(most_held=12)
+        limits = ResourceLimits(max_open_requests=12)
         clock: Any = self.clock
         inbox: Any = self.inbox
         self.front = DrmaaFront(inbox, clock, limits, counters, Log(1), classes, drmaa, "n")
