--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -37,10 +37,10 @@
 class EndpointDiscovery(Protocol):
     """Discovery."""
 
-    def subscribe(self, patience_us: int = 0) -> None:
+    def subscribe(self, first_poll_timeout_us: int = 0) -> None:
         """Begin to watch the list, or do so again after a failure or a move.
 
-        The first answer is waited for so long; 0: as long as is usual.
+        A timeout of 0 stands for the default one.
         """
 
 
--- a/merlinbay/dnssd/directory.py
+++ b/merlinbay/dnssd/directory.py
@@ -45,7 +45,7 @@
         self.confirm_at = math.inf  # then the list is told once more: all counts as notified
         self.failed = False  # or cut short: the next look that works is told, whatever it finds
 
-    def subscribe(self, patience_us: int = 0) -> None:
+    def subscribe(self, first_poll_timeout_us: int = 0) -> None:
         """Begin to ask, or go on after a failure."""
         self.asked.set()
 
@@ -58,7 +58,7 @@
         self.asked.set()
         self.watch.cancel()
 
-    def serves(self, server: str) -> bool:
+    def is_up(self, server: str) -> bool:
         """Tell whether a real server is up by what was heard last; all are, until something was."""
         entry = self.last.get(server) if self.last is not None else None
         return self.last is None or (entry is not None and entry.state == "up")
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -59,8 +59,8 @@
         self.steering = ClientSteering(self.listener, limits)
         self.admin = AdminListener(self.inbox, self.steering, limits, counters, self.log)
         if config.settings.balancers == 1:  # with more nodes, a new connection leads to another one
-            self.client_adapter.scarce = self.listener.scarce
-        self.client_adapter.wanted = self.steering.wanted
+            self.client_adapter.is_short_of_connections = self.listener.scarce
+        self.client_adapter.accepts_clients = self.steering.wanted
 
     async def run(self) -> None:
         """Run until the node is told to stop and its last request is answered."""
@@ -73,11 +73,11 @@
         discovery = make_discovery(config, inherited, self.inbox, self.clock, self.counters, self.log)
         async with trio.open_nursery() as nursery:
             dispatcher = self._start_dispatcher(nursery, discovery, inherited)
-            if isinstance(discovery, Discovery) and discovery.pushed:
+            if isinstance(discovery, Discovery) and discovery.is_pushed:
                 # Guards against dispatching by an outdated list: all that the machine's agent has counts as
                 # notified from the start.
                 with trio.move_on_after(config.limits.pushed_start_timeout_s):
-                    await discovery.had.wait()
+                    await discovery.has_list.wait()
             await self._start_serving(nursery, client_socket, admin_socket, discovery)
             handler = SignalHandler(
                 config,
@@ -90,7 +90,7 @@
                 self.optional,
             )
             nursery.start_soon(handler.run)
-            self.admin.serving = True
+            self.admin.is_serving = True
             self.log.event("serves", at=f"{config.listen[0]}:{config.listen[1]}", node=config.name)
             await dispatcher.run(self.received)
             self.client_adapter.end()
@@ -126,7 +126,7 @@
     ) -> Dispatcher:
         """Make the dispatcher with its pool and servers, start discovery, and give it the first list."""
         config, drmaa = self.config, self.optional.drmaa
-        pool = ConnectionPool(config.limits, self.counters, discovery.serves)
+        pool = ConnectionPool(config.limits, self.counters, discovery.is_up)
         servers = self._make_servers(nursery, pool)
         balancer = Balancer(config.settings, config.seed, self.clock.now_us())
         dispatcher = Dispatcher(
@@ -181,7 +181,7 @@
         await nursery.start(self.listener.serve, client_socket)
         if optional.takeover is not None and isinstance(discovery, Discovery):
             nursery.start_soon(optional.takeover.follow)
-            await nursery.start(optional.takeover.await_successors, discovery.listing)
+            await nursery.start(optional.takeover.await_successors, discovery.endpoint_list)
         nursery.start_soon(self.steering.run)
         if admin_socket is not None:
             nursery.start_soon(self.admin.serve, admin_socket)
--- a/merlinbay/platform/__init__.py
+++ b/merlinbay/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: its edge, its real servers with their call-backs, and its discovery."""
+"""The platform's protocol: clients, servers with their call-backs, discovery, operators' calls."""
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -1,8 +1,9 @@
-"""Where operators call: one line a connection, one line back."""
+"""The operators' listener: one line with a command a connection, one line in answer."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 import trio
 
@@ -13,30 +14,36 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-Call = Callable[[str], Awaitable[str]]  # takes what follows the call's word, returns why not, or nothing
+
+@dataclass(frozen=True)
+class Command:
+    """A command of operators."""
+
+    takes_id: bool
+    carry_out: Callable[[str], Awaitable[str]]  # takes the id; returns the failure's cause, empty on success
 
 
 class AdminListener:
-    """Answers operators' calls."""
+    """Carries out operators' commands."""
 
     def __init__(
         self,
         inbox: trio.MemorySendChannel[Message],
-        attendance: ClientSteering,
+        steering: ClientSteering,
         limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
-        self.inbox, self.attendance, self.limits = inbox, attendance, limits
+        self.inbox, self.steering, self.limits = inbox, steering, limits
         self.counters, self.log = counters, log
-        self.serving = False  # set once clients are taken
-        self.waiting: dict[trio.CancelScope, None] = {}  # connections without a whole line yet, oldest first
-        self.calls: dict[str, tuple[bool, Call]] = {  # whether an id belongs to it, and what it does
-            "status": (False, self._status),
-            "standby": (False, self._standby),
-            "active": (False, self._active),
-            "maint-on": (True, self._maint_on),
-            "maint-off": (True, self._maint_off),
+        self.is_serving = False  # set once clients are served
+        self.waiting: dict[trio.CancelScope, None] = {}  # connections whose line is incomplete, oldest first
+        self.commands = {
+            "status": Command(False, self._status),
+            "standby": Command(False, self._standby),
+            "active": Command(False, self._active),
+            "maint-on": Command(True, self._maint_on),
+            "maint-off": Command(True, self._maint_off),
         }
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
@@ -50,17 +57,17 @@
                     await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
                 if len(self.waiting) >= self.limits.admin_connections:
-                    # Guards against callers that stay without a word and would keep others from being heard.
-                    longest = next(iter(self.waiting))
-                    del self.waiting[longest]
-                    longest.cancel()
-                nursery.start_soon(self._answer, accepted)
+                    # Guards against silent callers that keep others from being served.
+                    oldest = next(iter(self.waiting))
+                    del self.waiting[oldest]
+                    oldest.cancel()
+                nursery.start_soon(self._serve_caller, accepted)
 
-    async def _answer(self, sock: trio.socket.SocketType) -> None:
+    async def _serve_caller(self, sock: trio.socket.SocketType) -> None:
         with sock, trio.move_on_after(self.limits.admin_call_timeout_s) as scope:
             self.waiting[scope] = None
             try:
-                line = await self._line(sock)
+                line = await self._read_line(sock)
                 self.waiting.pop(scope, None)
                 if line is not None:
                     await send_all(sock, (await self.answer(line)).encode() + b"\n")
@@ -69,11 +76,11 @@
             finally:
                 self.waiting.pop(scope, None)
 
-    async def _line(self, sock: trio.socket.SocketType) -> bytes | None:
-        """Return the one line, which the end of what the caller sends ends too; None: there is none."""
-        data, left = b"", self.limits.linger_bytes
-        while left > 0 and (more := await sock.recv(self.limits.receive_bytes)):
-            left -= len(more)
+    async def _read_line(self, sock: trio.socket.SocketType) -> bytes | None:
+        """Return the line, which the end of the stream ends as well; None: nothing was sent."""
+        data, may_read = b"", self.limits.linger_bytes
+        while may_read > 0 and (more := await sock.recv(self.limits.receive_bytes)):
+            may_read -= len(more)
             # Guards against a reset that overtakes the answer: a line that is too long is read to its end.
             data = (data + more)[: self.limits.admin_line_bytes + 1]
             if b"\n" in more:
@@ -81,46 +88,48 @@
         return data or None
 
     async def answer(self, line: bytes) -> str:
-        """Carry out one call; return the line that answers it."""
-        word, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
-        takes_id, call = self.calls.get(word, (False, None))
-        rest = rest.strip()
-        if call is None:
-            why = "no such call"
-        elif bool(rest) != takes_id or " " in rest:
-            why = f"{word} takes {'one id' if takes_id else 'no id'}"
+        """Carry out the command of one line; return the line that answers it."""
+        name, _, server = line.decode("utf-8", "replace").strip().partition(" ")
+        server = server.strip()
+        command = self.commands.get(name)
+        if command is None:
+            failure = "no such call"
+        elif bool(server) != command.takes_id or " " in server:
+            failure = f"{name} takes {'one id' if command.takes_id else 'no id'}"
         else:
-            why = await call(rest)
-        self.counters.add("admin_refused" if why else "admin_calls")
-        if word != "status" or why:
-            self.log.event("operator_call", call=ascii(word)[:40], id=ascii(rest)[:80], refused=why or "no")
-        return f"FAILURE {why}" if why else "SUCCESS"
+            failure = await command.carry_out(server)
+        self.counters.add("admin_refused" if failure else "admin_calls")
+        if name != "status" or failure:
+            self.log.event(
+                "operator_call", call=ascii(name)[:40], id=ascii(server)[:80], refused=failure or "no"
+            )
+        return f"FAILURE {failure}" if failure else "SUCCESS"
 
     async def _status(self, _: str) -> str:
-        return "" if self.serving else "not yet"
+        return "" if self.is_serving else "not yet"
 
     async def _standby(self, _: str) -> str:
-        self.attendance.turn(True)
+        self.steering.turn(True)
         return ""
 
     async def _active(self, _: str) -> str:
-        self.attendance.turn(False)
+        self.steering.turn(False)
         return ""
 
     async def _maint_on(self, server: str) -> str:
-        return await self._maintain(server, True)
+        return await self._set_maintenance(server, True)
 
     async def _maint_off(self, server: str) -> str:
-        return await self._maintain(server, False)
+        return await self._set_maintenance(server, False)
 
-    async def _maintain(self, server: str, on: bool) -> str:
-        heard, known = trio.Event(), False
+    async def _set_maintenance(self, server: str, on: bool) -> str:
+        is_done, is_known = trio.Event(), False
 
-        def told(answer: bool) -> None:
-            nonlocal known
-            known = answer
-            heard.set()
+        def on_answer(answer: bool) -> None:
+            nonlocal is_known
+            is_known = answer
+            is_done.set()
 
-        await self.inbox.send(MaintenanceRequested(server, on, told))
-        await heard.wait()
-        return "" if known else "nobody has this id"
+        await self.inbox.send(MaintenanceRequested(server, on, on_answer))
+        await is_done.wait()
+        return "" if is_known else "nobody has this id"
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's listener: edge connections, and the call-backs that share their address."""
+"""The platform's protocol at the node's address: clients' requests, call-backs and the readiness check."""
 
 from __future__ import annotations
 
@@ -26,47 +26,54 @@
 from merlinbay.log import Log
 from merlinbay.platform import messages
 
-OUTCOMES = {"done": Outcome.OK, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
-TAKEN = Response(200)
+CALL_BACKS = "/v1/job-events"
+READINESS = "/-/ready"
+OUTCOMES = {  # of an attempt, by the state that a call-back reports
+    "done": Outcome.OK,
+    "failed": Outcome.ERROR,
+    "returned": Outcome.FULL,
+    "lost": Outcome.RESET,
+}
+RECEIVED = Response(200)  # to a call-back
 
 
-def refusal(retry_after_us: int) -> Response:
-    """Return the answer to a job that is refused unsent."""
+def rejection(retry_after_us: int) -> Response:
+    """Return the answer to a request that is rejected before it is sent to a server."""
     wait = f"{retry_after_us / 1e6:.3f}".encode()
     return Response(503, b"refused\n", [(b"retry-after", wait)] if retry_after_us else [])
 
 
 class ClientRequest(Responder):
-    """The client's side of one request: this wire tells clients the end only."""
+    """The client's side of one request; this wire reports the end only."""
 
     def __init__(
         self, connection: Connection, name: str, unanswered: set[ClientRequest] | None = None
     ) -> None:
         self.connection, self.name = connection, name
-        self.withdrawn = False  # its connection has ended, or its client was told that it failed
-        self.entering = trio.CancelScope()  # its way into the owner's inbox
-        self.unanswered = unanswered if unanswered is not None else set()  # it is one of them till its end
+        self.withdrawn = False  # the client has disconnected, or was answered that it failed
+        self.entering = trio.CancelScope()  # covers the wait for a place in the dispatcher's inbox
+        self.unanswered = unanswered if unanswered is not None else set()  # holds this one until its answer
         self.unanswered.add(self)
 
     def withdraw(self) -> None:
-        """Take it that nobody waits for its answer any more."""
+        """Stop what is still to be done for the answer: no client waits for it."""
         self.withdrawn = True
         self.entering.cancel()
         self.unanswered.discard(self)
 
     def left(self) -> bool:
-        """Tell whether the client has left, as its connection looks now."""
+        """Return whether the client has disconnected, as its connection looks now."""
         return self.withdrawn or hung_up(self.connection.sock)
 
     def answer(self, answer: Answer) -> None:
-        """Write the request's answer to its edge connection."""
+        """Write the answer to the client's connection."""
         self.connection.context = None
         self.unanswered.discard(self)
         if answer.verdict is AnswerStatus.SERVED:
             self.connection.proven = True
             self.connection.respond(Response(200, answer.result))
         elif answer.verdict is AnswerStatus.REFUSED:
-            self.connection.respond(refusal(answer.retry_after_us))
+            self.connection.respond(rejection(answer.retry_after_us))
         else:
             self.connection.respond(Response(500, b"failed\n"))
 
@@ -82,64 +89,70 @@
         counters: Counters,
         classes: set[str],
         log: Log,
-        keyed: frozenset[str] = frozenset(),
+        by_key_classes: frozenset[str] = frozenset(),
     ) -> None:
         self.inbox, self.clock, self.limits, self.log = inbox, clock, limits, log
         self.counters, self.classes = counters, classes
-        self.keyed = keyed  # the classes whose jobs carry a key
-        self.scarce: Callable[[], bool] = lambda: False  # whether kept edge connections run out
-        self.wanted: Callable[[], bool] = lambda: True  # whether new clients are
-        self.over = False  # the owner has ended: there is nobody behind the inbox any more
+        self.by_key_classes = by_key_classes  # their requests should carry an idempotency key
+        self.is_short_of_connections: Callable[[], bool] = lambda: False
+        self.accepts_clients: Callable[[], bool] = lambda: True  # else the node is in standby
+        self.has_ended = False  # the dispatcher has ended, and nobody reads the inbox
         self.unanswered: set[ClientRequest] = set()
 
     def end(self) -> None:
-        """Take it that the owner has ended: refuse what it has not taken, and all that is still to come."""
-        self.over = True
-        # Guards against requests lost in the inbox, or on their way into it: the owner ends when all that it
-        # has taken is answered, so nobody has begun these.
+        """Reject all requests that the dispatcher has not taken: it has ended."""
+        self.has_ended = True
+        # Guards against requests lost in the inbox or on their way into it. None of them was begun: the
+        # dispatcher ends when all that it has taken is answered.
         for client_request in list(self.unanswered):
             client_request.answer(
                 Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.stop_retry_after_us)
             )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Take a call-back, a job or a check."""
+        """Handle a call-back, a readiness check or a client's request; None: the answer follows later."""
         path = request.target.partition("?")[0]
-        if self.over:
-            # Guards against what crosses the exit: it is answered, and not begun.
-            return TAKEN if path == "/v1/job-events" else refusal(self.limits.stop_retry_after_us)
-        if path == "/v1/job-events":
+        if self.has_ended:
+            # Guards against requests that cross the exit: they are answered, and not begun.
+            return RECEIVED if path == CALL_BACKS else rejection(self.limits.stop_retry_after_us)
+        if path == CALL_BACKS:
             connection.calls_back = True
             return await self._call_back(request)
-        if path == "/-/ready":
+        if path == READINESS:
             if request.method not in ("GET", "HEAD"):
                 return Response(405)
-            return Response(200, b"ready\n") if self.wanted() else Response(503, b"standby\n")
+            return Response(200, b"ready\n") if self.accepts_clients() else Response(503, b"standby\n")
         if path.strip("/").partition("/")[0] not in self.classes:
             return Response(404)
         if request.method != "POST":
             return Response(405)
+        return self._client_request(connection, request)
+
+    def _client_request(self, connection: Connection, request: Request) -> Response | None:
+        """Pass a client's request to the dispatcher, or return why it is not passed on."""
         try:
-            spec = messages.job_spec(request.target, request.headers, request.body, self._arrived_us(request))
+            spec = messages.request_spec(
+                request.target, request.headers, request.body, self._arrived_us(request)
+            )
         except messages.BadRequestError as error:
             self.counters.add("requests_bad")
             self.log.event("request_bad", level="warning", cause=str(error))
             return Response(400, f"bad request: {error}\n".encode())
-        if spec.job_class in self.keyed and not spec.repeat_key:
+        if spec.job_class in self.by_key_classes and not spec.repeat_key:
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
-        if connection.proven and self.scarce():
-            # Guards against the last kept connection being busy: a client that finds none, and gets no new
-            # one from a node that leaves, gives the node up though it still serves.
+        if connection.proven and self.is_short_of_connections():
+            # Guards against using the last proven connection: a client without one, which gets no new one
+            # from a node that shuts down, gives up the node though it still serves.
             self.counters.add("jobs_spared")
-            return refusal(self.limits.stop_retry_after_us)
+            return rejection(self.limits.stop_retry_after_us)
         client_request = connection.context = ClientRequest(connection, spec.name, self.unanswered)
         arrived = RequestArrived(spec, client_request)
         try:
             self.inbox.send_nowait(arrived)
         except trio.WouldBlock:
-            # Guards against a client whose going is not seen: its connection is read on while it waits here,
-            # or what it has sent behind its request would hold the end of the connection back.
+            # Guards against missing that a client disconnects: its connection is read on while the request
+            # waits here, or what the client has sent behind it would hide the end of the connection.
             connection.nursery.start_soon(self._enter, arrived, client_request.entering)
         return None
 
@@ -148,22 +161,22 @@
             await self.inbox.send(arrived)
 
     def _arrived_us(self, request: Request) -> int:
-        """Return when a request's last byte had come."""
-        # Guards against a deadline that is too long by the time that a request was read ahead of its turn.
+        """Return when a request's last byte had been received."""
+        # Guards against a deadline that is late by the time for which a request read ahead has waited.
         return self.clock.now_us() if request.received is None else self.clock.from_trio(request.received)
 
     def gone(self, connection: Connection) -> None:
-        """Withdraw the request of a client that hung up."""
+        """Withdraw the request of a client that has disconnected."""
         client_request = connection.context
         if isinstance(client_request, ClientRequest):
             client_request.withdraw()
-            # Guards against a word that is lost where the inbox is full: it waits, as all else does.
+            # Guards against a withdrawal that is lost where the inbox is full.
             connection.nursery.start_soon(self._withdraw, client_request)
 
     async def _withdraw(self, client_request: ClientRequest) -> None:
         try:
             await self.inbox.send(RequestWithdrawn(client_request.name, client_request))
-        except trio.BrokenResourceError:  # the owner has ended, and with it every request
+        except trio.BrokenResourceError:  # the dispatcher has ended, and with it every request
             pass
 
     async def _call_back(self, request: Request) -> Response:
@@ -183,9 +196,9 @@
             result = messages.result_bytes(event.result) if event.state == "done" else b""
             await self.inbox.send(
                 AttemptFinished(
-                    event.id, event.server, OUTCOMES[event.state], result, messages.named(event.load)
+                    event.id, event.server, OUTCOMES[event.state], result, messages.read_load(event.load)
                 )
             )
         else:
             self.counters.add("call_backs_unknown")
-        return TAKEN
+        return RECEIVED
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: one watch loop on a connection of its own."""
+"""The platform's discovery: polls for watch events on a connection of its own."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages
+from merlinbay.platform.endpoint_list import EndpointList
 from merlinbay.platform.start_times import StartTimes
 
-SERVICE_UNAVAILABLE = 503  # discovery is down, or the call has waited too long
-NAMES_LOGGED = 4  # of the servers that a list has changed
+SERVICE_UNAVAILABLE = 503  # discovery is down, or the poll has waited too long
+NAMES_LOGGED = 4  # of the servers that a list has changed, for each kind of change
 
 
 class UnexpectedStatusError(Exception):
@@ -37,7 +38,7 @@
 
 
 def failure_of(error: Exception) -> CallFailure:
-    """Return how a call has failed."""
+    """Return how a poll has failed."""
     if isinstance(error, ConnectTimeoutError | ConnectRefusedError):
         return CallFailure.UNREACHABLE
     if isinstance(error, trio.TooSlowError):
@@ -48,11 +49,11 @@
 
 
 class Discovery:
-    """Watches the list while subscribed; a failed call ends the watch and is told as ``refused``.
+    """Watches the endpoint list while subscribed; a failed poll ends the watch and is reported.
 
-    Where lists are asked for, when to call again is the module's to say. Where they are pushed, the machine's
-    own agent has them, and what it has counts as told at once: this calls it from the start, and again at
-    once, whatever became of the watch.
+    Where nodes have to subscribe, the balancer decides when the next watch begins. Where the list is pushed
+    to the machine's own agent, whose list counts as notified at once, a watch runs from the start, and again
+    right after each failure.
     """
 
     def __init__(
@@ -60,203 +61,205 @@
         addr: str,
         version: int | None,
         entries: list[ServiceEntry],
-        pushed: bool,
+        is_pushed: bool,
         inbox: trio.MemorySendChannel[Message],
         clock: Clock,
         limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
-        self.addr, self.pushed, self.clock = addr, pushed, clock
-        self.version: int | None = version  # the list's, as told last; None: the whole list is wanted
+        self.addr, self.is_pushed, self.clock = addr, is_pushed, clock
         self.inbox, self.limits, self.counters, self.log = inbox, limits, counters, log
         self.next_addr = addr  # where to watch from the next subscription on
-        self.entries = {entry.server: entry for entry in entries}  # as told up to that version
+        self.list = EndpointList(version, entries)
         self.start_times = StartTimes(clock, entries)
-        self.asked = trio.Event()
-        self.had = trio.Event()  # the list has come, for the first time
-        self.heard_us = -1  # when the last answer on this watch came; -1: none yet
-        self.called_at = 0.0  # when the call that is under way began
-        self.patience = limits.first_poll_timeout_s  # so long the first answer on a watch is waited for
-        self.watching = False  # a watch is under way
-        self.report_next = True  # the next answer is told even if it changes nothing,
-        self.confirm_at: list[float] = []  # and so is the first from each of these moments on
-        self.watch = trio.CancelScope()
-
-    def subscribe(self, patience_us: int = 0) -> None:
+        self.has_list = trio.Event()  # set by the first answer
+        self.last_answer_at_us = -1  # on this watch; -1: none yet
+        self.poll_began_at_s = 0.0  # on trio's clock
+        self.first_poll_timeout_s = limits.first_poll_timeout_s  # of a watch
+        self.is_watching = False
+        self.reports_next = True  # the next answer is reported even if it changes nothing,
+        self.confirm_at_s: list[float] = []  # and so is the first one from each of these moments on
+        self._subscribed = trio.Event()
+        self._watch_scope = trio.CancelScope()
+
+    def subscribe(self, first_poll_timeout_us: int = 0) -> None:
         """Begin to watch, or go on after a failure or at another address.
 
-        The first answer is waited for so long; 0: as long as is usual.
+        A timeout of 0 stands for the default one.
         """
-        self.patience = patience_us / 1e6 if patience_us else self.limits.first_poll_timeout_s
-        self.asked.set()
-        if self.watching:
-            # Guards against a watch that goes on as it is, and so never tells that the call has worked.
-            self.watch.cancel()
+        self.first_poll_timeout_s = first_poll_timeout_us / 1e6 or self.limits.first_poll_timeout_s
+        self._subscribed.set()
+        if self.is_watching:
+            # Guards against a watch that goes on as it is, and so never reports that the call has worked.
+            self._watch_scope.cancel()
 
     def move(self, addr: str) -> bool:
-        """Watch at another address from the next subscription on; until then the watch at the old one stays.
+        """Watch at another address from the next subscription on; until then the current watch goes on.
 
-        Returns whether there is anything to move. Guards against a herd: all nodes are sent there at once.
+        Returns whether the address is another one. Guards against a thundering herd of all nodes.
         """
         self.next_addr = addr
         self.confirm_after(self.limits.reload_notified_in_us)
-        if self.pushed and self.former:  # Guards against the list of an agent that nobody calls any more.
-            self.subscribe()
-        return self.former
-
-    def confirm_after(self, told_us: int) -> None:
-        """Have a call answered right after that time: by then all that discovery has counts as notified."""
-        self.confirm_at.append(trio.current_time() + told_us / 1e6)
+        if self.is_pushed and self.is_at_previous:
+            self.subscribe()  # Guards against watching an agent that no longer gets the list.
+        return self.is_at_previous
 
-    async def run(self) -> None:
-        """Watch for ever."""
-        while True:
-            if not self.pushed:
-                await self.asked.wait()
-            self.asked = trio.Event()
-            if self.next_addr != self.addr:
-                # Guards against versions that differ between the two: the first call asks for the whole list.
-                self.addr, self.version = self.next_addr, None
-            self.heard_us, self.report_next = -1, True
-            with trio.CancelScope() as self.watch:
-                try:
-                    self.watching = True
-                    await self._watch()
-                except (
-                    RequestNotSentError,
-                    ConnectionBrokenError,
-                    trio.TooSlowError,
-                    msgspec.DecodeError,
-                    UnexpectedStatusError,
-                ) as error:
-                    self.watching = False
-                    failure = failure_of(error)
-                    self.counters.add("watches_failed")
-                    self.log.event(
-                        "discovery_failed",
-                        level="warning",
-                        at=self.addr,
-                        watching=self.heard_us >= 0,
-                        failure=failure.value,
-                        after=f"{trio.current_time() - self.called_at:.3f}s",
-                        error=repr(error),
-                    )
-                    await self.inbox.send(
-                        EndpointListReceived("refused", [], self.heard_us, failure, self.former)
-                    )
-                    if self.pushed:
-                        await trio.sleep(self.limits.pushed_retry_pause_s)
-            self.watching = False
-            if self.watch.cancelled_caught:
-                # Guards against news that were taken in, and whose telling was cut off: all is wanted.
-                self.version = None
+    def confirm_after(self, notified_in_us: int) -> None:
+        """Poll right after that time, when all that discovery has now counts as notified."""
+        self.confirm_at_s.append(trio.current_time() + notified_in_us / 1e6)
 
     @property
-    def former(self) -> bool:
-        """Tell whether the watch is at a discovery that the configuration names no more."""
+    def is_at_previous(self) -> bool:
+        """Whether the watch is at an address that the configuration no longer names."""
         return self.next_addr != self.addr
 
-    def serves(self, server: str) -> bool:
-        """Tell whether a real server is up by what was heard last, which the owner may not know yet."""
-        entry = self.entries.get(server)
-        return entry is not None and entry.state == "up"
+    def is_up(self, server: str) -> bool:
+        """Return whether a server is up by the last answer, which the dispatcher may not have read yet."""
+        return self.list.is_up(server)
 
-    def listing(self) -> tuple[int | None, list[ServiceEntry]]:
+    def endpoint_list(self) -> tuple[int | None, list[ServiceEntry]]:
         """Return the list's version and its entries."""
-        return self.version, list(self.entries.values())
-
-    def _learn(self, version: int, full: bool, entries: list[ServiceEntry]) -> None:
-        before = self.entries
-        self.entries = {} if full else dict(before)
-        self.entries.update((entry.server, entry) for entry in entries)
-        for name in [name for name, entry in self.entries.items() if entry.state == "removed"]:
-            del self.entries[name]
-        if version != self.version:
-            self._log_change(version, full, before)
-        self.version = version
-
-    def _log_change(self, version: int, full: bool, before: dict[str, ServiceEntry]) -> None:
-        """Log what a new version of the list has changed, the first few names of each kind of change."""
-        leaving = [name for name, entry in before.items() if entry.state == "up" and not self.serves(name)]
-        joining = [
-            name
-            for name in self.entries
-            if self.serves(name) and (name not in before or before[name].state != "up")
-        ]
+        return self.list.version, list(self.list.entries.values())
+
+    async def run(self) -> None:
+        """Watch until cancelled."""
+        while True:
+            if not self.is_pushed:
+                await self._subscribed.wait()
+            self._subscribed = trio.Event()
+            if self.next_addr != self.addr:
+                # Guards against versions that differ between the two: the first poll asks for the whole list.
+                self.addr, self.list.version = self.next_addr, None
+            self.last_answer_at_us, self.reports_next = -1, True
+            with trio.CancelScope() as self._watch_scope:
+                await self._watch_until_failure()
+            self.is_watching = False
+            if self._watch_scope.cancelled_caught:
+                # Guards against an answer that was applied, but cut off before it was reported.
+                self.list.version = None
+
+    async def _watch_until_failure(self) -> None:
+        """Run one watch and report how it failed."""
+        try:
+            self.is_watching = True
+            await self._watch()
+        except (
+            RequestNotSentError,
+            ConnectionBrokenError,
+            trio.TooSlowError,
+            msgspec.DecodeError,
+            UnexpectedStatusError,
+        ) as error:
+            self.is_watching = False
+            await self._report_failure(error)
+            if self.is_pushed:
+                await trio.sleep(self.limits.pushed_retry_pause_s)
+
+    async def _report_failure(self, error: Exception) -> None:
+        failure = failure_of(error)
+        self.counters.add("watches_failed")
         self.log.event(
-            "list_changed",
+            "discovery_failed",
+            level="warning",
             at=self.addr,
-            version=f"{self.version}->{version}",
-            full=full,
-            after=f"{trio.current_time() - self.called_at:.3f}s",
-            leaving=f"{len(leaving)}:{','.join(leaving[:NAMES_LOGGED])}",
-            joining=f"{len(joining)}:{','.join(joining[:NAMES_LOGGED])}",
+            watching=self.last_answer_at_us >= 0,
+            failure=failure.value,
+            after=self._poll_time(),
+            error=repr(error),
+        )
+        await self.inbox.send(
+            EndpointListReceived("refused", [], self.last_answer_at_us, failure, self.is_at_previous)
         )
 
     async def _watch(self) -> None:
-        """Tell what the watch tells, call after call on one connection."""
-        self.called_at = trio.current_time()
-        self.log.event("discovery_called", at=self.addr, version=self.version)
-        connection = await self._dial()
+        """Poll again and again on one connection, until a poll fails."""
+        self.poll_began_at_s = trio.current_time()
+        self.log.event("discovery_called", at=self.addr, version=self.list.version)
+        connection = await self._connect()
         try:
-            # The first call waits for nothing: the module learns from it what a call takes discovery.
-            wait_ms, most = 0, self.limits.pushed_poll_timeout_s if self.pushed else self.patience
-            spoilt = False
+            # The first poll does not wait: the balancer learns from it how long discovery takes.
+            wait_s = 0.0
+            timeout_s = self.limits.pushed_poll_timeout_s if self.is_pushed else self.first_poll_timeout_s
+            was_malformed = False
             while True:
-                self.called_at = trio.current_time()
-                query = "" if self.version is None else f"?after={self.version}&wait_ms={wait_ms}"
-                with trio.fail_after(most):
-                    reply = await connection.exchange("GET", f"/api/targets{query}", [])
-                if reply.status != 200:
-                    raise UnexpectedStatusError(reply.status)
+                body = await self._poll(connection, wait_s, timeout_s)
                 try:
-                    listing = messages.read_listing(reply.body)
+                    listing = messages.read_listing(body)
                 except msgspec.DecodeError as error:
-                    # Guards against one spoilt answer that ends a watch: the same is asked once more.
+                    # Guards against one malformed answer that ends a watch: the poll is repeated once.
                     self.counters.add("lists_spoilt")
-                    self.log.event("list_spoilt", level="warning", error=repr(error), kept="the old list")
-                    if spoilt:
+                    self.log.event("list_malformed", level="warning", error=repr(error), kept="the old list")
+                    if was_malformed:
                         raise
-                    spoilt = True
+                    was_malformed = True
                     await trio.sleep(self.limits.malformed_retry_pause_s)
                 else:
-                    await self._hear(listing)
-                    wait = self._wait()
-                    wait_ms, most = int(wait * 1000), wait + self.limits.watch_slack_s
-                    spoilt = False
+                    await self._apply(listing)
+                    wait_s = self._next_wait_s()
+                    timeout_s = wait_s + self.limits.watch_slack_s
+                    was_malformed = False
                 if not connection.reusable:
                     connection.close()
-                    connection = await self._dial()
+                    connection = await self._connect()
         finally:
             connection.close()
 
-    def _wait(self) -> float:
-        """Return how long the next call of a watch waits: not past a moment that has to be confirmed."""
-        now = trio.current_time()
-        soonest = min((at for at in self.confirm_at), default=math.inf)
-        return min(self.limits.watch_wait_s, max(soonest + self.limits.confirm_margin_s - now, 0.0))
-
-    async def _dial(self) -> ClientConnection:
+    async def _connect(self) -> ClientConnection:
         limits = self.limits
         return await ClientConnection.dial(
             self.addr, limits, limits.endpoint_list_bytes, limits.watch_connect_timeout_s
         )
 
-    async def _hear(self, listing: messages.Listing) -> None:
-        """Take an answer, and tell what it says."""
-        self.heard_us = self.clock.now_us()
+    async def _poll(self, connection: ClientConnection, wait_s: float, timeout_s: float) -> bytes:
+        """Return the body of one answer."""
+        self.poll_began_at_s = trio.current_time()
+        version = self.list.version
+        query = "" if version is None else f"?after={version}&wait_ms={int(wait_s * 1000)}"
+        with trio.fail_after(timeout_s):
+            reply = await connection.exchange("GET", f"/api/targets{query}", [])
+        if reply.status != 200:
+            raise UnexpectedStatusError(reply.status)
+        return reply.body
+
+    def _poll_time(self) -> str:
+        """Return for the log how long the current poll has taken."""
+        return f"{trio.current_time() - self.poll_began_at_s:.3f}s"
+
+    def _next_wait_s(self) -> float:
+        """Return how long discovery may hold the next poll: not past a moment that has to be confirmed."""
+        first_s = min(self.confirm_at_s, default=math.inf) + self.limits.confirm_margin_s
+        return min(self.limits.watch_wait_s, max(first_s - trio.current_time(), 0.0))
+
+    async def _apply(self, listing: messages.Listing) -> None:
+        """Apply an answer to the list, and report it to the dispatcher unless it changes nothing."""
+        self.last_answer_at_us = self.clock.now_us()
         entries = self.start_times.translate(messages.entries(listing))
-        self._learn(listing.version, listing.full, entries)
+        self._apply_to_list(listing, entries)
         self.counters.add("watch_answers")
-        if wrong := messages.odd(listing):
-            self.counters.add("entries_odd", len(wrong))
-            self.log.event("entries_odd", level="warning", number=len(wrong), first=wrong[0])
-        now = trio.current_time()
-        due = [at for at in self.confirm_at if at <= now]
-        if listing.servers or listing.full or self.report_next or due:
-            self.report_next = False
-            self.confirm_at = [at for at in self.confirm_at if at > now]
+        if malformed := messages.malformed_entries(listing):
+            self.counters.add("entries_odd", len(malformed))
+            self.log.event("entries_odd", level="warning", number=len(malformed), first=malformed[0])
+        now_s = trio.current_time()
+        is_confirmation = any(at_s <= now_s for at_s in self.confirm_at_s)
+        if listing.servers or listing.full or self.reports_next or is_confirmation:
+            self.reports_next = False
+            self.confirm_at_s = [at_s for at_s in self.confirm_at_s if at_s > now_s]
             scope = "all" if listing.full else "changes"
-            await self.inbox.send(EndpointListReceived(scope, entries, former=self.former))
-        self.had.set()
+            await self.inbox.send(EndpointListReceived(scope, entries, former=self.is_at_previous))
+        self.has_list.set()
+
+    def _apply_to_list(self, listing: messages.Listing, entries: list[ServiceEntry]) -> None:
+        """Apply an answer to the list; log what a new version has changed, the first names of each kind."""
+        change = self.list.apply(listing.version, listing.full, entries)
+        if change is None:
+            return
+        self.log.event(
+            "list_changed",
+            at=self.addr,
+            version=f"{change.old_version}->{change.version}",
+            full=listing.full,
+            after=self._poll_time(),
+            leaving=f"{len(change.leaving)}:{','.join(change.leaving[:NAMES_LOGGED])}",
+            joining=f"{len(change.joining)}:{','.join(change.joining[:NAMES_LOGGED])}",
+        )
--- a/merlinbay/platform/replies.py
+++ b/merlinbay/platform/replies.py
@@ -1,4 +1,4 @@
-"""What an executor's answer to a job says of it: the one table of the statuses that the protocol names."""
+"""The meaning of a server's reply to a job: the one table of the statuses that the protocol names."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class JobReply(Enum):
-    """An answer to a job, by what it proves."""
+    """What a reply proves about its job."""
 
-    TAKEN = "taken"  # call-backs tell the rest
+    TAKEN = "taken"  # call-backs report the rest
     NOT_PROCESSED = "not processed"  # the job never ran
-    FAILED = "failed"  # it has ended, and may have run
-    REJECTED = "rejected"  # the executor finds the request itself at fault
-    UNKNOWN = "unknown"  # the protocol does not name it: the job may run, or may yet
+    FAILED = "failed"  # it has ended, and may have run before
+    REJECTED = "rejected"  # the request itself is at fault
+    UNKNOWN = "unknown"  # the protocol does not name the status: the job may have run, or may still run
 
 
 OUTCOMES = {
@@ -29,7 +29,7 @@
 
 
 def classify(reply: Reply) -> JobReply:
-    """Return what an answer to a job says of it."""
+    """Return what a reply proves about its job."""
     if reply.status == 202:
         return JobReply.TAKEN
     if reply.status in NOT_PROCESSED_STATUSES and reply.headers.get("x-not-processed") == "1":
@@ -39,6 +39,6 @@
     return JobReply.REJECTED if 400 <= reply.status < 500 else JobReply.UNKNOWN
 
 
-def settles(reply: Reply) -> bool:
-    """Tell whether an answer leaves nothing open at the executor: the job was taken, or is no more there."""
+def is_conclusive(reply: Reply) -> bool:
+    """Return whether a reply leaves nothing open at the server: it has taken the job, or does not hold it."""
     return classify(reply) in (JobReply.TAKEN, JobReply.NOT_PROCESSED, JobReply.FAILED)
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -1,4 +1,4 @@
-"""The platform's real servers: one exchange for each attempt; call-backs tell the rest."""
+"""The platform's servers: one HTTP exchange for each attempt; call-backs report the rest."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlatformServers(PooledServers):
-    """Sends attempts to executors."""
+    """Sends attempts to the platform's servers."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         limits: ResourceLimits,
         counters: Counters,
         log: Log,
-        has_load: bool,
+        reports_load: bool,
     ) -> None:
         super().__init__(nursery, pool, inbox, clock, limits, counters, log)
-        self.has_load = has_load
-        self.sending: dict[ServerAttempt, trio.CancelScope] = {}  # until their answer has come
+        self.reports_load = reports_load  # whether ``/-/load`` is there
+        self.sending: dict[ServerAttempt, trio.CancelScope] = {}  # until the reply
 
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
@@ -47,7 +47,7 @@
             self.not_sent(attempt)
 
     def give_up(self, attempt: ServerAttempt) -> None:
-        """Close the connection before the 202, delete the job after it."""
+        """Close the connection before the 202; delete the job after it."""
         scope = self.sending.pop(attempt, None)
         if scope is not None:
             scope.cancel()
@@ -55,14 +55,14 @@
             self.spawn(self._give_up_taken, attempt)
 
     def forget(self, attempt: ServerAttempt) -> None:
-        """Keep an exchange that is under way: its answer frees the connection."""
+        """Do nothing: an exchange under way goes on, and its reply frees the connection."""
 
     def recall(self, attempt: ServerAttempt) -> None:
-        """Tell at once that it can't be: this wire does not say whether a deleted job had started."""
+        """Report at once that it cannot be done: this wire does not say whether a deleted job had started."""
         self.nursery.start_soon(self.post, AttemptRecalled(attempt.spec.name, attempt.server, False))
 
     def control(self, attempt: ServerAttempt, action: str) -> None:
-        """Tell at once that this wire has no word for it."""
+        """Report at once that this wire has no such operation."""
         self.nursery.start_soon(
             self.post,
             AttemptControlled(
@@ -75,7 +75,7 @@
         )
 
     def probe(self, server: str) -> None:
-        """Ask a real server for its load."""
+        """Check a server's health, and read its load report where there is one."""
         self.spawn(self._probe, server)
 
     async def _send(self, attempt: ServerAttempt, scope: trio.CancelScope) -> None:
@@ -84,53 +84,53 @@
         if spec.repeat_key:
             headers.append(("idempotency-key", spec.repeat_key))
         reply: Reply | Outcome | None = None
-        begun = False
+        has_begun = False
 
-        def last_look() -> Headers:
-            nonlocal begun
+        def before_send() -> Headers:
+            nonlocal has_begun
             check_may_begin(attempt)
-            begun = True
-            return [("x-timeout-ms", str(self._wait_ms(attempt)))]
+            has_begun = True
+            return [("x-timeout-ms", str(self._remaining_ms(attempt)))]
 
         with scope:
             reply = await self.exchange(
-                attempt.server, "POST", spec.target, headers, spec.body, last_look, replies.settles
+                attempt.server, "POST", spec.target, headers, spec.body, before_send, replies.is_conclusive
             )
-        given_up = self.sending.pop(attempt, None) is None
-        if given_up:
-            if begun and may_be_held(reply):
-                # Guards against an answer that crosses the close: the job was taken then, and would run on.
+        is_cancelled = self.sending.pop(attempt, None) is None
+        if is_cancelled:
+            if has_begun and may_hold_job(reply):
+                # Guards against a 202 that crosses the close: the job was taken, and would run on.
                 await self._delete(attempt)
         elif isinstance(reply, Outcome):
             await self.ended(attempt, reply)
         elif reply is not None:
-            await self._take(attempt, reply)
+            await self._handle_reply(attempt, reply)
 
-    def _wait_ms(self, attempt: ServerAttempt) -> int:
-        """Return how long the attempt is waited for from now on."""
-        # Guards against a dial that eats from the client's time and is not taken off what servers are told.
+    def _remaining_ms(self, attempt: ServerAttempt) -> int:
+        """Return how long the attempt may still take."""
+        # Guards against a timeout at the server that does not count the time that connecting took.
         return max((attempt.deadline_us - self.clock.now_us()) // 1000, 1)
 
-    async def _take(self, attempt: ServerAttempt, reply: Reply) -> None:
-        """Tell what an answer says of its attempt."""
-        found = replies.classify(reply)
-        if found is JobReply.TAKEN:
+    async def _handle_reply(self, attempt: ServerAttempt, reply: Reply) -> None:
+        """Report what a reply proves about its attempt."""
+        kind = replies.classify(reply)
+        if kind is JobReply.TAKEN:
             return
-        report = messages.load_from(reply.headers.get("x-server-load", ""))
-        if found is JobReply.UNKNOWN:
+        report = messages.read_load_header(reply.headers.get("x-server-load", ""))
+        if kind is JobReply.UNKNOWN:
             self.counters.add("answers_unknown")
             self.log.event("answer_unknown", level="warning", server=attempt.server, status=reply.status)
-            # Guards against a job that runs on beside its repeat: the attempt ends once it is given up, and
-            # where the server does not confirm that, it is waited for like one that was taken.
+            # Guards against a job that runs on beside its retry: the attempt ends once the server confirms
+            # the DELETE, and without that it is waited for like one that was taken.
             if not await self._delete(attempt):
                 return
-        await self.ended(attempt, replies.OUTCOMES[found], report, unfit=found is JobReply.REJECTED)
+        await self.ended(attempt, replies.OUTCOMES[kind], report, unfit=kind is JobReply.REJECTED)
 
     async def _give_up_taken(self, attempt: ServerAttempt) -> None:
         await self._delete(attempt)
 
     async def _delete(self, attempt: ServerAttempt) -> bool:
-        """Give up an attempt at its server; tell whether the server has answered."""
+        """Delete an attempt's job at its server; return whether the server has answered."""
         reply: Reply | Outcome | None = None
         with trio.move_on_after(self.limits.cancel_timeout_s):
             target = f"/jobs/{attempt.spec.name}"
@@ -139,19 +139,19 @@
         return isinstance(reply, Reply)
 
     async def _probe(self, name: str) -> None:
-        began = self.clock.now_us()
+        began_us = self.clock.now_us()
         reply: Reply | Outcome = Outcome.TIMEOUT
         with trio.move_on_after(self.limits.health_check_timeout_s):
-            reply = await self.exchange(name, "GET", "/-/load" if self.has_load else "/-/healthy", [])
+            reply = await self.exchange(name, "GET", "/-/load" if self.reports_load else "/-/healthy", [])
         outcome, report = reply if isinstance(reply, Outcome) else Outcome.ERROR, None
         if isinstance(reply, Reply):
             outcome = Outcome.OK if reply.status == 200 else Outcome.ERROR
-            report = messages.load_from(reply.body.decode("latin-1"))
-        await self.post(ServerChecked(name, outcome, self.clock.now_us() - began, report))
+            report = messages.read_load_header(reply.body.decode("latin-1"))
+        await self.post(ServerChecked(name, outcome, self.clock.now_us() - began_us, report))
 
 
-def may_be_held(reply: Reply | Outcome | None) -> bool:
-    """Tell whether a server may hold a job of which this came back; None: the exchange was cancelled."""
+def may_hold_job(reply: Reply | Outcome | None) -> bool:
+    """Return whether the server may hold a job after this reply; None: the exchange was cancelled."""
     if reply is None:
         return True
     return isinstance(reply, Reply) and replies.classify(reply) in (JobReply.TAKEN, JobReply.UNKNOWN)
--- a/merlinbay/platform/start_times.py
+++ b/merlinbay/platform/start_times.py
@@ -1,8 +1,8 @@
-"""When servers have started: told by the machines' wall clock, needed on the node's own clock.
+"""Start times of servers: discovery lists them by the machines' wall clock, the node needs its own clock.
 
-The wall clock may be stepped, by seconds or an hour, before or after a server's start. So each start may have
-been told by any of the offsets that were seen; the latest moment that is possible counts, since a server that
-is taken for colder than it is only gets less for a while, and one taken for warmer falls over.
+The wall clock may be stepped before or after a server's start, so that any observed offset between the two
+clocks may have been valid at the start. The latest possible moment counts: a server that is taken for colder
+than it is only gets less load for a while, and one that is taken for warmer is overloaded.
 """
 
 from __future__ import annotations
@@ -12,34 +12,36 @@
 from merlinbay.clock import Clock
 from merlinbay.core.values import ServiceEntry
 
-STEP_US = 100_000  # smaller differences are the clock's slewing, and what a look at both clocks takes
-OFFSETS_KEPT = 8  # of the wall clock to ours, the newest
+STEP_US = 100_000  # smaller differences come from slewing, and from reading the two clocks in turn
+MAX_OFFSETS = 8  # the newest ones are kept
 
 
 class StartTimes:
-    """Translates the start times of a list's entries; the same start always to the same moment."""
+    """Translates the start times of a list's entries; one listed start always becomes the same moment."""
 
     def __init__(self, clock: Clock, entries: list[ServiceEntry]) -> None:
         self.clock = clock
-        self.offsets_us = [0]
-        self.translated = {entry.server: (entry.started_us, entry.started_us) for entry in entries}
+        self.offsets_us = [0]  # of the wall clock to the node's clock
+        self.translated = {  # by server: the start as listed, and on the node's clock
+            entry.server: (entry.started_us, entry.started_us) for entry in entries
+        }
 
     def translate(self, entries: list[ServiceEntry]) -> list[ServiceEntry]:
-        """Return the entries with their starts on the node's own clock."""
+        """Return the entries with their start times on the node's clock."""
         offset_us = self.clock.wall_offset_us()
         if abs(offset_us - self.offsets_us[-1]) >= STEP_US:
-            self.offsets_us = [*self.offsets_us, offset_us][-OFFSETS_KEPT:]
+            self.offsets_us = [*self.offsets_us, offset_us][-MAX_OFFSETS:]
         return [self._translated(entry) if entry.started_us else entry for entry in entries]
 
     def _translated(self, entry: ServiceEntry) -> ServiceEntry:
-        told_us, started_us = self.translated.get(entry.server, (0, 0))
-        if told_us != entry.started_us:
+        listed_us, started_us = self.translated.get(entry.server, (0, 0))
+        if listed_us != entry.started_us:
             started_us = self._latest(entry.started_us)
             self.translated[entry.server] = entry.started_us, started_us
         return msgspec.structs.replace(entry, started_us=started_us)
 
-    def _latest(self, told_us: int) -> int:
-        """Return the latest moment up to now that the start may have been at."""
+    def _latest(self, listed_us: int) -> int:
+        """Return the latest moment up to now at which the server may have started."""
         now_us = self.clock.now_us()
-        possible = [told_us - offset_us for offset_us in self.offsets_us]
+        possible = [listed_us - offset_us for offset_us in self.offsets_us]
         return max((at_us for at_us in possible if at_us <= now_us + STEP_US), default=now_us)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -622,7 +622,7 @@
 
         send, inbox = trio.open_memory_channel[object](9)
         responder = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
-        responder.over = True
+        responder.has_ended = True
         head = {name.lower(): value for name, value in admission("j")}
         refused = await responder.request(Mock(proven=False), Request("POST", "/admit", head, b""))
         told = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -384,14 +384,14 @@
         async with stage(tmp_path) as at:
             told = Told(at, pushed, ["up", *trouble.split()])
             told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "up" and told.discovery.serves("s")
+            assert (await told.news()).entries[0].state == "up" and told.discovery.is_up("s")
             refused = []
             while (news := await told.news()).scope == "refused":
                 refused.append(news.heard_us > 0)
                 if not pushed:
                     told.discovery.subscribe()
             assert refused == [True] + [False] * (len(refused) - 1) and refused
-            assert news.entries[0].state == "draining" and not told.discovery.serves("s")
+            assert news.entries[0].state == "draining" and not told.discovery.is_up("s")
 
     play(scene)
 
@@ -452,9 +452,9 @@
         async with stage(tmp_path) as at:
             discovery = Told(at, False, []).discovery
             discovery.limits = LIMITS
-            assert discovery._wait() == LIMITS.watch_wait_s
+            assert discovery._next_wait_s() == LIMITS.watch_wait_s
             discovery.confirm_after(300_000)
-            assert 0.3 < discovery._wait() <= 0.3 + LIMITS.confirm_margin_s
+            assert 0.3 < discovery._next_wait_s() <= 0.3 + LIMITS.confirm_margin_s
 
     play(scene)
 
@@ -467,7 +467,7 @@
             told = Told(at, False, ["up", "draining"], room=0)
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "up"
-            while told.discovery.serves("s"):
+            while told.discovery.is_up("s"):
                 await trio.sleep(0.01)
             calls = len(told.asked.seen)
             told.discovery.subscribe()
@@ -484,7 +484,7 @@
         async with stage(tmp_path) as at:
             told = Told(at, True, ["up", "empty"])
             await told.news()
-            assert (await told.news()).entries == [] and not told.discovery.serves("s")
+            assert (await told.news()).entries == [] and not told.discovery.is_up("s")
 
     play(scene)
 
@@ -514,7 +514,7 @@
             with trio.move_on_after(0.05):
                 await trio.sleep_forever()
             assert told.inbox.statistics().current_buffer_used == 1
-            assert not told.discovery.serves("s")
+            assert not told.discovery.is_up("s")
 
     play(scene)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from merlinbay.decision.events import Event, RequestReceived
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Request, Response
-from merlinbay.platform.messages import load_from, named
+from merlinbay.platform.messages import read_load, read_load_header
 from tests.net import LIMITS, LOAD, StandIn, admission, play, serves, stage
 
 
@@ -506,6 +506,10 @@
 
 def test_a_load_report_reaches_the_module(tmp_path: Path) -> None:
     """Free slots in a ``done`` and in a 503's header are read under the settings' names."""
-    assert named(dict(LOAD)) == {"active": 0.0, "x0": 4.0, "x1": 4.0, "err_rps": 0.0}
-    assert load_from("inflight=7,queue=2,util=0.61,bad,eps=x") == {"active": 7.0, "waiting": 2.0, "cpu": 0.61}
-    assert load_from("") is None
+    assert read_load(dict(LOAD)) == {"active": 0.0, "x0": 4.0, "x1": 4.0, "err_rps": 0.0}
+    assert read_load_header("inflight=7,queue=2,util=0.61,bad,eps=x") == {
+        "active": 7.0,
+        "waiting": 2.0,
+        "cpu": 0.61,
+    }
+    assert read_load_header("") is None
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -19,7 +19,7 @@
 from merlinbay.http.client import Reply
 from merlinbay.limits import limits_from
 from merlinbay.platform import messages
-from merlinbay.platform.replies import OUTCOMES, JobReply, classify, settles
+from merlinbay.platform.replies import OUTCOMES, JobReply, classify, is_conclusive
 from tests.net import ROOT
 
 HEADERS = {
@@ -74,9 +74,9 @@
     """None: it is answered 400."""
     if expected is None:
         with pytest.raises(messages.BadRequestError):
-            messages.job_spec(target, {**HEADERS, **more}, b"", 7)
+            messages.request_spec(target, {**HEADERS, **more}, b"", 7)
     else:
-        spec = messages.job_spec(target, {**HEADERS, **more}, b"", 7)
+        spec = messages.request_spec(target, {**HEADERS, **more}, b"", 7)
         assert {name: getattr(spec, name) for name in expected} == expected
         assert spec.arrived_us == 7
 
@@ -104,7 +104,7 @@
     """Only 503 and 504 with the header prove that it never ran; what is not named leaves that open."""
     reply = Reply(status, headers, b"")
     assert classify(reply) is expected and OUTCOMES.get(expected) is outcome
-    assert settles(reply) == (expected not in (JobReply.UNKNOWN, JobReply.REJECTED))
+    assert is_conclusive(reply) == (expected not in (JobReply.UNKNOWN, JobReply.REJECTED))
 
 
 @pytest.mark.parametrize(
@@ -163,7 +163,7 @@
             }
         )
     )
-    assert [text.partition(":")[0] for text in messages.odd(listing)] == named
+    assert [text.partition(":")[0] for text in messages.malformed_entries(listing)] == named
     assert [entry.state for entry in messages.entries(listing)] == [state, "up"]
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -156,7 +156,7 @@
         self.parallel: dict[str, int] = {}
         self.counters = counters
 
-    def subscribe(self, patience_us: int = 0) -> None:
+    def subscribe(self, first_poll_timeout_us: int = 0) -> None:
         """Be the directory: all is told without being asked."""
 
     def turn(self) -> None:
