--- a/merlinbay/dnssd/__init__.py
+++ b/merlinbay/dnssd/__init__.py
@@ -1,1 +1,1 @@
-"""Service entries from DNS-SD records (RFC 6763)."""
+"""The endpoint list from DNS-SD records (RFC 6763)."""
--- a/merlinbay/dnssd/records.py
+++ b/merlinbay/dnssd/records.py
@@ -1,4 +1,4 @@
-"""PTR, SRV and TXT records to service entries. Reads messages; sends nothing."""
+"""Service entries from PTR, SRV, TXT and A records. No I/O."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 class InvalidRecordError(Exception):
-    """An instance whose records do not make an entry."""
+    """The records of an instance do not make an entry."""
 
 
 def records(
     message: dns.message.Message, name: dns.name.Name, kind: dns.rdatatype.RdataType
 ) -> tuple[list[object], int]:
     """Return the records of a name in an answer, and their TTL."""
-    found = message.get_rrset(message.answer, name, dns.rdataclass.IN, kind)
-    return ([], 0) if found is None else (list(found), int(found.ttl))
+    rrset = message.get_rrset(message.answer, name, dns.rdataclass.IN, kind)
+    return ([], 0) if rrset is None else (list(rrset), int(rrset.ttl))
 
 
-def instances(rdata: Iterable[object]) -> list[dns.name.Name]:
-    """Return the instances that PTR records name, in one order at every reader."""
+def instance_names(rdata: Iterable[object]) -> list[dns.name.Name]:
+    """Return the instances that PTR records name, in the same order at every node."""
     return sorted({record.target for record in rdata if isinstance(record, PTR)})
 
 
-def attributes(rdata: Iterable[object]) -> dict[str, str]:
+def txt_attributes(rdata: Iterable[object]) -> dict[str, str]:
     """Read TXT strings as RFC 6763 section 6 says: the first of a key counts; keys have no case."""
     out: dict[str, str] = {}
     for record in rdata:
@@ -46,23 +46,29 @@
 
 
 def best_target(rdata: Iterable[object]) -> SRV:
-    """Return the SRV record of the lowest priority and the highest weight (RFC 2782)."""
+    """Return the SRV record of the lowest priority and the highest weight (RFC 2782).
+
+    Raises ``InvalidRecordError``.
+    """
     services = [record for record in rdata if isinstance(record, SRV)]
     if not services or services[0].target == dns.name.root:
         raise InvalidRecordError("no SRV")
     return min(services, key=lambda record: (record.priority, -record.weight, record.target, record.port))
 
 
-def address(rdata: Iterable[object]) -> str:
-    """Return the first address."""
-    found = sorted(str(record.address) for record in rdata if isinstance(record, A))
-    if not found:
+def first_address(rdata: Iterable[object]) -> str:
+    """Return the first address. Raises ``InvalidRecordError``."""
+    addresses = sorted(str(record.address) for record in rdata if isinstance(record, A))
+    if not addresses:
         raise InvalidRecordError("no address")
-    return found[0]
+    return addresses[0]
+
 
+def service_entry(instance: dns.name.Name, service: SRV, host: str, txt: dict[str, str]) -> ServiceEntry:
+    """Return the entry of an instance. Its first label names the server unless TXT has an ``id``.
 
-def entry(instance: dns.name.Name, service: SRV, host: str, txt: dict[str, str]) -> ServiceEntry:
-    """Make an entry. The instance's first label names the server unless TXT has an ``id``."""
+    An unknown state counts as draining. Raises ``InvalidRecordError``.
+    """
     state = txt.get("state", "up").lower()
     try:
         return ServiceEntry(
--- a/merlinbay/dnssd/settings.py
+++ b/merlinbay/dnssd/settings.py
@@ -6,7 +6,7 @@
 
 
 class DnsSd(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Where service entries come from in place of the platform's discovery."""
+    """The source of the endpoint list in place of the platform's discovery."""
 
-    nameserver: str
-    service: str
+    nameserver: str  # ``host:port``
+    service: str  # the name that PTR records are queried for
--- a/merlinbay/dnssd/wiring.py
+++ b/merlinbay/dnssd/wiring.py
@@ -1,4 +1,4 @@
-"""How the DNS-SD directory is put together."""
+"""Makes the DNS-SD directory from its section of the operator's file."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
     counters: Counters,
     log: Log,
 ) -> DnsSdDirectory:
-    """Make the directory. Raises ``BadConfig``."""
+    """Make the directory. Raises ``ConfigurationError``."""
     return DnsSdDirectory(parse_address(section.nameserver), section.service, inbox, limits, counters, log)
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: frames to and from the types of ``api.py``, one Balancer an instance.
+"""The simulator's wire: lines of JSON to events and from actions, with one balancer for each instance.
 
-Decides nothing. Unknown names and fields are skipped; a malformed setting or an exception becomes a
-fault of that instance; input that is not a closed JSON batch ends the process with status 2.
+The names of the wire are mapped here, and nothing is decided. Unknown names and fields are skipped. A
+malformed setting or an exception becomes a fault of its instance. Input that is not a sequence of closed
+batches ends the process with status 2.
 """
 
 from __future__ import annotations
@@ -41,44 +42,48 @@
 from merlinbay.decision.rules import Balancer
 from merlinbay.site_settings import as_float, as_int, as_text, settings_from
 
+# Values of ``attrs`` and ``kind``.
+ATTR_HAS_COST = 1
+ATTR_RETRIED = 2
+UPDATE_STARTED = 1
+UPDATE_PROGRESS = 2
 
-class Wire(msgspec.Struct, gc=False):
-    """Any line of a batch: every field of every event that is read, all of them optional."""
+
+class WireLine(msgspec.Struct, gc=False, rename="camel"):
+    """Any line of a batch: the fields of all events that are read, all of them optional."""
 
     what: str = ""
-    wallUs: Any = None  # noqa: N815
+    wall_us: Any = None
     scheduler: Any = None
-    msgId: Any = None  # noqa: N815
+    msg_id: Any = None
     attempt: Any = None
     worker: Any = None
     status: Any = None
-    costTimeUs: Any = None  # noqa: N815
+    cost_time_us: Any = None
     last: Any = None
     gauge: Any = None
     kind: Any = None
     value: Any = None
     attrs: Any = None
     needs: Any = None
-    timeBudgetUs: Any = None  # noqa: N815
+    time_budget_us: Any = None
     team: Any = None
     key: Any = None
-    tierClass: Any = None  # noqa: N815
-    ramUnits: Any = None  # noqa: N815
-    costUs: Any = None  # noqa: N815
+    tier_class: Any = None
+    ram_units: Any = None
+    cost_us: Any = None
     ref: Any = None
     scope: Any = None
     rows: Any = None
     salt: Any = None
     conf: Any = None
-    sender: Any = None
-    body: Any = None
 
 
 class MalformedInputError(Exception):
     """The input is not a sequence of closed batches."""
 
 
-def _list_changed(line: Wire) -> EndpointsChanged:
+def _endpoints_changed(line: WireLine) -> EndpointsChanged:
     entries = []
     for row in line.rows if isinstance(line.rows, list) else []:
         if isinstance(row, dict) and isinstance(row.get("worker"), str):
@@ -93,57 +98,59 @@
                     ready_at_us=as_int(row.get("readyAtUs")),
                 )
             )
-    # A failed call gives more time on this wire, and does not say how it failed.
+    # This wire does not say how a poll has failed.
     return EndpointsChanged(as_text(line.scope), entries, failure=CallFailure.UNREACHABLE)
 
 
-def _job_arrived(line: Wire) -> RequestReceived:
+def _request_received(line: WireLine) -> RequestReceived:
     attrs = line.attrs or 0
     return RequestReceived(
-        line.msgId,
-        line.tierClass,
-        as_int(line.timeBudgetUs),
+        line.msg_id,
+        line.tier_class,
+        as_int(line.time_budget_us),
         as_float(line.needs, 1.0),
-        as_float(line.ramUnits),
+        as_float(line.ram_units),
         line.key or "",
         line.team if isinstance(line.team, str) else "",
-        bool(attrs & 2),
-        as_int(line.costUs) if attrs & 1 else 0,
+        bool(attrs & ATTR_RETRIED),
+        as_int(line.cost_us) if attrs & ATTR_HAS_COST else 0,
     )
 
 
-def _ended(line: Wire) -> AttemptEnded:
+def _attempt_ended(line: WireLine) -> AttemptEnded:
     return AttemptEnded(
-        line.msgId,
+        line.msg_id,
         line.attempt,
         line.status,
-        line.costTimeUs or 0,
+        line.cost_time_us or 0,
         line.last is True,
         line.gauge if isinstance(line.gauge, list) else None,
         line.worker or "",
     )
 
 
-def _update(line: Wire) -> Event | None:
-    if line.kind == 1:
-        return ExecutionStarted(line.msgId, line.attempt)
-    return ExecutionProgressed(line.msgId, line.attempt, as_float(line.value)) if line.kind == 2 else None
+def _execution_event(line: WireLine) -> Event | None:
+    if line.kind == UPDATE_STARTED:
+        return ExecutionStarted(line.msg_id, line.attempt)
+    if line.kind == UPDATE_PROGRESS:
+        return ExecutionProgressed(line.msg_id, line.attempt, as_float(line.value))
+    return None
 
 
-# Lines of balancers to each other, which this one has no use for; they end what a batch says all the same.
+# Messages between balancers, which are not used. Like events, they have the balancer called for their batch.
 IGNORED = {"Mail"}
 
-DECODERS: dict[str, Callable[[Wire], Event | None]] = {
-    "View": _list_changed,
-    "Req": _job_arrived,
-    "Ended": _ended,
-    "UpdateOf": _update,
-    "Withdrawn": lambda line: ClientDisconnected(line.msgId),
-    "Flowing": lambda line: StreamStarted(line.msgId, line.attempt),
+DECODERS: dict[str, Callable[[WireLine], Event | None]] = {
+    "View": _endpoints_changed,
+    "Req": _request_received,
+    "Ended": _attempt_ended,
+    "UpdateOf": _execution_event,
+    "Withdrawn": lambda line: ClientDisconnected(line.msg_id),
+    "Flowing": lambda line: StreamStarted(line.msg_id, line.attempt),
     "PingResult": lambda line: HealthCheckEnded(
         as_text(line.worker),
         as_int(line.status),
-        as_int(line.costTimeUs),
+        as_int(line.cost_time_us),
         line.gauge if isinstance(line.gauge, list) else None,
     ),
     "Reminder": lambda line: TimerFired(as_text(line.ref)),
@@ -177,14 +184,14 @@
     return _dump(out)
 
 
-class Host:
-    """Keeps one balancer an instance and turns batches into replies."""
+class InstanceHost:
+    """Holds the balancer of each instance and answers batches."""
 
     def __init__(self) -> None:
-        self.balancers: dict[str, Balancer | None] = {}
+        self.balancers: dict[str, Balancer | None] = {}  # by instance; None after a fault
 
-    def reply(self, now_us: int, batch: list[Wire]) -> bytes:
-        """Answer one batch."""
+    def reply(self, now_us: int, batch: list[WireLine]) -> bytes:
+        """Return the answer to one batch: the actions of all instances that it names."""
         out: list[bytes] = []
         pending: dict[str, list[Event]] = {}
         for line in batch:
@@ -195,16 +202,13 @@
                 self._decide(now_us, instance, pending.pop(instance, None), out)
                 self.balancers.pop(instance, None)
             elif line.what == "Create":
-                try:
-                    self.balancers[instance] = Balancer(settings_from(line.conf), as_int(line.salt), now_us)
-                except Exception as error:
-                    self._fault(instance, error, out)
+                self._create(now_us, instance, line, out)
             elif line.what in IGNORED and self.balancers.get(instance) is not None:
                 pending.setdefault(instance, [])
             elif line.what in DECODERS and self.balancers.get(instance) is not None:
                 try:
                     event = DECODERS[line.what](line)
-                except (TypeError, ValueError):  # malformed: passed over, like an event for nothing we hold
+                except (TypeError, ValueError):  # malformed: skipped, like an event of an unknown request
                     continue
                 if event is not None:
                     pending.setdefault(instance, []).append(event)
@@ -213,6 +217,12 @@
         out.append(b'{"what":"Eor"}\n')
         return b"\n".join(out)
 
+    def _create(self, now_us: int, instance: str, line: WireLine, out: list[bytes]) -> None:
+        try:
+            self.balancers[instance] = Balancer(settings_from(line.conf), as_int(line.salt), now_us)
+        except Exception as error:
+            self._fault(instance, error, out)
+
     def _decide(self, now_us: int, instance: str, events: list[Event] | None, out: list[bytes]) -> None:
         balancer = self.balancers.get(instance)
         if balancer is None or events is None:
@@ -229,11 +239,11 @@
         out.append(_dump({"what": "Fault", "scheduler": instance, "reasonText": reason}))
 
 
-def batches(source: BinaryIO) -> Iterator[tuple[int, list[Wire]]]:
+def batches(source: BinaryIO) -> Iterator[tuple[int, list[WireLine]]]:
     """Read closed batches from a stream of lines."""
-    decode = msgspec.json.Decoder(Wire).decode
+    decode = msgspec.json.Decoder(WireLine).decode
     number, now_us = 0, 0
-    batch: list[Wire] | None = None
+    batch: list[WireLine] | None = None
     for raw in source:
         number += 1
         if raw.isspace():
@@ -243,9 +253,9 @@
         except msgspec.DecodeError as error:
             raise MalformedInputError(f"line {number}: {error}") from None
         if line.what == "Mark":
-            if batch is not None or not isinstance(line.wallUs, int):
+            if batch is not None or not isinstance(line.wall_us, int):
                 raise MalformedInputError(f"line {number}: a batch is opened inside another, or has no clock")
-            now_us, batch = line.wallUs, []
+            now_us, batch = line.wall_us, []
         elif batch is None:
             raise MalformedInputError(f"line {number}: not inside a batch")
         elif line.what == "Commit":
@@ -259,7 +269,7 @@
 
 def main() -> int:
     """Answer batches on standard output until the input ends."""
-    host = Host()
+    host = InstanceHost()
     try:
         for now_us, batch in batches(sys.stdin.buffer):
             sys.stdout.buffer.write(host.reply(now_us, batch))
--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -95,7 +95,7 @@
             send, _ = trio.open_memory_channel[Message](8)
             at = await listen(nursery, NameServer(text))
             directory = DnsSdDirectory(at, SERVICE, send, LIMITS, Counters(), Log(9))
-            listed, ttl = await directory.look()
+            listed, ttl = await directory.query_list()
             assert (listed, ttl) == (expected, 1.0 if expected else 0.0)
             nursery.cancel_scope.cancel()
 
@@ -109,7 +109,7 @@
 def test_txt_strings(strings: tuple[str, ...], expected: dict[str, str]) -> None:
     """Section 6: no case in keys, the first counts, missing keys are passed over."""
     data = " ".join('"' + "".join(f"\\{b:03d}" for b in s.encode()) + '"' for s in strings)
-    assert records.attributes(dns.rrset.from_text("x.", 1, "IN", "TXT", data)) == expected
+    assert records.txt_attributes(dns.rrset.from_text("x.", 1, "IN", "TXT", data)) == expected
 
 
 def test_a_new_configuration_has_the_list_told_at_once_and_when_all_counts_as_notified() -> None:
@@ -148,7 +148,7 @@
             assert await receive.receive() == EndpointListReceived("all", [S1, S2])
             server.rcode = dns.rcode.SERVFAIL
             with pytest.raises(DnsQueryError):
-                await directory.look()
+                await directory.query_list()
             assert await receive.receive() == EndpointListReceived("refused", failure=CallFailure.UNREACHABLE)
             server.rcode, server.text = dns.rcode.NOERROR, TWO + "host-1.example. 1 IN A 127.0.0.9"
             directory.subscribe()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -12,7 +12,7 @@
 import pytest
 
 from merlinbay.decision.rules import Balancer
-from merlinbay.simhost import Host, Wire
+from merlinbay.simhost import InstanceHost, WireLine
 from merlinbay.site_settings import settings_from
 
 CONF: dict[str, Any] = {
@@ -209,8 +209,8 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """No silent default: the traceback goes to standard error, the fault has one line."""
-    lines = [msgspec.convert(line, Wire) for line in [*create(), request(1)]]
-    host = Host()
+    lines = [msgspec.convert(line, WireLine) for line in [*create(), request(1)]]
+    host = InstanceHost()
     host.reply(1, lines[:2])
 
     def fail(*_: object) -> list[object]:
