--- a/merlinbay/control_service/dialing.py
+++ b/merlinbay/control_service/dialing.py
@@ -13,7 +13,7 @@
 from merlinbay.control_service.framing import FrameTooLongError
 from merlinbay.control_service.handshake import connect_handshake
 from merlinbay.control_service.local_peer import LocalPeer, TransportLimits
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.wire import MessageRejectedError
 
 
@@ -41,7 +41,7 @@
         with trio.fail_after(limits.connect_timeout_s):
             if local_peer.bind:
                 await sock.bind((local_peer.bind, 0))
-            await sock.connect(address(target))
+            await sock.connect(parse_address(target))
         phase = ConnectPhase.HANDSHAKE
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
         stream = trio.SocketStream(sock)
--- a/merlinbay/control_service/listening.py
+++ b/merlinbay/control_service/listening.py
@@ -10,7 +10,7 @@
 from merlinbay.control_service.framing import FrameTooLongError
 from merlinbay.control_service.handshake import accept_handshake
 from merlinbay.control_service.local_peer import LocalPeer
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.fleet.wire import MessageRejectedError
 
 ACCEPT_PAUSE_S = 0.05  # after an accept that failed, most often for want of descriptors
@@ -22,7 +22,7 @@
     sock = trio.socket.socket()
     try:
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
-        await sock.bind(address(target))
+        await sock.bind(parse_address(target))
         sock.listen(BACKLOG_CONNECTIONS)
     except BaseException:
         sock.close()
--- a/merlinbay/control_service/process.py
+++ b/merlinbay/control_service/process.py
@@ -13,14 +13,14 @@
 from merlinbay.control_service.settings import ControlFile, load_keys, read
 from merlinbay.control_service.wiring import ProcessParts, follower_parts, relay_parts, voter_parts
 from merlinbay.counters import Counters
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
 # The body holds a value of 64 KiB, escaped.
-CALL_LIMITS = replace(ResourceLimits(), body_bytes=256 * 1024, edge_connections=128)
+CALL_LIMITS = replace(ResourceLimits(), body_bytes=256 * 1024, client_connections=128)
 SHUTDOWN_S = 1.0  # after SIGTERM, for the election of a new leader and for followers to move
 
 
@@ -47,7 +47,7 @@
     if not file.operator:
         return
     listener = Listener(Routes([("/control", calls)]), CALL_LIMITS, counters, log)
-    host, port = address(file.operator)
+    host, port = parse_address(file.operator)
     try:
         sock = await listener.bind(host, port)
     except OSError as error:
@@ -89,7 +89,7 @@
     """Return the event log that the file configures."""
     if file.log.format == "plain":
         return Log(file.log.lines)
-    from merlinbay.events import EventLog
+    from merlinbay.event_log import EventLog
 
     return EventLog(file.log.lines, file.log.format, file.log.level, file.name)
 
--- a/merlinbay/dnssd/wiring.py
+++ b/merlinbay/dnssd/wiring.py
@@ -1,4 +1,4 @@
-"""How the DNS-SD directory is put together."""
+"""Makes the DNS-SD directory from its section of the operator's file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from merlinbay.counters import Counters
 from merlinbay.dnssd.directory import DnsSdDirectory
 from merlinbay.dnssd.settings import DnsSd
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -20,5 +20,5 @@
     counters: Counters,
     log: Log,
 ) -> DnsSdDirectory:
-    """Make the directory. Raises ``BadConfig``."""
-    return DnsSdDirectory(address(section.nameserver), section.service, inbox, limits, counters, log)
+    """Make the directory. Raises ``ConfigurationError``."""
+    return DnsSdDirectory(parse_address(section.nameserver), section.service, inbox, limits, counters, log)
--- a/merlinbay/scale/control_roles.py
+++ b/merlinbay/scale/control_roles.py
@@ -23,7 +23,7 @@
 from merlinbay.control_service.process import CALL_LIMITS
 from merlinbay.control_service.settings import MachineSection, load_keys
 from merlinbay.counters import Counters
-from merlinbay.errors import address
+from merlinbay.errors import parse_address
 from merlinbay.http.routes import Routes
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
@@ -66,7 +66,7 @@
             else:
                 parts = await wiring.relay_parts(file, local_peer, nursery)
             listener = Listener(Routes([("/control", parts.calls)]), CALL_LIMITS, Counters(), log)
-            sock = await listener.bind(*address(file.operator))
+            sock = await listener.bind(*parse_address(file.operator))
             nursery.start_soon(listener.serve, sock)
             parts.start(nursery)
             self.parts = parts
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -9,17 +9,17 @@
 import pytest
 
 from merlinbay.access.settings import Access
-from merlinbay.config import operator_file
+from merlinbay.config import read_operator_file
 from merlinbay.core.values import ServiceEntry
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.settings import RequestClass, SafetyMargins, Settings
 from merlinbay.dnssd.settings import DnsSd
 from merlinbay.drmaa.settings import Drmaa
-from merlinbay.errors import ConfigurationError, address
+from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.client import Reply
 from merlinbay.limits import limits_from
 from merlinbay.platform import messages
-from merlinbay.platform.replies import OUTCOMES, JobReply, classify, settles
+from merlinbay.platform.replies import OUTCOMES, JobReply, classify, is_conclusive
 from tests.net import ROOT
 
 HEADERS = {
@@ -74,9 +74,9 @@
     """None: it is answered 400."""
     if expected is None:
         with pytest.raises(messages.BadRequestError):
-            messages.job_spec(target, {**HEADERS, **more}, b"", 7)
+            messages.request_spec(target, {**HEADERS, **more}, b"", 7)
     else:
-        spec = messages.job_spec(target, {**HEADERS, **more}, b"", 7)
+        spec = messages.request_spec(target, {**HEADERS, **more}, b"", 7)
         assert {name: getattr(spec, name) for name in expected} == expected
         assert spec.arrived_us == 7
 
@@ -104,7 +104,7 @@
     """Only 503 and 504 with the header prove that it never ran; what is not named leaves that open."""
     reply = Reply(status, headers, b"")
     assert classify(reply) is expected and OUTCOMES.get(expected) is outcome
-    assert settles(reply) == (expected not in (JobReply.UNKNOWN, JobReply.REJECTED))
+    assert is_conclusive(reply) == (expected not in (JobReply.UNKNOWN, JobReply.REJECTED))
 
 
 @pytest.mark.parametrize(
@@ -163,7 +163,7 @@
             }
         )
     )
-    assert [text.partition(":")[0] for text in messages.odd(listing)] == named
+    assert [text.partition(":")[0] for text in messages.malformed_entries(listing)] == named
     assert [entry.state for entry in messages.entries(listing)] == [state, "up"]
 
 
@@ -180,23 +180,35 @@
         [RequestClass("admit", 1, 5_000_000)], safety=SafetyMargins(must_ask_in_us=10_000_000)
     )
     limits = limits_from(sockets, 192, settings, 120_000, 10_000_000, 20_000)
-    assert limits.edge_connections + limits.server_connections + 32 <= sockets
-    assert 0 < limits.most_held < limits.edge_connections
-    assert 0 < limits.waits < limits.edge_connections
-    assert (limits.dial, limits.pool_idle < 10, limits.stop_most) == (0.12, True, 3.65)
+    assert limits.client_connections + limits.server_connections + 32 <= sockets
+    assert 0 < limits.max_open_requests < limits.client_connections
+    assert 0 < limits.drmaa_waits < limits.client_connections
+    assert (limits.connect_timeout_s, limits.pool_idle_timeout_s < 10, limits.stop_timeout_s) == (
+        0.12,
+        True,
+        3.65,
+    )
     # Each step of the end has its time before the cut-off, and that comes before SIGKILL.
-    steps = limits.stop_serving + limits.stop_answers_us / 1e6 + limits.stop_tail + limits.stop_part
-    assert steps <= limits.stop_most + 1e-9 < 3.7
-    assert limits.watch_wait + limits.watch_slack < 10
+    steps = (
+        limits.stop_serving_for_s
+        + limits.stop_answers_for_us / 1e6
+        + limits.stop_rejecting_for_s
+        + limits.stop_close_timeout_s
+    )
+    assert steps <= limits.stop_timeout_s + 1e-9 < 3.7
+    assert limits.watch_wait_s + limits.watch_slack_s < 10
 
 
 def test_the_operators_file_turns_the_second_front_on() -> None:
     """As it stands under deploy/; without one, all of it is off."""
-    operator = operator_file(str(ROOT / "deploy" / "drmaa.toml"))
+    operator = read_operator_file(str(ROOT / "deploy" / "drmaa.toml"))
     assert operator is not None
     assert operator.drmaa == Drmaa(front=True, servers=True, access=Access(open=True))
-    assert isinstance(operator.dnssd, DnsSd) and address(operator.dnssd.nameserver) == ("127.0.0.1", 5353)
-    assert operator_file("") is None and not Drmaa().front and not Drmaa().servers
+    assert isinstance(operator.dnssd, DnsSd) and parse_address(operator.dnssd.nameserver) == (
+        "127.0.0.1",
+        5353,
+    )
+    assert read_operator_file("") is None and not Drmaa().front and not Drmaa().servers
 
 
 @pytest.mark.parametrize(
@@ -216,5 +228,5 @@
     if text is not None:
         path.write_text(text)
     with pytest.raises(ConfigurationError) as caught:
-        operator_file(str(path))
+        read_operator_file(str(path))
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -144,7 +144,7 @@
             finished=500,
             finished_keep=1000,
         )
-        limits = ResourceLimits(most_held=12)
+        limits = ResourceLimits(max_open_requests=12)
         clock: Any = self.clock
         inbox: Any = self.inbox
         self.front = DrmaaFront(inbox, clock, limits, counters, Log(1), classes, drmaa, "n")
@@ -156,7 +156,7 @@
         self.parallel: dict[str, int] = {}
         self.counters = counters
 
-    def subscribe(self, patience_us: int = 0) -> None:
+    def subscribe(self, first_poll_timeout_us: int = 0) -> None:
         """Be the directory: all is told without being asked."""
 
     def turn(self) -> None:
