--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -1,4 +1,7 @@
-"""What the two processes of a node tell each other: one packet each, in msgpack."""
+"""Messages between the two processes of a node: one packet each, in msgpack.
+
+Tags and encoded names are those of earlier programs, which a new process may replace.
+"""
 
 from __future__ import annotations
 
@@ -8,74 +11,87 @@
 from merlinbay.core.values import ServiceEntry
 from merlinbay.decision.learned import Learned, LearnedWorker
 
-SPEAKS = 1  # raised when words change their meaning; another number's process is not replaced but stopped
-PART = 200  # entries, or workers, in one packet
+PROTOCOL_VERSION = 1  # a process of another version is not replaced but stopped
+CHUNK_ITEMS = 200  # entries, or workers, in one packet
 
 
-class Hello(msgspec.Struct, tag=True, frozen=True):
-    """The new process asks for what the old one has."""
+class StateRequest(msgspec.Struct, tag="Hello", frozen=True):
+    """The successor's first message."""
 
-    speaks: int
+    protocol_version: int = msgspec.field(name="speaks")
 
 
-class Part(msgspec.Struct, tag=True, frozen=True):
-    """Some of what is known of real servers."""
+class StateChunk(msgspec.Struct, tag="Part", frozen=True):
+    """Some of the endpoint list, or of what was learned of the endpoints."""
 
     entries: list[ServiceEntry] = []
     workers: list[LearnedWorker] = []
 
 
-class Whole(msgspec.Struct, tag=True, frozen=True):
-    """The rest of it; with it the old process has told all."""
+class StateComplete(msgspec.Struct, tag="Whole", frozen=True):
+    """The rest of the state, after all chunks."""
 
-    version: int | None  # of discovery's list
-    learned: Learned  # without the workers, which came in parts
-    away: bool  # whether clients are sent away
-    clock_us: int = 0  # the clock of all times in it; 0: an older program, which does not tell
+    list_version: int | None = msgspec.field(name="version")  # discovery's; None: it gave none
+    learned: Learned  # without the workers, which came in chunks
+    is_standby: bool = msgspec.field(name="away")  # clients are sent away
+    clock_us: int = 0  # of the predecessor, for all times in the state; 0: sent by an older program
 
 
-class Serves(msgspec.Struct, tag=True, frozen=True):
-    """The new process takes clients."""
+class SuccessorReady(msgspec.Struct, tag="Serves", frozen=True):
+    """The successor accepts clients."""
 
 
-class Unclaimed(msgspec.Struct, tag=True, frozen=True):
-    """A call-back for no request of ours."""
+class CallbackForward(msgspec.Struct, tag="Unclaimed", frozen=True):
+    """A call-back for a request that the sender does not know."""
 
     message: AttemptStarted | AttemptProgress | AttemptFinished
 
 
-class Banned(msgspec.Struct, tag=True, frozen=True):
-    """Operators took a real server out, or put it back."""
+class MaintenanceForward(msgspec.Struct, tag="Banned", frozen=True):
+    """Operators disabled a server for maintenance, or enabled it again."""
 
     server: str
-    on: bool
+    is_disabled: bool = msgspec.field(name="on")
 
 
-class Away(msgspec.Struct, tag=True, frozen=True):
+class StandbyForward(msgspec.Struct, tag="Away", frozen=True):
     """Operators send clients away, or take them back."""
 
-    away: bool
+    is_standby: bool = msgspec.field(name="away")
 
 
-class EdgeGiven(msgspec.Struct, tag=True, frozen=True):
-    """An edge connection without a request under way; its descriptor comes along."""
+class ConnectionTransfer(msgspec.Struct, tag="EdgeGiven", frozen=True):
+    """A client connection without a request under way; its descriptor comes with the packet."""
 
-    proven: bool
+    is_proven: bool = msgspec.field(name="proven")  # as ``http.server.Listener.adopt`` takes it
     calls_back: bool
 
 
-Word = Hello | Part | Whole | Serves | Unclaimed | Banned | Away | EdgeGiven
+HandoverMessage = (
+    StateRequest
+    | StateChunk
+    | StateComplete
+    | SuccessorReady
+    | CallbackForward
+    | MaintenanceForward
+    | StandbyForward
+    | ConnectionTransfer
+)
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Word).decode
+decode = msgspec.msgpack.Decoder(HandoverMessage).decode
 
 
-def told(
-    version: int | None, entries: list[ServiceEntry], learned: Learned, away: bool, clock_us: int = 0
-) -> list[Word]:
-    """Return the words that tell all, in packets of a bounded size."""
+def state_messages(
+    version: int | None, entries: list[ServiceEntry], learned: Learned, is_standby: bool, clock_us: int = 0
+) -> list[HandoverMessage]:
+    """Return the messages that carry the whole state, in packets of a bounded size."""
     workers = learned.workers
-    words: list[Word] = [Part(entries=entries[at : at + PART]) for at in range(0, len(entries), PART)]
-    words += [Part(workers=workers[at : at + PART]) for at in range(0, len(workers), PART)]
+    chunks: list[HandoverMessage] = [
+        StateChunk(entries=entries[at : at + CHUNK_ITEMS]) for at in range(0, len(entries), CHUNK_ITEMS)
+    ]
+    chunks += [
+        StateChunk(workers=workers[at : at + CHUNK_ITEMS]) for at in range(0, len(workers), CHUNK_ITEMS)
+    ]
     bare = Learned(learned.load, learned.kinds, learned.classes, learned.banned)
-    return [*words, Whole(version, bare, away, clock_us)]
+    return [*chunks, StateComplete(version, bare, is_standby, clock_us)]
--- /dev/null
+++ b/merlinbay/handover/successor.py
@@ -0,0 +1,87 @@
+"""The successor's side of a hand-over: it asks its predecessor for the state, and follows it to its end."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import trio
+
+from merlinbay.core.values import ServiceEntry
+from merlinbay.decision.learned import Learned
+from merlinbay.handover import control_socket, messages
+from merlinbay.handover.control_socket import ControlSocket, Packet
+from merlinbay.handover.relayed_messages import RelayedMessages
+from merlinbay.limits import ResourceLimits
+from merlinbay.log import Log
+
+
+@dataclass
+class Inherited:
+    """The predecessor's state."""
+
+    list_version: int | None  # discovery's
+    is_standby: bool  # clients are sent away
+    learned: Learned
+    clock_us: int  # the predecessor's clock when it sent the state; 0: sent by an older program
+    entries: list[ServiceEntry] = field(default_factory=list)
+
+
+class SuccessorSide:
+    """The process as the successor of another."""
+
+    def __init__(self, path: Path, relayed: RelayedMessages, limits: ResourceLimits, log: Log) -> None:
+        self._path, self._relayed, self._limits, self._log = path, relayed, limits, log
+        self.predecessor: ControlSocket | None = None
+
+    async def inherit(self) -> Inherited | None:
+        """Ask the predecessor for its state; None: there is none, or none of our version of the protocol."""
+        sock = await control_socket.connect(self._path)
+        if sock is None:
+            return None
+        link = ControlSocket(sock, self._limits)
+        with trio.move_on_after(self._limits.inherit):
+            await link.send(Packet(messages.StateRequest(messages.PROTOCOL_VERSION)))
+            inherited = await self._receive_state(link)
+            if inherited is not None:
+                self.predecessor = link
+                banned = len(inherited.learned.banned)
+                self._log.event("inherited", entries=len(inherited.entries), banned=banned)
+                return inherited
+        # Guards against a start that hangs on an old process: without an answer the new one starts alone.
+        self._log.event("not_inherited", level="warning", path=self._path)
+        sock.close()
+        return None
+
+    async def _receive_state(self, link: ControlSocket) -> Inherited | None:
+        chunks = messages.StateChunk([], [])
+        while (packet := await link.receive()) is not None:
+            message = packet.message
+            if isinstance(message, messages.StateChunk):
+                chunks.entries.extend(message.entries)
+                chunks.workers.extend(message.workers)
+            elif isinstance(message, messages.StateComplete):
+                message.learned.workers = chunks.workers
+                return Inherited(
+                    message.list_version,
+                    message.is_standby,
+                    message.learned,
+                    message.clock_us,
+                    chunks.entries,
+                )
+        return None
+
+    async def follow(self) -> None:
+        """Report to the predecessor that clients are accepted, and handle its messages to its end."""
+        link = self.predecessor
+        if link is None:
+            return
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(link.send_queued)
+            link.post(messages.SuccessorReady())
+            while (packet := await link.receive()) is not None:
+                await self._relayed.handle(packet)
+            self.predecessor = None
+            nursery.cancel_scope.cancel()
+        link.sock.close()
+        self._log.event("predecessor_gone")
--- a/merlinbay/handover/wiring.py
+++ b/merlinbay/handover/wiring.py
@@ -1,4 +1,4 @@
-"""Where the two processes of a node meet."""
+"""The path at which the processes of a node meet."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     listen: tuple[str, int],
     inbox: trio.MemorySendChannel[Message],
     listener: Listener,
-    attendance: ClientSteering,
+    steering: ClientSteering,
     limits: ResourceLimits,
     counters: Counters,
     log: Log,
     clock: Clock,
 ) -> Takeover:
-    """Return this process's side. Nodes that share a ``$TMPDIR`` are told apart by name and address."""
+    """Return this process's sides. Nodes that share a ``$TMPDIR`` differ by name and address."""
     key = zlib.crc32(f"{name} {listen[0]}:{listen[1]}".encode())
     path = Path(tempfile.gettempdir()) / f"merlinbay-{key:08x}.sock"
-    return Takeover(path, inbox, listener, attendance, limits, counters, log, clock)
+    return Takeover(path, inbox, listener, steering, limits, counters, log, clock)
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -104,14 +104,14 @@
         sides.takeover = wire_handover(
             config.name, config.listen, send, listener, attendance, limits, counters, log, clock
         )
-        inherited = await sides.takeover.inherit()
+        inherited = await sides.takeover.as_successor.inherit()
         if inherited is not None and inherited.clock_us:
             # Guards against a wall clock stepped between the two starts: spans that go on would be off by it.
             clock.carry_on(inherited.clock_us)
     discovery: Discovery | DnsSdDirectory
     if operator is None or operator.dnssd is None:
         version, entries = (
-            (inherited.version, inherited.entries)
+            (inherited.list_version, inherited.entries)
             if inherited is not None
             else (config.known.version, messages.entries(config.known))
         )
@@ -150,7 +150,7 @@
         if inherited is not None:
             if isinstance(discovery, Discovery):
                 discovery.confirm_after(limits.inherit_told_us)
-            attendance.turn(inherited.away, relayed=True)
+            attendance.turn(inherited.is_standby, relayed=True)
             owner.turn(
                 [
                     EndpointListReceived("remembered", inherited.entries),
@@ -166,8 +166,8 @@
                 await discovery.had.wait()
         await nursery.start(listener.serve, sock)
         if sides.takeover is not None and isinstance(discovery, Discovery):
-            nursery.start_soon(sides.takeover.follow)
-            await nursery.start(sides.takeover.await_successors, discovery.listing)
+            nursery.start_soon(sides.takeover.as_successor.follow)
+            await nursery.start(sides.takeover.as_predecessor.await_successors, discovery.listing)
         nursery.start_soon(attendance.run)
         if admin_sock is not None:
             nursery.start_soon(admin.serve, admin_sock)
@@ -272,7 +272,7 @@
     nursery.cancel_scope.deadline = began + limits.stop_most
     if sides.fleet is not None:
         sides.fleet.announce_draining()
-    if sides.takeover is not None and await sides.takeover.leave():
+    if sides.takeover is not None and await sides.takeover.as_predecessor.hand_over():
         await inbox.send(ShutdownRequested())
         return
     await trio.sleep(limits.stop_arrivals)
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -66,17 +66,17 @@
 
 FORMS: dict[str, Form] = {
     # The hand-over between two processes of a node.
-    "handover.hello": Form(handover.Hello),
-    "handover.part": Form(handover.Part),
-    "handover.whole": Form(handover.Whole),
-    "handover.serves": Form(handover.Serves),
+    "handover.hello": Form(handover.StateRequest),
+    "handover.part": Form(handover.StateChunk),
+    "handover.whole": Form(handover.StateComplete),
+    "handover.serves": Form(handover.SuccessorReady),
     "handover.unclaimed-started": Form(AttemptStarted),
     "handover.unclaimed-progress": Form(AttemptProgress),
     "handover.unclaimed-finished": Form(AttemptFinished),
-    "handover.unclaimed": Form(handover.Unclaimed),
-    "handover.banned": Form(handover.Banned),
-    "handover.away": Form(handover.Away),
-    "handover.edge-given": Form(handover.EdgeGiven),
+    "handover.unclaimed": Form(handover.CallbackForward),
+    "handover.banned": Form(handover.MaintenanceForward),
+    "handover.away": Form(handover.StandbyForward),
+    "handover.edge-given": Form(handover.ConnectionTransfer),
     # The control log: on disk, between voters, and to watchers.
     "control.record-identity": Form(records.IdentityRecord),
     "control.record-term": Form(records.TermRecord),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -253,7 +253,7 @@
     by_house(tmp_path, scene, a=serves, b=serves)
 
 
-def test_a_word_too_long_for_a_packet_ends_nothing_else() -> None:
+def test_a_message_too_long_for_a_packet_ends_nothing_else() -> None:
     """It alone is not sent: what is posted after it, and a descriptor with it, come through."""
 
     async def scene() -> None:
@@ -261,12 +261,13 @@
         ours, theirs = (ControlSocket(trio.socket.from_stdlib_socket(one), LIMITS) for one in pair)
         with trio.fail_after(5):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ours.write)
-                ours.post(messages.Unclaimed(AttemptFinished("a", "s", Outcome.OK, b"x" * 4_000_000)))
-                ours.post(messages.EdgeGiven(True, False), os.dup(0))
-                heard = await theirs.read()
-                assert heard is not None and heard[0] == messages.EdgeGiven(True, False) and heard[1] >= 0
-                os.close(heard[1])
+                nursery.start_soon(ours.send_queued)
+                ours.post(messages.CallbackForward(AttemptFinished("a", "s", Outcome.OK, b"x" * 4_000_000)))
+                ours.post(messages.ConnectionTransfer(True, False), os.dup(0))
+                packet = await theirs.receive()
+                assert packet is not None and packet.message == messages.ConnectionTransfer(True, False)
+                assert packet.descriptor >= 0
+                os.close(packet.descriptor)
                 nursery.cancel_scope.cancel()
         for one in (ours, theirs):
             one.sock.close()
@@ -275,7 +276,7 @@
 
 
 def test_what_was_learned_is_taken_over_as_it_was() -> None:
-    """Through the words on the wire: health, pace, slots, cold turns, bans; not of a server started since."""
+    """Through the wire's messages: health, pace, slots, cold turns, bans; not of a server started since."""
     conf = settings(balancers=1)
     one, two = Balancer(conf, 1, 1_000_000), Balancer(conf, 2, 1_000_000)
     rows = [entry(0), entry(2), entry(4, ready=900_000)]
@@ -290,13 +291,13 @@
     one.handle(one.now, [MaintenanceChanged("w4", True)])
     assert one.endpoints["w2"].bench_until > one.now and one.kinds["k1"].slots > 4
     parts = [
-        messages.decode(messages.encode(word))
-        for word in messages.told(5, [], learned(one, one.classes), False)
+        messages.decode(messages.encode(message))
+        for message in messages.state_messages(5, [], learned(one, one.classes), False)
     ]
     whole = parts[-1]
-    assert isinstance(whole, messages.Whole)
+    assert isinstance(whole, messages.StateComplete)
     whole.learned.workers = [
-        w for part in parts[:-1] if isinstance(part, messages.Part) for w in part.workers
+        w for part in parts[:-1] if isinstance(part, messages.StateChunk) for w in part.workers
     ]
     two.handle(one.now, [EndpointsChanged("remembered", [entry(0, ready=3_000_000), *rows[1:]])])
     adopt(two, two.classes, whole.learned)
--- /dev/null
+++ b/tests/test_handover_versions.py
@@ -0,0 +1,240 @@
+"""A hand-over between an earlier program and this one, in both directions.
+
+Packets of the earlier program are the golden ones, or plain maps in its form.
+"""
+
+from __future__ import annotations
+
+import array
+import base64
+import os
+import socket
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import Any
+from unittest.mock import Mock
+
+import msgspec
+import trio
+import trio.testing
+
+from merlinbay.core.messages import (
+    AttemptStarted,
+    CallbackRelayed,
+    MaintenanceRequested,
+    Message,
+    SnapshotRequested,
+)
+from merlinbay.counters import Counters
+from merlinbay.handover import control_socket, messages
+from merlinbay.handover.takeover import Takeover
+from merlinbay.log import Log
+from tests.net import LIMITS
+from tests.stored_forms import GOLDEN
+
+PACKETS: dict[str, bytes] = {
+    name.removeprefix("handover."): base64.b64decode(text)
+    for name, text in msgspec.json.decode((GOLDEN / "forms.json").read_bytes()).items()
+    if name.startswith("handover.")
+}
+NOW_US = 77_000_000
+
+# What the earlier program sends and reads, field by field.
+HELLO = {"type": "Hello", "speaks": 1}
+SERVES = {"type": "Serves"}
+ENTRY = {
+    "server": "text-1",
+    "addr": "text-2",
+    "zone": "text-3",
+    "kind": "text-4",
+    "cell": 5,
+    "state": "text-6",
+    "weight": 7.5,
+    "started_us": 8,
+}
+WORKER = {
+    "name": "text-9",
+    "ready_at": 10,
+    "others": 11.5,
+    "others_at": 12,
+    "pace": 13.5,
+    "paced_at": 14,
+    "fails": 15,
+    "bench_until": 16,
+    "fault": 17,
+    "fault_at": 18,
+    "heard_at": 19,
+    "cold_next": 20,
+}
+LEARNED = {
+    "load": {
+        "rate": 2.5,
+        "rate_at": 3,
+        "trust": 4.5,
+        "offered": 5,
+        "slots": 6.5,
+        "late": 7.5,
+        "starts": 8,
+        "mean_held": 9.5,
+        "mean_run": 10.5,
+        "mean_worth": 11.5,
+    },
+    "kinds": {
+        "text-12": {
+            "slots": 13.5,
+            "pace": 14.5,
+            "told": True,
+            "counts": 15,
+            "queued": 16.5,
+            "most": 17.5,
+            "part": 18.5,
+        }
+    },
+    "classes": {"text-19": {"run": 20.5, "seen": 21}},
+    "banned": {"text-22": 23},
+}
+STARTED = {"type": "SchedulingStarted", "name": "text-1", "server": "text-2"}
+UNCLAIMED = {"type": "Unclaimed", "message": STARTED}
+BANNED = {"type": "Banned", "server": "text-1", "on": True}
+AWAY = {"type": "Away", "away": True}
+EDGE_GIVEN = {"type": "EdgeGiven", "proven": True, "calls_back": True}
+
+
+class NewProcess:
+    """A process of this program, without its listener, steering and core."""
+
+    def __init__(self, folder: Path) -> None:
+        self.path = folder / "meeting.sock"
+        inbox, self.received = trio.open_memory_channel[Message](9)
+        self.listener, self.steering, clock = Mock(connections=set()), Mock(away=True), Mock()
+        clock.now_us.return_value = NOW_US
+        self.takeover = Takeover(
+            self.path, inbox, self.listener, self.steering, LIMITS, Counters(), Log(9), clock
+        )
+
+    async def relays_to_core(self) -> None:
+        """Check that what the earlier program relayed has come to the core."""
+        assert await self.received.receive() == CallbackRelayed(AttemptStarted("text-1", "text-2"))
+        assert await self.received.receive() == MaintenanceRequested("text-1", True, None)
+
+
+async def read(sock: trio.socket.SocketType) -> Any:
+    """Read a packet as the earlier program does: by its field names."""
+    return msgspec.msgpack.decode(await sock.recv(LIMITS.link_bytes))
+
+
+def run(scene: Callable[[], Awaitable[None]]) -> None:
+    """Run a scene within five seconds."""
+
+    async def bounded() -> None:
+        with trio.fail_after(5):
+            await scene()
+
+    trio.run(bounded)
+
+
+def test_the_golden_packets_are_the_earlier_forms() -> None:
+    """So that the maps of this file are what an earlier program sent."""
+    whole = msgspec.msgpack.decode(PACKETS["whole"])
+    assert whole["learned"].pop("workers") and whole["learned"] == LEARNED
+    assert set(whole) == {"type", "version", "learned", "away", "clock_us"} and whole["type"] == "Whole"
+    part = {"type": "Part", "entries": [ENTRY], "workers": [WORKER]}
+    for name, form in {
+        "hello": HELLO,
+        "part": part,
+        "serves": SERVES,
+        "unclaimed": UNCLAIMED,
+        "banned": BANNED,
+        "away": AWAY,
+        "edge-given": EDGE_GIVEN,
+    }.items():
+        assert msgspec.msgpack.decode(PACKETS[name]) == form
+
+
+def test_an_earlier_predecessor_is_succeeded(tmp_path: Path) -> None:
+    """Its state is inherited; its call-backs, bans, standby and connections are taken over until it ends."""
+
+    async def scene() -> None:
+        new = NewProcess(tmp_path)
+        successor = new.takeover.as_successor
+
+        async def earlier(listening: trio.socket.SocketType) -> None:
+            sock, _ = await listening.accept()
+            with sock:
+                assert await read(sock) == HELLO
+                await sock.send(PACKETS["part"])
+                await sock.send(PACKETS["whole"])
+                assert await read(sock) == SERVES
+                for name in ("unclaimed", "banned", "away"):
+                    await sock.send(PACKETS[name])
+                rights = array.array("i", [client.fileno()]).tobytes()
+                await sock.sendmsg([PACKETS["edge-given"]], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, rights)])
+
+        with await control_socket.listen(new.path) as listening:
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(earlier, listening)
+                inherited = await successor.inherit()
+                await successor.follow()  # until the earlier process has ended
+        assert inherited is not None
+        assert (inherited.list_version, inherited.is_standby, inherited.clock_us) == (1, True, 36)
+        assert msgspec.to_builtins(inherited.entries) == [ENTRY]
+        assert msgspec.to_builtins(inherited.learned) == {**LEARNED, "workers": [WORKER]}
+        await new.relays_to_core()
+        new.steering.turn.assert_called_once_with(True, relayed=True)
+        ((sock, is_proven, calls_back),) = (call.args for call in new.listener.adopt.call_args_list)
+        assert (is_proven, calls_back) == (True, True)
+        assert os.fstat(sock.fileno()).st_ino == os.fstat(client.fileno()).st_ino
+        sock.close()
+        assert successor.predecessor is None
+
+    client, other = socket.socketpair()
+    with client, other:
+        run(scene)
+
+
+def test_an_earlier_successor_is_given_everything(tmp_path: Path) -> None:
+    """It reads the state, what is relayed, and connections by its own names; what it relays is heard."""
+
+    async def scene() -> None:
+        new = NewProcess(tmp_path)
+        predecessor = new.takeover.as_predecessor
+        golden = msgspec.msgpack.decode(PACKETS["part"], type=messages.StateChunk)
+        learned = msgspec.msgpack.decode(PACKETS["whole"], type=messages.StateComplete).learned
+        learned.workers = golden.workers
+        async with trio.open_nursery() as nursery:
+            await nursery.start(predecessor.await_successors, lambda: (4, golden.entries))
+            sock = await control_socket.connect(new.path)
+            assert sock is not None
+            await sock.send(PACKETS["hello"])
+            request = await new.received.receive()
+            assert isinstance(request, SnapshotRequested)
+            request.told(learned)
+            assert await read(sock) == {"type": "Part", "entries": [ENTRY], "workers": []}
+            assert await read(sock) == {"type": "Part", "entries": [], "workers": [WORKER]}
+            bare = {**LEARNED, "workers": []}
+            whole = {"type": "Whole", "version": 4, "learned": bare, "away": True, "clock_us": NOW_US}
+            assert await read(sock) == whole
+            assert await predecessor.hand_over() is False  # it does not serve yet
+            for name in ("serves", "unclaimed", "banned", "away"):
+                await sock.send(PACKETS[name])
+            await new.relays_to_core()
+            await trio.testing.wait_all_tasks_blocked()
+            new.steering.turn.assert_called_once_with(True, relayed=True)
+            assert new.takeover.unclaimed(AttemptStarted("text-1", "text-2"))
+            new.takeover.maintained("text-1", True)
+            new.steering.told(True)
+            assert [await read(sock) for _ in range(3)] == [UNCLAIMED, BANNED, AWAY]
+            assert await predecessor.hand_over() is True
+            (give,) = new.listener.hand_over.call_args.args
+            client, _ = pair = socket.socketpair()
+            assert give(Mock(raw=client, proven=True, calls_back=True))
+            data, extra, _, _ = await sock.recvmsg(LIMITS.link_bytes, socket.CMSG_SPACE(4))
+            assert msgspec.msgpack.decode(data) == EDGE_GIVEN
+            given = array.array("i", extra[0][2][:4])[0]
+            assert os.fstat(given).st_ino == os.fstat(client.fileno()).st_ino
+            os.close(given)
+            for one in (*pair, sock):
+                one.close()
+            nursery.cancel_scope.cancel()
+
+    run(scene)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -287,10 +287,10 @@
         ],
     )
     assert len(made.usable) == 1024
-    told = handed.told(1, found, learned(made, made.classes), False)
-    assert sum(len(word.entries) for word in told if isinstance(word, handed.Part)) == 1024
-    assert sum(len(word.workers) for word in told if isinstance(word, handed.Part)) == 1024
-    assert max(len(handed.encode(word)) for word in told) < LIMITS.link_bytes
+    sent = handed.state_messages(1, found, learned(made, made.classes), False)
+    assert sum(len(message.entries) for message in sent if isinstance(message, handed.StateChunk)) == 1024
+    assert sum(len(message.workers) for message in sent if isinstance(message, handed.StateChunk)) == 1024
+    assert max(len(handed.encode(message)) for message in sent) < LIMITS.link_bytes
 
 
 def test_a_node_with_1024_entries_keeps_to_its_descriptors(tmp_path: Path) -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -110,7 +110,7 @@
         takeover = Takeover(Path("x"), inbox, listener, attendance, LIMITS, Counters(), Log(9), clock)
         listening = Mock(accept=failing(accept, [errno.ECONNABORTED, errno.EMFILE]))
         with trio.fail_after(5):
-            assert await takeover._accept(listening) is successor
+            assert await takeover.as_predecessor._accept(listening) is successor
 
     trio.run(scene)
 
