--- a/merlinbay/rig/run.py
+++ b/merlinbay/rig/run.py
@@ -16,7 +16,8 @@
 import trio
 
 from merlinbay.fleet import wire
-from merlinbay.fleet.members import Health
+from merlinbay.fleet.members import Health, MemberState, encode_state
+from merlinbay.fleet.messages import Gossip, encode_datagram
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from merlinbay.limits import ResourceLimits
 from merlinbay.rig.processes import Process
@@ -264,12 +265,13 @@
     def _lie(self, names: list[str]) -> None:
         """Tell every node, under a good key, that some are dead: far ahead, and absurdly far."""
         keys = wire.Keys.load(str(self.keys))
-        claims = [
-            {"n": name, "h": int(Health.DEAD), "i": number, "b": "n0"}
+        deaths = [
+            MemberState(name, Health.DEAD, number, accuser="n0")
             for name in names
             for number in (1 << 50, MOST_INT)
         ]
-        data = wire.seal(keys, self.folder.name, {"k": "news", "c": claims})
+        gossip = encode_datagram(Gossip(), [msgspec.Raw(wire.pack(encode_state(death))) for death in deaths])
+        data = wire.seal(keys, self.folder.name, gossip)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for addr in self.real:
                 sock.sendto(data, (addr, PORT))
