--- a/merlinbay/fleet/event_log.py
+++ b/merlinbay/fleet/event_log.py
@@ -14,7 +14,8 @@
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
         self._events: list[MembershipEvent] = []
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # of events and of occurrences that are none
+        self._new_occurrences: Counter[str] = Counter()
 
     def record(self, kind: EventKind, subject: str, text: str = "") -> None:
         """Add an event of this moment."""
@@ -24,6 +25,12 @@
     def count(self, name: str) -> None:
         """Count an occurrence that is no event."""
         self.counts[name] += 1
+        self._new_occurrences[name] += 1
+
+    def take_occurrences(self) -> Counter[str]:
+        """Return the counts of occurrences since the last call."""
+        occurrences, self._new_occurrences = self._new_occurrences, Counter()
+        return occurrences
 
     def take(self) -> list[MembershipEvent]:
         """Return the events since the last call."""
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -81,6 +81,8 @@
             self._counters.add(f"fleet_{event.kind}")
             self._log.event(f"fleet_{event.kind}", member=event.subject, text=repr(event.text))
             self.events.append(event)
+        for name, number in view.events.take_occurrences().items():
+            self._counters.add(f"fleet_{name}", number)
         if len(self.events) > MAX_EVENTS:
             self.first_event += len(self.events) - MAX_EVENTS
             del self.events[:-MAX_EVENTS]
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -648,3 +649,28 @@
         return counts
 
     assert trio.run(scene) == [(1, 0), (2, 0), (1, 0), (2, 0), (1, 0), (2, 1)]
+
+
+def test_occurrences_that_are_no_events_are_counted(tmp_path: Path) -> None:
+    """A refutation, a malformed state, and every packet of garbage, of which the first is an event."""
+    (tmp_path / "keys").write_text("a2V5a2V5a2V5a2V5a2V5a2V5a2V5\n")
+    section = FleetSettings(name="f", listen="127.0.0.1:1", keys=str(tmp_path / "keys"))
+    facts, counters = NodeIdentity("a", ("127.0.0.1", 2), support.settings(), ResourceLimits()), Counters()
+
+    async def scene() -> None:
+        send, _ = trio.open_memory_channel[Message](9)
+        parts = wiring.FleetParts(section, facts, send, counters, Log(1))
+        own = parts.view.local.state
+        async with trio.open_nursery() as parts.net._nursery:
+            keys = wire.Keys.load(section.keys)
+            accusation = encode_state(replace(own, health=SUSPECT, accuser="b"))
+            gossip: dict[str, object] = {"k": "news", "c": [accusation, {"n": 7}]}
+            parts.view.handle_datagram(1.0, "127.0.0.1:3", packet(gossip, keys, "f"))
+            for _ in range(3):
+                parts.view.handle_datagram(1.0, "127.0.0.1:3", b"garbage")
+            for _ in range(2):  # counted once
+                parts.net.flush()
+
+    trio.run(scene)
+    assert counters.counts["fleet_refuted"] == counters.counts["fleet_claims_bad"] == 1
+    assert counters.counts["fleet_packets_refused"] == 3
