--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -34,7 +34,7 @@
 
 if TYPE_CHECKING:
     from merlinbay.dnssd.directory import DnsSdDirectory
-    from merlinbay.handover.takeover import Inherited
+    from merlinbay.handover.successor import Inherited
 
 
 class Node:
@@ -115,7 +115,7 @@
             self.log,
             self.clock,
         )
-        inherited = await self.optional.takeover.inherit()
+        inherited = await self.optional.takeover.as_successor.inherit()
         if inherited is not None and inherited.clock_us:
             # Guards against a wall clock stepped between the two starts: running timeouts would be off by it.
             self.clock.continue_from(inherited.clock_us)
@@ -145,11 +145,11 @@
         notified_in_us = config.limits.handover_notified_in_us
         if isinstance(discovery, Discovery):
             discovery.confirm_after(notified_in_us)
-        self.steering.turn(inherited.away, relayed=True)
+        self.steering.turn(inherited.is_standby, relayed=True)
         dispatcher.turn(
             [EndpointListReceived("remembered", inherited.entries), DiscoveryReloaded(notified_in_us)]
         )
-        adopt(balancer, balancer.classes, inherited.learned)
+        adopt(balancer, balancer.classes, inherited.snapshot)
         return dispatcher
 
     def _make_servers(self, nursery: trio.Nursery, pool: ConnectionPool) -> ServerTransport:
@@ -180,8 +180,8 @@
         config, optional = self.config, self.optional
         await nursery.start(self.listener.serve, client_socket)
         if optional.takeover is not None and isinstance(discovery, Discovery):
-            nursery.start_soon(optional.takeover.follow)
-            await nursery.start(optional.takeover.await_successors, discovery.endpoint_list)
+            nursery.start_soon(optional.takeover.as_successor.follow)
+            await nursery.start(optional.takeover.as_predecessor.await_successors, discovery.endpoint_list)
         nursery.start_soon(self.steering.run)
         if admin_socket is not None:
             nursery.start_soon(self.admin.serve, admin_socket)
--- a/merlinbay/node_components.py
+++ b/merlinbay/node_components.py
@@ -20,7 +20,8 @@
     from merlinbay.dnssd.directory import DnsSdDirectory
     from merlinbay.drmaa.wiring import DrmaaParts
     from merlinbay.fleet.wiring import FleetParts
-    from merlinbay.handover.takeover import Inherited, Takeover
+    from merlinbay.handover.successor import Inherited
+    from merlinbay.handover.takeover import Takeover
 
 
 @dataclass
@@ -44,7 +45,7 @@
             self.drmaa.stop()
             self.drmaa.close_idle()
         if self.fleet is not None:
-            self.fleet.stop()
+            self.fleet.leave()
         if self.control is not None:
             self.control.stop()
 
@@ -85,7 +86,7 @@
 
         return wire_dnssd(operator.dnssd, inbox, limits, counters, log)
     if inherited is not None:
-        version, entries = inherited.version, inherited.entries
+        version, entries = inherited.list_version, inherited.entries
     else:
         version, entries = config.initial_list.version, messages.entries(config.initial_list)
     return Discovery(
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -83,8 +83,8 @@
         began = trio.current_time()
         self.nursery.cancel_scope.deadline = began + limits.stop_timeout_s
         if self.optional.fleet is not None:
-            self.optional.fleet.leaving()
-        if self.optional.takeover is not None and await self.optional.takeover.leave():
+            self.optional.fleet.announce_draining()
+        if self.optional.takeover is not None and await self.optional.takeover.as_predecessor.hand_over():
             await self.inbox.send(ShutdownRequested())
             return
         await trio.sleep(limits.stop_arrivals_for_s)
