--- a/bench/batch.py
+++ b/bench/batch.py
@@ -39,12 +39,12 @@
 
     async def client() -> None:
         nonlocal left
-        connection = await ClientConnection.dial(f"127.0.0.1:{port}", LIMITS)
+        connection = await ClientConnection.connect(f"127.0.0.1:{port}", LIMITS)
         while left > 0:
             left -= 1
-            if not connection.usable():
+            if not connection.is_available():
                 connection.close()
-                connection = await ClientConnection.dial(f"127.0.0.1:{port}", LIMITS)
+                connection = await ClientConnection.connect(f"127.0.0.1:{port}", LIMITS)
             await one(connection)
         connection.close()
 
--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -21,8 +21,8 @@
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.decision.records import Attempt, Endpoint, Job
 from merlinbay.http.client import ClientConnection, Reply
-from merlinbay.http.pool import ConnectionPool, RealServer
-from merlinbay.http.servers import PooledServers
+from merlinbay.http.pool import ConnectionPool, PooledServer
+from merlinbay.http.servers import PooledServerTransport
 from merlinbay.platform import replies
 from merlinbay.platform.replies import JobReply
 
@@ -46,7 +46,7 @@
 _may_repeat = Eligibility._may_repeat
 _may_begin = Eligibility.may_begin
 _keep = ConnectionPool._keep
-_exchange = PooledServers.exchange
+_exchange = PooledServerTransport.exchange
 _classify = replies.classify
 
 
@@ -87,7 +87,7 @@
 
 def looks_for_the_client_only(self: ServerAttempt) -> bool:
     """Ask before the first byte whether the client is still there, and nothing else."""
-    return not self.ended and (self.responder is None or not self.responder.left())
+    return not self.has_ended and (self.responder is None or not self.responder.has_disconnected())
 
 
 def looks_at_the_old_time(self: Eligibility, job_id: int, number: int, now: int) -> bool:
@@ -98,7 +98,7 @@
 
 
 def keeps_without_rest(
-    self: ConnectionPool, name: str, server: RealServer, connection: ClientConnection, rests_until: float
+    self: ConnectionPool, name: str, server: PooledServer, connection: ClientConnection, rests_until: float
 ) -> None:
     """Use a connection again at once."""
     _keep(self, name, server, connection, 0.0)
@@ -123,7 +123,7 @@
     """Keep nothing of the moment of the send."""
 
 
-async def broken_is_unsent(self: PooledServers, *args: Any, **named: Any) -> Reply | Outcome:
+async def broken_is_unsent(self: PooledServerTransport, *args: Any, **named: Any) -> Reply | Outcome:
     """Take a connection that broke before the 202 for one that never came up."""
     result = await _exchange(self, *args, **named)
     return Outcome.CONNECT_FAILED if result is Outcome.RESET else result
@@ -168,7 +168,9 @@
         ((rules, "never_ran", never_ran_after_all), (dispatcher, "never_ran", never_ran_after_all)),
     ),
     Mutant("outcome: progress is no start", ((Dispatcher, "_on_attempt_progress", progress_goes_unheard),)),
-    Mutant("outcome: broken before the 202 is unsent", ((PooledServers, "exchange", broken_is_unsent),)),
+    Mutant(
+        "outcome: broken before the 202 is unsent", ((PooledServerTransport, "exchange", broken_is_unsent),)
+    ),
     Mutant("answer: a bare 503 is a refusal", ((replies, "classify", bare_503_refuses),)),
     Mutant("answer: an unnamed status is an end", ((replies, "classify", unnamed_status_fails),)),
     Mutant("last look: for the client only", ((ServerAttempt, "may_begin", looks_for_the_client_only),)),
--- a/bench/events.py
+++ b/bench/events.py
@@ -60,7 +60,7 @@
         self.ages += [now - float(event["jobId"]) for event in json.loads(request.body)["events"]]
         return Response(204)
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Pass over it."""
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -54,6 +54,8 @@
     from merlinbay.platform import messages
 except ImportError:  # a tree from before it was renamed
     from merlinbay.platform import words as messages
+def started_at(entry):
+    return entry.started_at_us if hasattr(entry, "started_at_us") else entry.started_us
 rows = [{"id": f"w{n}", "addr": "10.1.0.18:8081", "zone": "z", "kind": "k", "cell": n // 6,
          "state": "SERVING", "weight": 1.0, "started_ms": 0} for n in range(entries)]
 text = json.dumps({"version": 1, "full": True, "servers": rows}, indent=2).encode()
@@ -61,7 +63,7 @@
 for _ in range(20):
     listed = messages.entries(messages.read_listing(text))
     made.handle(now, [EndpointsChanged("all", [EndpointEntry(
-        e.server, e.zone, e.kind, e.cell, e.state, e.weight, e.started_us) for e in listed])])
+        e.server, e.zone, e.kind, e.cell, e.state, e.weight, started_at(e)) for e in listed])])
 list_us = (time.process_time() - began) / 20 * 1e6
 memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 print(started * 1e3, job_us, list_us, memory)
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -40,7 +40,7 @@
         """Tell of a job."""
         addr, _, path = notify.removeprefix("http://").partition("/")
         if addr not in self.pool.servers:
-            self.pool.entries_changed("changes", [ServiceEntry(addr, addr)])
+            self.pool.update_endpoints("changes", [ServiceEntry(addr, addr)])
         for state in ("RUNNING", "DONE"):
             note = {
                 "event": "NEW_STATE",
@@ -52,7 +52,7 @@
             }
             await self.pool.exchange(addr, "POST", f"/{path}", [], json.dumps(note).encode())
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
@@ -68,7 +68,7 @@
             await trio.sleep(1)
         return Response(200, json.dumps({"version": 1, "full": True, "servers": self.rows}).encode())
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -81,7 +81,7 @@
             await trio.sleep(1.0)
         return Response(200, self.listing)
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
--- a/merlinbay/control_service/operator_calls.py
+++ b/merlinbay/control_service/operator_calls.py
@@ -156,7 +156,7 @@
         location = f"http://{operator}{request.target}".encode()
         return Response(307, b"", [(b"location", location)])
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Take it that the caller hung up: what was proposed is decided all the same."""
 
 
--- a/merlinbay/core/attempts.py
+++ b/merlinbay/core/attempts.py
@@ -15,32 +15,32 @@
         """Take the request's one answer."""
         raise NotImplementedError
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell whether the client has left, be it that nobody has said so yet."""
         return False
 
-    def sent(self, server: str) -> None:
+    def on_dispatched(self, server: str) -> None:
         """Take it that a real server has been chosen. May come more than once."""
 
-    def started(self, server: str) -> None:
+    def on_started(self, server: str) -> None:
         """Take it that a real server runs the job. May come more than once."""
 
-    def suspended(self) -> None:
+    def on_suspended(self) -> None:
         """Take it that its real server has suspended the job."""
 
-    def unplaced(self) -> None:
+    def on_requeued(self) -> None:
         """Take it that no real server runs the job any more; the module decides anew."""
 
-    def lost_sight(self) -> None:
+    def on_status_unknown(self) -> None:
         """Take it that its real server cannot be asked at present."""
 
-    def found_queued(self) -> None:
+    def on_found_queued(self) -> None:
         """Take it that its real server was asked, and has not started the job."""
 
-    def recalled(self, done: bool) -> None:
+    def on_recall_ended(self, done: bool) -> None:
         """Take it that the request was called back unstarted and is over (``done``), or that it goes on."""
 
-    def controlled(self, action: str, error: str, message: str) -> None:
+    def on_control_ended(self, action: str, error: str, message: str) -> None:
         """Take what came of ``suspend`` or ``resume``; ``error`` is empty where it was done."""
 
 
@@ -57,16 +57,18 @@
     request_number: int  # the request's id in the module
     number: int  # of this attempt, from 0
     server: str
-    sent_us: int
-    deadline_us: int
-    ended: bool = False
-    started: bool = False
-    paused: bool = False  # suspended by its real server
+    sent_at_us: int
+    deadline_at_us: int
+    has_ended: bool = False
+    has_started: bool = False
+    is_suspended: bool = False  # suspended by its real server
     responder: Responder | None = None  # of its request
-    allowed: Callable[[ServerAttempt], bool] = always  # whether its class allows it still, see ``may_begin``
+    is_permitted: Callable[[ServerAttempt], bool] = (
+        always  # whether its class allows it still, see ``may_begin``
+    )
 
     def may_begin(self) -> bool:
         """Tell, right before its first byte, whether it is still to be begun."""
-        if self.ended or (self.responder is not None and self.responder.left()):
+        if self.has_ended or (self.responder is not None and self.responder.has_disconnected()):
             return False
-        return self.allowed(self)
+        return self.is_permitted(self)
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -56,46 +56,50 @@
         if attempt is None:
             return None
         request = self.requests.request_of(attempt)
-        return None if request.done else (request, attempt)
+        return None if request.is_answered else (request, attempt)
 
     def _recall(self, message: RecallRequested) -> None:
         # A request that is done has been answered: that, and nothing here, tells what became of it.
-        request = self.requests.waiting(message.name, message.responder)
-        if request is None or request.recalling:
+        request = self.requests.find_unanswered(message.name, message.responder)
+        if request is None or request.is_recalling:
             return
-        request.recalling = True
-        for attempt in request.open.values():
+        request.is_recalling = True
+        for attempt in request.open_attempts.values():
             self.servers.recall(attempt)
 
     def _control(self, message: ControlRequested) -> None:
-        request = self.requests.waiting(message.name, message.responder)
+        request = self.requests.find_unanswered(message.name, message.responder)
         if request is None:
             return
-        if len(request.open) == 1:
-            self.servers.control(next(iter(request.open.values())), message.action)
+        if len(request.open_attempts) == 1:
+            self.servers.control(next(iter(request.open_attempts.values())), message.action)
             return
         # Guards against a copy that runs on while the other is suspended.
-        count = len(request.open)
-        request.responder.controlled(message.action, "TryLaterException", f"{count} servers have the job")
+        count = len(request.open_attempts)
+        request.responder.on_control_ended(
+            message.action, "TryLaterException", f"{count} servers have the job"
+        )
 
     def _on_recalled(self, message: AttemptRecalled) -> None:
         """Take a server's word on an attempt that is to come back unstarted."""
         if (found := self._open(message)) is None:
             return
         request, attempt = found
-        if request.recalling and (not message.done or attempt.started):
-            request.recalling = False
-            request.responder.recalled(False)
-        if not message.done:
+        if request.is_recalling and (not message.was_returned or attempt.has_started):
+            request.is_recalling = False
+            request.responder.on_recall_ended(False)
+        if not message.was_returned:
             return
         # Guards against a server that looks full for having given back what was asked for: that is CANCELLED.
-        if not request.recalling:
+        if not request.is_recalling:
             self.end_attempt(attempt, Outcome.FULL)
-        elif len(request.open) > 1:  # the others are asked too: the last one's word counts
+        elif len(request.open_attempts) > 1:  # the others are asked too: the last one's word counts
             self.end_attempt(attempt, Outcome.CANCELLED)
         else:
-            request.done = True  # Guards against a next attempt: the module hears that nothing is owed.
-            request.responder.recalled(True)
+            request.is_answered = (
+                True  # Guards against a next attempt: the module hears that nothing is owed.
+            )
+            request.responder.on_recall_ended(True)
             self.end_attempt(attempt, Outcome.CANCELLED)
 
     def _on_controlled(self, message: AttemptControlled) -> None:
@@ -103,25 +107,25 @@
             return
         request, attempt = found
         if not message.error:
-            attempt.paused = message.action == "suspend"
-            self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, attempt.paused))
-        request.responder.controlled(message.action, message.error, message.message)
+            attempt.is_suspended = message.action == "suspend"
+            self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, attempt.is_suspended))
+        request.responder.on_control_ended(message.action, message.error, message.message)
 
     def _on_suspended(self, message: AttemptSuspended) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
-        if attempt is None or attempt.paused:
+        if attempt is None or attempt.is_suspended:
             return
-        attempt.started = attempt.paused = True
+        attempt.has_started = attempt.is_suspended = True
         self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, True))
         request = self.requests.request_of(attempt)
-        if not request.done:
-            request.responder.suspended()
+        if not request.is_answered:
+            request.responder.on_suspended()
 
     def _on_unseen(self, message: AttemptStatusUnknown) -> None:
         if (found := self._open(message)) is None:
             return
         request, _ = found
-        if message.found:
-            request.responder.found_queued()
+        if message.is_queued:
+            request.responder.on_found_queued()
         else:
-            request.responder.lost_sight()
+            request.responder.on_status_unknown()
--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -72,17 +72,17 @@
     ) -> None:
         self.balancer, self.clock, self.limits = balancer, clock, limits
         self.counters, self.log = counters, log
-        self.servers, self.directory = servers, directory
+        self.servers, self.discovery = servers, directory
         self.fields = balancer.settings.report_fields
         self.classes = {spec.name for spec in balancer.settings.classes}
-        self.other: PeerProcess | None = None  # the one that this replaces, or that replaces this
+        self.peer: PeerProcess | None = None  # the one that this replaces, or that replaces this
         self.requests = RequestTable(limits.names_remembered)
         self.timers = Timers()
         self.request_count = 0
-        self.stopping = False
-        self.now = 0
+        self.is_shutting_down = False
+        self.now_us = 0
         self.events: list[Event] = []  # for the module's next call
-        self.fleet = EndpointMessages(balancer, servers, counters, self._tell_module, lambda: self.now)
+        self.fleet = EndpointMessages(balancer, servers, counters, self._tell_module, lambda: self.now_us)
         controls = RequestControls(self.requests, servers, self._end_attempt, self._tell_module)
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_request_arrived,
@@ -106,19 +106,19 @@
             LogNotice: self._note,
         }
 
-    def watch_entries(self, watcher: EndpointObserver) -> None:
+    def add_endpoint_observer(self, watcher: EndpointObserver) -> None:
         """Have somebody beside the real servers hear of them."""
-        self.fleet.watchers.append(watcher)
+        self.fleet.observers.append(watcher)
 
-    def know_other_process(self, other: PeerProcess | None) -> None:
+    def set_peer_process(self, other: PeerProcess | None) -> None:
         """Work beside the process that this one replaces, or that replaces it."""
-        self.other = self.fleet.other = other
+        self.peer = self.fleet.peer = other
 
     async def run(self, inbox: trio.MemoryReceiveChannel[Message]) -> None:
         """Work until stopped, and for a moment after the last request is answered."""
         end = float("inf")
         while trio.current_time() < end:
-            if self.stopping and end == float("inf") and self.requests.all_answered():
+            if self.is_shutting_down and end == float("inf") and self.requests.all_answered():
                 end = trio.current_time() + self.limits.stop_tail
             messages: list[Message] = []
             due = self.timers.next_us()
@@ -130,19 +130,19 @@
                     messages.append(inbox.receive_nowait())
             except trio.WouldBlock:
                 pass
-            self.turn(messages)
+            self.run_batch(messages)
 
-    def turn(self, messages: list[Message]) -> None:
+    def run_batch(self, messages: list[Message]) -> None:
         """Take what has come and what is due, in one call of the module and those that follow from it."""
-        self.now, self.events = self.clock.now_us(), []
+        self.now_us, self.events = self.clock.now_us(), []
         for message in messages:
             self._handle(message)
-        for what in self.timers.pop_due(self.now):
+        for what in self.timers.pop_due(self.now_us):
             self._expire(what)
         while self.events:
             events, self.events = self.events, []
             try:
-                actions = self.balancer.handle(self.now, events)
+                actions = self.balancer.handle(self.now_us, events)
             except Exception as error:  # Guards against one bad event that would end every other request.
                 self.counters.add("module_errors")
                 trace = "".join(traceback.format_exception(error))
@@ -154,7 +154,7 @@
     def gauges(self) -> dict[str, float]:
         """Return what is held here: jobs not yet answered, and slots of real servers."""
         return {
-            "jobs": float(sum(not request.done for request in self.requests)),
+            "jobs": float(sum(not request.is_answered for request in self.requests)),
             "slots": round(self.balancer.own_held, 1),
         }
 
@@ -174,14 +174,14 @@
             self.counters.add("answers_failed")
             message.responder.answer(Answer(AnswerStatus.FAILED))
             return
-        if self.stopping or len(self.requests) >= self.limits.most_held:
+        if self.is_shutting_down or len(self.requests) >= self.limits.most_held:
             self.counters.add("answers_refused")
             message.responder.answer(
-                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+                Answer(AnswerStatus.REJECTED, retry_after_us=self.limits.retry_when_stopping_us)
             )
             return
         self.request_count += 1
-        deadline = spec.arrived_us + max(spec.budget_us - self.limits.answer_margin_us, 1000)
+        deadline = spec.arrived_at_us + max(spec.time_budget_us - self.limits.answer_margin_us, 1000)
         request = OpenRequest(spec, self.request_count, message.responder, deadline)
         self.requests.add(request)
         self.timers.add(deadline, request)
@@ -189,22 +189,22 @@
             RequestReceived(
                 request.number,
                 spec.job_class,
-                max(deadline - self.now, 0),
+                max(deadline - self.now_us, 0),
                 spec.slots,
                 spec.memory,
-                spec.key,
+                spec.affinity_key,
                 spec.tenant,
-                spec.retried,
-                spec.hint_us,
-                spec.only,
-                spec.room_only,
-                spec.reserved,
+                spec.is_retry,
+                spec.duration_hint_us,
+                spec.allowed_servers,
+                spec.needs_free_slot,
+                spec.uses_reserved_slots,
                 keyless=not spec.repeat_key,
             )
         )
 
     def _on_request_withdrawn(self, message: RequestWithdrawn) -> None:
-        request = self.requests.waiting(message.name, message.responder)
+        request = self.requests.find_unanswered(message.name, message.responder)
         if request is not None:
             self._withdraw(request)
 
@@ -213,33 +213,33 @@
         if attempt is None:
             self._pass_on(message)
             return
-        attempt.started = True
+        attempt.has_started = True
         self._tell_module(
             ExecutionPaused(attempt.request_number, attempt.number, False)
-            if attempt.paused
+            if attempt.is_suspended
             else ExecutionStarted(attempt.request_number, attempt.number)
         )
-        attempt.paused = False
+        attempt.is_suspended = False
         request = self.requests.request_of(attempt)
-        if not request.done:
-            request.responder.started(attempt.server)
+        if not request.is_answered:
+            request.responder.on_started(attempt.server)
 
     def _on_attempt_progress(self, message: AttemptProgress) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:
             self._pass_on(message)
             return
-        attempt.started = True  # the report of the start may come later, or never
+        attempt.has_started = True  # the report of the start may come later, or never
         self._tell_module(ExecutionProgressed(attempt.request_number, attempt.number, message.share))
 
     def _on_attempt_finished(self, message: AttemptFinished) -> None:
         attempt = self.requests.attempts.get((message.name, message.server))
         if attempt is None:  # Guards against call-backs that repeat, or cross a cancel.
             self._pass_on(message)
-        elif message.unfit:
+        elif message.is_unfit:
             self._fail_unfit(attempt, message)
         else:
-            self.requests.request_of(attempt).ending = message.ending
+            self.requests.request_of(attempt).exit_details = message.exit_details
             self._end_attempt(attempt, message.outcome, message.result, message.report)
 
     def _on_relayed(self, message: CallbackRelayed) -> None:
@@ -248,16 +248,16 @@
 
     def _pass_on(self, message: Callback) -> None:
         """Pass a call-back that nothing here waits for to the node's other process, if there is one."""
-        if self.other is None or not self.other.unclaimed(message):
+        if self.peer is None or not self.peer.relay_callback(message):
             self.counters.add("attempts_stale")
 
     def _on_stopping(self, message: ShutdownRequested) -> None:
-        self.stopping = True
+        self.is_shutting_down = True
         # Guards against requests that outlast the process: what it has taken is answered before.
-        last = self.now + self.limits.stop_answers_us
+        last = self.now_us + self.limits.stop_answers_us
         for request in self.requests:
-            if not request.done and request.deadline_us > last:
-                request.deadline_us = last
+            if not request.is_answered and request.deadline_at_us > last:
+                request.deadline_at_us = last
                 self.timers.add(last, request)
 
     # How attempts and requests end.
@@ -270,29 +270,33 @@
         report: dict[str, float] | None = None,
     ) -> None:
         """End an attempt, once; the first success answers its request."""
-        if outcome in NEVER_RAN and not never_ran(outcome, attempt.started):
+        if outcome in NEVER_RAN and not never_ran(outcome, attempt.has_started):
             outcome = Outcome.RESET
         request = self.requests.close_attempt(attempt)
         request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
-        attempt.ended = True
+        attempt.has_ended = True
         self.servers.forget(attempt)
         self.counters.add(f"attempts_{outcome.name.lower()}")
-        if outcome is Outcome.OK and not request.done:
-            self._answer(request, Answer(AnswerStatus.SERVED, result, ending=request.ending))
-        elif attempt.started and not request.done and not any(a.started for a in request.open.values()):
-            request.responder.unplaced()
+        if outcome is Outcome.OK and not request.is_answered:
+            self._answer(request, Answer(AnswerStatus.SERVED, result, exit_details=request.exit_details))
+        elif (
+            attempt.has_started
+            and not request.is_answered
+            and not any(a.has_started for a in request.open_attempts.values())
+        ):
+            request.responder.on_requeued()
         self._tell_module(
             AttemptEnded(
                 attempt.request_number,
                 attempt.number,
                 outcome,
-                self.now - attempt.sent_us,
-                request.done,
+                self.now_us - attempt.sent_at_us,
+                request.is_answered,
                 report_row(report, self.fields),
                 attempt.server,
             )
         )
-        self.requests.forget_if_over(request)
+        self.requests.remove_if_finished(request)
 
     def _fail_unfit(self, attempt: ServerAttempt, message: AttemptFinished) -> None:
         """Fail a request whose job a real server cannot use."""
@@ -300,21 +304,21 @@
         # is tried no more, and its attempt ends as one that was called off, which tells nothing of health.
         request = self.requests.request_of(attempt)
         self.counters.add("requests_unfit")
-        if not request.done:
-            self._answer(request, Answer(AnswerStatus.FAILED, ending=message.ending))
+        if not request.is_answered:
+            self._answer(request, Answer(AnswerStatus.FAILED, exit_details=message.exit_details))
         self._end_attempt(attempt, Outcome.CANCELLED, report=message.report)
 
     def _withdraw(self, request: OpenRequest) -> None:
         """Take it that a request's client has left: nothing is owed any more."""
         self.counters.add("requests_withdrawn")
-        request.done = True
+        request.is_answered = True
         self._tell_module(ClientDisconnected(request.number))
-        self.requests.forget_if_over(request)
+        self.requests.remove_if_finished(request)
 
     def _answer(self, request: OpenRequest, answer: Answer) -> None:
         """Give a request its one final answer."""
-        request.done = True
-        self.counters.add(f"answers_{answer.verdict.value}")
+        request.is_answered = True
+        self.counters.add(f"answers_{answer.status.value}")
         request.responder.answer(answer)
 
     # Time.
@@ -326,22 +330,22 @@
             if self.requests.attempts.get((what.spec.name, what.server)) is what:
                 self.servers.give_up(what)
                 self._end_attempt(what, Outcome.TIMEOUT)
-        elif not what.done and what.deadline_us <= self.now:
+        elif not what.is_answered and what.deadline_at_us <= self.now_us:
             self._end_at_deadline(what)
 
     def _end_at_deadline(self, request: OpenRequest) -> None:
         """End a request's attempts; fail it where the module has not answered after that."""
-        attempts = list(request.open.values())
+        attempts = list(request.open_attempts.values())
         for attempt in attempts:
             self.servers.give_up(attempt)
             self._end_attempt(attempt, Outcome.TIMEOUT)
         if attempts:
-            self.timers.add(self.now + self.limits.recheck_us, request)
+            self.timers.add(self.now_us + self.limits.recheck_us, request)
             return
         # Guards against a request that the module holds, or has failed on, past its time.
         self._answer(request, Answer(AnswerStatus.FAILED))
         self._tell_module(ClientDisconnected(request.number))
-        self.requests.forget_if_over(request)
+        self.requests.remove_if_finished(request)
 
     # Actions.
 
@@ -349,19 +353,19 @@
         request = self.requests.by_number.get(action.id)
         if request is None:
             return
-        number, request.sent = request.sent, request.sent + 1
-        until = request.deadline_us
+        number, request.attempt_count = request.attempt_count, request.attempt_count + 1
+        until = request.deadline_at_us
         if action.timeout_us:
-            until = min(until, self.now + action.timeout_us)
-        if not request.done and request.responder.left():
+            until = min(until, self.now_us + action.timeout_us)
+        if not request.is_answered and request.responder.has_disconnected():
             # Guards against an attempt for a client that has left, while the word of it is still on its way.
             self._withdraw(request)
         sent_there = (request.spec.name, action.endpoint) in self.requests.attempts
-        if request.done or self.now >= request.deadline_us or sent_there:
+        if request.is_answered or self.now_us >= request.deadline_at_us or sent_there:
             self.counters.add("attempts_moot")
             moot = Outcome.MOOT
             self._tell_module(
-                AttemptEnded(request.number, number, moot, 0, request.done, None, action.endpoint)
+                AttemptEnded(request.number, number, moot, 0, request.is_answered, None, action.endpoint)
             )
             return
         self.counters.add("attempts_sent")
@@ -370,29 +374,29 @@
             request.number,
             number,
             action.endpoint,
-            self.now,
+            self.now_us,
             until,
             responder=request.responder,
-            allowed=self._may_begin,
+            is_permitted=self._may_begin,
         )
         self.requests.open_attempt(request, attempt)
-        if until < request.deadline_us:
+        if until < request.deadline_at_us:
             self.timers.add(until, attempt)
         self.servers.start(attempt)
-        if request.recalling:  # Guards against a copy that starts while the first attempt is called back.
+        if request.is_recalling:  # Guards against a copy that starts while the first attempt is called back.
             self.servers.recall(attempt)
-        request.responder.sent(attempt.server)
+        request.responder.on_dispatched(attempt.server)
 
     def _may_begin(self, attempt: ServerAttempt) -> bool:
         """Tell whether an attempt still keeps the rules: its dial may have lasted longer than they allow."""
         now = self.clock.now_us()
-        return now < attempt.deadline_us and self.balancer.may_begin(
+        return now < attempt.deadline_at_us and self.balancer.may_begin(
             attempt.request_number, attempt.number, now
         )
 
     def _cancel(self, action: Cancel) -> None:
         request = self.requests.by_number.get(action.id)
-        attempt = request.open.get(action.attempt) if request is not None else None
+        attempt = request.open_attempts.get(action.attempt) if request is not None else None
         if attempt is not None:
             self.servers.give_up(attempt)
             self._end_attempt(attempt, Outcome.CANCELLED)
@@ -403,29 +407,29 @@
             wait, may_have_run = action.retry_after_us, request.may_have_run
             self.counters.add(f"refused_{action.reason}")
             self._answer_open(
-                action.id, Answer(AnswerStatus.REFUSED, retry_after_us=wait, may_have_run=may_have_run)
+                action.id, Answer(AnswerStatus.REJECTED, retry_after_us=wait, may_have_run=may_have_run)
             )
 
     def _fail(self, action: Fail) -> None:
         request = self.requests.by_number.get(action.id)
         if request is not None:
-            self._answer_open(action.id, Answer(AnswerStatus.FAILED, ending=request.ending))
+            self._answer_open(action.id, Answer(AnswerStatus.FAILED, exit_details=request.exit_details))
 
     def _answer_open(self, number: int, answer: Answer) -> None:
         request = self.requests.by_number.get(number)
-        if request is not None and not request.done:
+        if request is not None and not request.is_answered:
             self._answer(request, answer)
-            self.requests.forget_if_over(request)
+            self.requests.remove_if_finished(request)
 
     def _set_timer(self, action: SetTimer) -> None:
-        self.timers.add(self.now + action.in_us, action.token)
+        self.timers.add(self.now_us + action.in_us, action.token)
 
     def _subscribe(self, action: WatchEndpoints) -> None:
-        self.directory.subscribe(action.patience_us)
+        self.discovery.subscribe(action.patience_us)
 
     def _probe(self, action: CheckHealth) -> None:
         self.counters.add("probes_sent")
-        self.servers.probe(action.endpoint)
+        self.servers.check_health(action.endpoint)
 
     def _note(self, action: LogNotice) -> None:
         self.log.event("module_note", text=action.text)
--- a/merlinbay/core/endpoint_messages.py
+++ b/merlinbay/core/endpoint_messages.py
@@ -50,8 +50,8 @@
     ) -> None:
         self.balancer, self.servers, self.counters = balancer, servers, counters
         self.tell_module, self.now = tell_module, now
-        self.watchers: list[EndpointObserver] = []
-        self.other: PeerProcess | None = None  # of this node; hears of operators' maintenance
+        self.observers: list[EndpointObserver] = []
+        self.peer: PeerProcess | None = None  # of this node; hears of operators' maintenance
         self.handlers: dict[type, Callable[[Any], None]] = {
             ServerChecked: self._on_server_probed,
             EndpointListReceived: self._on_entries_changed,
@@ -65,42 +65,48 @@
 
     def _on_server_probed(self, message: ServerChecked) -> None:
         row = report_row(message.report, self.balancer.settings.report_fields)
-        self.tell_module(HealthCheckEnded(message.server, message.outcome, message.took_us, row))
+        self.tell_module(HealthCheckEnded(message.server, message.outcome, message.took_for_us, row))
 
     def _on_entries_changed(self, message: EndpointListReceived) -> None:
         self.counters.add(f"entries_{message.scope}")
-        self.servers.entries_changed(message.scope, message.entries)
-        for watcher in self.watchers:
-            watcher.entries_changed(message.scope, message.entries)
+        self.servers.update_endpoints(message.scope, message.entries)
+        for watcher in self.observers:
+            watcher.update_endpoints(message.scope, message.entries)
         rows = [
-            EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, e.started_us)
+            EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, e.started_at_us)
             for e in message.entries
         ]
         self.tell_module(
-            EndpointsChanged(message.scope, rows, message.heard_us, message.failure, message.former)
+            EndpointsChanged(
+                message.scope,
+                rows,
+                message.last_answer_at_us,
+                message.failure,
+                message.is_from_former_discovery,
+            )
         )
 
     def _on_directory_moved(self, message: DiscoveryReloaded) -> None:
-        self.tell_module(DiscoveryChanged(message.told_us, message.moved))
+        self.tell_module(DiscoveryChanged(message.notified_after_us, message.has_moved))
 
     def _on_balancers_counted(self, message: BalancersChanged) -> None:
-        self.tell_module(BalancerCountChanged(message.count, message.me))
+        self.tell_module(BalancerCountChanged(message.count, message.own_index))
 
     def _on_slots_kept(self, message: ReservedSlotsChanged) -> None:
-        self.tell_module(SlotsReserved(message.server, message.slots, message.of))
+        self.tell_module(SlotsReserved(message.server, message.slots, message.total_slots))
 
     def _on_fleet_asked(self, message: EndpointViewsRequested) -> None:
-        message.told([EndpointView(**view) for view in self.balancer.beliefs(self.now())])
+        message.reply([EndpointView(**view) for view in self.balancer.beliefs(self.now())])
 
     def _on_maintenance_asked(self, message: MaintenanceRequested) -> None:
         known = self.balancer.knows(message.server)
         if known:
-            self.tell_module(MaintenanceChanged(message.server, message.on))
-        if message.told is None:
+            self.tell_module(MaintenanceChanged(message.server, message.is_disabled))
+        if message.reply is None:
             return
-        message.told(known)  # heard after this turn, in which the module learns it
-        if known and self.other is not None:
-            self.other.maintained(message.server, message.on)
+        message.reply(known)  # heard after this turn, in which the module learns it
+        if known and self.peer is not None:
+            self.peer.relay_maintenance(message.server, message.is_disabled)
 
     def _on_learned_asked(self, message: SnapshotRequested) -> None:
-        message.told(learned(self.balancer, self.balancer.classes))
+        message.reply(learned(self.balancer, self.balancer.classes))
--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -27,10 +27,10 @@
     def control(self, attempt: ServerAttempt, action: str) -> None:
         """Have the real server ``suspend`` or ``resume`` a job; ``AttemptControlled`` tells."""
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         """Test a real server."""
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn addresses; drop what belongs to servers that are gone or have restarted."""
 
 
@@ -47,15 +47,15 @@
 class PeerProcess(Protocol):
     """The process that this one replaces, or that replaces it. Nothing here waits."""
 
-    def unclaimed(self, message: Callback) -> bool:
+    def relay_callback(self, message: Callback) -> bool:
         """Pass a call-back on that is for no request here; tell whether there is anybody to pass it to."""
 
-    def maintained(self, server: str, on: bool) -> None:
+    def relay_maintenance(self, server: str, on: bool) -> None:
         """Pass on what operators did with a real server."""
 
 
 class EndpointObserver(Protocol):
     """Somebody beside the real servers who wants to know of them."""
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Take discovery's news. Called by the owner's task; nothing here waits."""
--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -47,7 +47,7 @@
 
     name: str
     server: str
-    done: bool
+    was_returned: bool
 
 
 class AttemptControlled(msgspec.Struct, frozen=True):
@@ -72,7 +72,7 @@
 
     name: str
     server: str
-    found: bool
+    is_queued: bool
 
 
 class AttemptStarted(msgspec.Struct, tag="SchedulingStarted", frozen=True):
@@ -98,8 +98,10 @@
     outcome: Outcome
     result: bytes = b""
     report: dict[str, float] | None = None
-    unfit: bool = False  # the real server finds the job itself at fault: no other would take it
-    ending: ExitDetails | None = None
+    is_unfit: bool = msgspec.field(
+        default=False, name="unfit"
+    )  # the real server finds the job itself at fault: no other would take it
+    exit_details: ExitDetails | None = msgspec.field(default=None, name="ending")
 
 
 class ServerChecked(msgspec.Struct, frozen=True):
@@ -107,7 +109,7 @@
 
     server: str
     outcome: Outcome
-    took_us: int
+    took_for_us: int
     report: dict[str, float] | None = None
 
 
@@ -116,43 +118,43 @@
 
     scope: str
     entries: list[ServiceEntry] = []
-    heard_us: int = -1  # of a watch that broke: when its last answer came
+    last_answer_at_us: int = -1  # of a watch that broke: when its last answer came
     failure: CallFailure = CallFailure.BROKEN  # of a call or watch that failed
-    former: bool = False  # it comes from a discovery that the configuration names no more
+    is_from_former_discovery: bool = False  # it comes from a discovery that the configuration names no more
 
 
 class DiscoveryReloaded(msgspec.Struct, frozen=True):
     """A new configuration has come; all that its discovery has counts as notified after ``told_us``."""
 
-    told_us: int
-    moved: bool = True  # it names another discovery, which is to be called
+    notified_after_us: int
+    has_moved: bool = True  # it names another discovery, which is to be called
 
 
 class BalancersChanged(msgspec.Struct, frozen=True):
     """So many balancers share the work by now, this one included, and which in their order it is."""
 
     count: int
-    me: int = 0
+    own_index: int = 0
 
 
 class EndpointViewsRequested(msgspec.Struct, frozen=True):
     """Somebody wants to know what the module believes of the real servers."""
 
-    told: Callable[[list[EndpointView]], None]
+    reply: Callable[[list[EndpointView]], None]
 
 
 class MaintenanceRequested(msgspec.Struct, frozen=True):
     """Operators take a real server out (``on``) or put it back; ``told`` hears whether the name is known."""
 
     server: str
-    on: bool
-    told: Callable[[bool], None] | None  # None: the node's other process was asked, which has answered
+    is_disabled: bool
+    reply: Callable[[bool], None] | None  # None: the node's other process was asked, which has answered
 
 
 class SnapshotRequested(msgspec.Struct, frozen=True):
     """The process that is to take this one's place asks what the module has learned."""
 
-    told: Callable[[Learned], None]
+    reply: Callable[[Learned], None]
 
 
 class CallbackRelayed(msgspec.Struct, frozen=True):
@@ -169,7 +171,7 @@
 
     server: str
     slots: float
-    of: float  # all that it has, as the operator says
+    total_slots: float  # all that it has, as the operator says
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
--- a/merlinbay/core/requests.py
+++ b/merlinbay/core/requests.py
@@ -17,24 +17,24 @@
     spec: RequestSpec
     number: int  # its id in the module
     responder: Responder
-    deadline_us: int
-    done: bool = False  # answered or withdrawn
-    sent: int = 0
+    deadline_at_us: int
+    is_answered: bool = False  # answered or withdrawn
+    attempt_count: int = 0
     may_have_run: bool = False  # an attempt of it has ended in a way that does not exclude it
-    recalling: bool = False  # the client's side wants it back, if it has not started
-    ending: ExitDetails | None = None
-    open: dict[int, ServerAttempt] = field(default_factory=dict)
+    is_recalling: bool = False  # the client's side wants it back, if it has not started
+    exit_details: ExitDetails | None = None
+    open_attempts: dict[int, ServerAttempt] = field(default_factory=dict)
 
 
 class RequestTable:
     """Open requests by number and by name, and their open attempts by name and server."""
 
     def __init__(self, remembered: int) -> None:
-        self.remembered = remembered
+        self.remembered_limit = remembered
         self.by_number: dict[int, OpenRequest] = {}
         self.by_name: dict[str, OpenRequest] = {}
         self.attempts: dict[tuple[str, str], ServerAttempt] = {}
-        self.sent_lately: dict[str, None] = {}  # names of requests that are over, oldest first
+        self.recent_names: dict[str, None] = {}  # names of requests that are over, oldest first
 
     def __len__(self) -> int:
         return len(self.by_number)
@@ -48,37 +48,41 @@
 
     def has_used(self, name: str) -> bool:
         """Tell whether a request of that name is open, or had attempts lately."""
-        return name in self.by_name or name in self.sent_lately
+        return name in self.by_name or name in self.recent_names
 
-    def waiting(self, name: str, responder: Responder) -> OpenRequest | None:
+    def find_unanswered(self, name: str, responder: Responder) -> OpenRequest | None:
         """Return the request of that name and client that still waits for its answer."""
         request = self.by_name.get(name)
-        if request is None or request.responder is not responder or request.done:
+        if request is None or request.responder is not responder or request.is_answered:
             return None
         return request
 
-    def forget_if_over(self, request: OpenRequest) -> None:
+    def remove_if_finished(self, request: OpenRequest) -> None:
         """Drop a request that is answered or withdrawn and has no attempt open."""
-        if request.done and not request.open and self.by_number.pop(request.number, None) is not None:
+        if (
+            request.is_answered
+            and not request.open_attempts
+            and self.by_number.pop(request.number, None) is not None
+        ):
             del self.by_name[request.spec.name]
-            if request.sent:
+            if request.attempt_count:
                 self._remember(request.spec.name)
 
     def _remember(self, name: str) -> None:
         """Keep the name of a request that is over, so that what repeats it is not sent as another one."""
-        self.sent_lately[name] = None
-        if len(self.sent_lately) > self.remembered:
-            del self.sent_lately[next(iter(self.sent_lately))]
+        self.recent_names[name] = None
+        if len(self.recent_names) > self.remembered_limit:
+            del self.recent_names[next(iter(self.recent_names))]
 
     def open_attempt(self, request: OpenRequest, attempt: ServerAttempt) -> None:
         """Keep an attempt of a request."""
-        request.open[attempt.number] = self.attempts[request.spec.name, attempt.server] = attempt
+        request.open_attempts[attempt.number] = self.attempts[request.spec.name, attempt.server] = attempt
 
     def close_attempt(self, attempt: ServerAttempt) -> OpenRequest:
         """Drop an attempt that has ended; return its request."""
         del self.attempts[attempt.spec.name, attempt.server]
         request = self.by_number[attempt.request_number]
-        del request.open[attempt.number]
+        del request.open_attempts[attempt.number]
         return request
 
     def request_of(self, attempt: ServerAttempt) -> OpenRequest:
@@ -87,7 +91,7 @@
 
     def all_answered(self) -> bool:
         """Tell whether no client waits for an answer."""
-        return all(request.done for request in self)
+        return all(request.is_answered for request in self)
 
 
 Timed = str | OpenRequest | ServerAttempt  # a timer of the module by its token, or what has a deadline
--- a/merlinbay/core/values.py
+++ b/merlinbay/core/values.py
@@ -15,7 +15,7 @@
     """A final answer's kind."""
 
     SERVED = "served"
-    REFUSED = "refused"  # trying again is harmless
+    REJECTED = "refused"  # trying again is harmless
     FAILED = "failed"  # nothing is promised about the effect
 
 
@@ -32,10 +32,10 @@
 class Answer(msgspec.Struct, frozen=True):
     """A request's one final answer."""
 
-    verdict: AnswerStatus
+    status: AnswerStatus
     result: bytes = b""
     retry_after_us: int = 0
-    ending: ExitDetails | None = None  # of the attempt that ended last, where its server told one
+    exit_details: ExitDetails | None = None  # of the attempt that ended last, where its server told one
     may_have_run: bool = False  # of one that is refused: trying again is harmless for a while only
 
 
@@ -44,21 +44,21 @@
 
     name: str  # the request's id, the same on both sides
     job_class: str
-    arrived_us: int  # when its last byte had come
-    budget_us: int
+    arrived_at_us: int  # when its last byte had come
+    time_budget_us: int
     target: str = "/"  # passes on unchanged
     body: bytes = b""  # passes on unchanged
     body_type: str = ""  # its media type, where the front says
     repeat_key: str = ""  # by which real servers know a repeat
-    key: str = ""
+    affinity_key: str = ""
     tenant: str = ""
     slots: float = 1.0
     memory: float = 0.0
-    hint_us: int = 0
-    retried: bool = False
-    only: tuple[str, ...] = ()  # the real servers that may run it; empty: any
-    room_only: bool = False  # not into a server's queue
-    reserved: bool = False  # the slots kept there are for it
+    duration_hint_us: int = 0
+    is_retry: bool = False
+    allowed_servers: tuple[str, ...] = ()  # the real servers that may run it; empty: any
+    needs_free_slot: bool = False  # not into a server's queue
+    uses_reserved_slots: bool = False  # the slots kept there are for it
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,13 +75,13 @@
     """One line of discovery's list."""
 
     server: str
-    addr: str
+    address: str = msgspec.field(name="addr")
     zone: str = ""
     kind: str = ""
     cell: int = 0
     state: str = "up"  # up | draining | removed
     weight: float = 1.0
-    started_us: int = 0
+    started_at_us: int = msgspec.field(default=0, name="started_us")
 
 
 class EndpointView(msgspec.Struct, frozen=True):
--- a/merlinbay/dnssd/records.py
+++ b/merlinbay/dnssd/records.py
@@ -67,13 +67,13 @@
     try:
         return ServiceEntry(
             server=txt.get("id") or instance.labels[0].decode("utf-8", "replace"),
-            addr=f"{host}:{service.port}",
+            address=f"{host}:{service.port}",
             zone=txt.get("zone", ""),
             kind=txt.get("kind", ""),
             cell=int(txt.get("cell") or 0),
             state=state if state in STATES else "draining",
             weight=float(service.weight or 1),
-            started_us=int(txt.get("started_ms") or 0) * 1000,
+            started_at_us=int(txt.get("started_ms") or 0) * 1000,
         )
     except ValueError as error:
         raise InvalidRecordError(str(error)) from None
--- a/merlinbay/drmaa/answers.py
+++ b/merlinbay/drmaa/answers.py
@@ -41,7 +41,7 @@
             response = failure(denied("the token is not valid any more"))
         if self.later:
             self.connection.context = None
-            self.connection.proven = self.connection.proven or response.status < 300
+            self.connection.has_served_request = self.connection.has_served_request or response.status < 300
             self.connection.respond(response)
         else:
             self.response = response
--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -240,7 +240,7 @@
             if only is None:
                 self.engine.refused(job, RESERVED_AGAIN_US, now_us)
                 return
-            spec = msgspec.structs.replace(spec, only=only, reserved=True)
+            spec = msgspec.structs.replace(spec, allowed_servers=only, uses_reserved_slots=True)
         responder = self.edges[job] = JobClient(self, job, spec)
         self.counters.add("drmaa_offers")
         self.post(RequestArrived(spec, responder))
@@ -289,16 +289,16 @@
         self.flush(now)
         if isinstance(response, Response):
             if response.status < 300:
-                connection.proven = True
+                connection.has_served_request = True
             return response
         if response.response is not None:
             if response.response.status < 300:
-                connection.proven = True
+                connection.has_served_request = True
             return response.response
         response.later, connection.context = True, response
         return None
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Forget the wait of a client that hung up; a job whose id it had not learned is terminated."""
         call = connection.context
         if isinstance(call, Call):
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -18,7 +18,7 @@
 
     def __init__(self, front: SharedState, job: Job, spec: RequestSpec) -> None:
         self.front, self.job, self.name = front, job, spec.name
-        self.deadline_us = spec.arrived_us + spec.budget_us
+        self.deadline_us = spec.arrived_at_us + spec.time_budget_us
 
     def _mine(self) -> bool:
         """Tell whether the job has not ended: the owner tells nothing more of a request that is over."""
@@ -34,41 +34,41 @@
             news(self.job, *args, now)
             self.front.flush(now)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell whether the job was ended by its client, be it that the owner has yet to hear of it."""
         return self.job.ended
 
-    def sent(self, server: str) -> None:
+    def on_dispatched(self, server: str) -> None:
         """Take it that a real server has been chosen."""
         self._tell(self.front.engine.placed, server)
 
-    def started(self, server: str) -> None:
+    def on_started(self, server: str) -> None:
         """Take it that a real server runs it."""
         self._tell(self.front.engine.started, server)
 
-    def suspended(self) -> None:
+    def on_suspended(self) -> None:
         """Take it that its server has suspended it."""
         self._tell(self.front.engine.suspended)
 
-    def unplaced(self) -> None:
+    def on_requeued(self) -> None:
         """Take it that no server has it any more."""
         self._tell(self.front.engine.unplaced)
 
-    def lost_sight(self) -> None:
+    def on_status_unknown(self) -> None:
         """Take it that its server cannot be asked."""
         self._tell(self.front.engine.lost_sight)
 
-    def found_queued(self) -> None:
+    def on_found_queued(self) -> None:
         """Take it that its server has not started it."""
         self._tell(self.front.engine.found_queued)
 
-    def recalled(self, done: bool) -> None:
+    def on_recall_ended(self, done: bool) -> None:
         """Take it that a hold came in time, or not."""
         if done:
             self.front.forget_edge(self.job)
         self._tell(self.front.engine.recalled, done)
 
-    def controlled(self, action: str, error: str, message: str) -> None:
+    def on_control_ended(self, action: str, error: str, message: str) -> None:
         """Take what came of suspend or resume."""
         self._tell(self.front.engine.controlled, action, DrmaaError(error, message) if error else None)
 
@@ -82,11 +82,11 @@
         self.front.forget_edge(self.job)
         if not self._mine():
             return
-        front, job, ending = self.front, self.job, answer.ending or NOTHING
+        front, job, ending = self.front, self.job, answer.exit_details or NOTHING
         now = front.clock.now_us()
-        if answer.verdict is AnswerStatus.SERVED:
+        if answer.status is AnswerStatus.SERVED:
             front.engine.finished(job, answer.result, now, ending.exit_status or 0, ending.cpu_us)
-        elif answer.verdict is AnswerStatus.REFUSED and not self._repeats_late(answer):
+        elif answer.status is AnswerStatus.REJECTED and not self._repeats_late(answer):
             front.engine.refused(job, answer.retry_after_us, now)
             front.back(job)
         else:
--- a/merlinbay/drmaa/reserving.py
+++ b/merlinbay/drmaa/reserving.py
@@ -88,7 +88,7 @@
 
     # What it is told.
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn of real servers. What is reserved at one that drains or goes is moved, or said to be lost."""
         now = self.now_us()
         if scope in ("all", "remembered"):
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -27,7 +27,7 @@
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool
-from merlinbay.http.servers import PooledServers, check_may_begin
+from merlinbay.http.servers import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -35,7 +35,7 @@
 JOBS = "/drmaa2/jobs"
 
 
-class DrmaaServers(PooledServers):
+class DrmaaServers(PooledServerTransport):
     """Sends attempts to schedulers."""
 
     def __init__(
@@ -66,7 +66,7 @@
         if self.spawn(self._send, attempt):
             self.sending.add(attempt)
         else:
-            self.not_sent(attempt)
+            self.report_not_sent(attempt)
 
     def give_up(self, attempt: ServerAttempt) -> None:
         """Terminate the job, as soon as its id is known."""
@@ -95,22 +95,22 @@
         """Pass ``suspend`` or ``resume`` on."""
         self.spawn(self._control, attempt, self.job_ids.get(attempt, ""), action)
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         """Tell at once that the probe failed: schedulers of this binding have none."""
         self.nursery.start_soon(self.post, ServerChecked(server, Outcome.ERROR, 0))
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn addresses, and ask schedulers that have restarted or gone for the jobs they had."""
-        super().entries_changed(scope, entries)
+        super().update_endpoints(scope, entries)
         now, changed = self.clock.now_us(), set()
         if scope in ("all", "remembered"):
             changed = set(self.started_us) - {entry.server for entry in entries}
         for entry in entries:
-            if self.started_us.get(entry.server, entry.started_us) != entry.started_us or (
+            if self.started_us.get(entry.server, entry.started_at_us) != entry.started_at_us or (
                 entry.state == "removed"
             ):
                 changed.add(entry.server)
-            self.started_us[entry.server] = entry.started_us
+            self.started_us[entry.server] = entry.started_at_us
         for server in changed:
             if server not in {entry.server for entry in entries if entry.state != "removed"}:
                 self.started_us.pop(server, None)
@@ -146,10 +146,10 @@
 
     async def _send(self, attempt: ServerAttempt) -> None:
         call = schema.RunJob(
-            templates.template_for(attempt.spec, attempt.deadline_us), attempt.server, self.notify
+            templates.template_for(attempt.spec, attempt.deadline_at_us), attempt.server, self.notify
         )
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_at(self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer):
+        with trio.move_on_at(self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer):
             reply = await self.exchange(
                 attempt.server,
                 "POST",
@@ -165,15 +165,15 @@
         self.recalls.discard(attempt)
         if job_id and gave_up:
             await self._terminate(attempt.server, job_id)
-        elif job_id and not attempt.ended:
+        elif job_id and not attempt.has_ended:
             self.job_ids[attempt] = job_id
             self.taken[attempt.spec.name, attempt.server] = attempt
-            self.polling.watch(attempt, attempt.deadline_us, self.clock.now_us())
+            self.polling.watch(attempt, attempt.deadline_at_us, self.clock.now_us())
             self._rouse()
             if recall:
                 await self._recall(attempt, job_id)
         elif not job_id and not gave_up:
-            await self.ended(
+            await self.report_ended(
                 attempt,
                 outcome,
                 unfit=(isinstance(reply, Reply) and outcome is Outcome.ERROR and reply.status == 400),
@@ -226,13 +226,13 @@
         elif isinstance(reply, Reply) and reply.status == 404:
             # A scheduler that has restarted and knows no job: nobody can tell whether it had run.
             self.counters.add("drmaa_found_lost")
-            await self.ended(attempt, Outcome.RESET)
+            await self.report_ended(attempt, Outcome.RESET)
         else:
             sight = self.polling.missed(attempt, now)
             if sight == "unseen":
                 await self.post(AttemptStatusUnknown(name, server, False))
             elif sight == "gone":
-                await self.ended(attempt, Outcome.RESET)
+                await self.report_ended(attempt, Outcome.RESET)
         self._rouse()
 
 
@@ -285,7 +285,7 @@
             await self.inbox.send(message)
         return Response(200)
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Nothing is owed to a scheduler that hangs up."""
 
 
@@ -306,7 +306,7 @@
         info.output if note.jobState == schema.FAILED else b"",
     )
     if note.jobState == schema.DONE:
-        return AttemptFinished(note.jobName, note.sessionName, Outcome.OK, info.output, ending=ending)
+        return AttemptFinished(note.jobName, note.sessionName, Outcome.OK, info.output, exit_details=ending)
     if note.jobState == schema.FAILED:
         outcome = (
             Outcome.FULL
@@ -317,5 +317,5 @@
         )
         # Guards against a job that fails by itself and is run again and again: it has told its exit status.
         ran = outcome is Outcome.ERROR and info.exitStatus is not None and not info.exception
-        return AttemptFinished(note.jobName, note.sessionName, outcome, unfit=ran, ending=ending)
+        return AttemptFinished(note.jobName, note.sessionName, outcome, is_unfit=ran, exit_details=ending)
     return None
--- a/merlinbay/drmaa/templates.py
+++ b/merlinbay/drmaa/templates.py
@@ -139,8 +139,8 @@
     return RequestSpec(
         name=job.id if job.offer == 1 else f"{job.id}~{job.offer}",
         job_class=what.job_class,
-        arrived_us=now_us,
-        budget_us=max(budget_us, 1000),
+        arrived_at_us=now_us,
+        time_budget_us=max(budget_us, 1000),
         target=f"/{what.job_class}",
         body=body,
         body_type=TEMPLATE_TYPE,
@@ -148,8 +148,8 @@
         tenant=what.account,
         slots=what.slots,
         memory=memory,
-        only=machines,
-        room_only=job.session.backlog is not None and job.session.backlog.room_only,
+        allowed_servers=machines,
+        needs_free_slot=job.session.backlog is not None and job.session.backlog.room_only,
     )
 
 
--- a/merlinbay/emulator/call_backs.py
+++ b/merlinbay/emulator/call_backs.py
@@ -35,7 +35,7 @@
                 connection.close()
             return False
         idle = self.idle[addr]
-        if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
+        if connection.can_be_reused and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             connection.close()
@@ -46,6 +46,6 @@
         idle = self.idle.setdefault(addr, [])
         while idle:
             kept = idle.pop()
-            if kept.usable():
+            if kept.is_available():
                 return kept
-        return await ClientConnection.dial(addr, LIMITS)
+        return await ClientConnection.connect(addr, LIMITS)
--- a/merlinbay/emulator/live.py
+++ b/merlinbay/emulator/live.py
@@ -53,7 +53,7 @@
         """Take a job, or a cancel."""
         model = self.model
         self.live.catch_up()
-        connection.proven = True
+        connection.has_served_request = True
         name = request.headers.get("x-request-id", "")
         if request.method == "DELETE":
             work = self.works.pop(request.target.rpartition("/")[2], None)
@@ -89,7 +89,7 @@
             return Response(503, b"", [(b"x-not-processed", b"1"), *headers])
         return Response(500, b"", headers) if outcome is Outcome.ERROR else None
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
     def _load(self) -> list[tuple[bytes, bytes]]:
@@ -178,7 +178,7 @@
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
         """Answer with the list, or with what has changed."""
-        connection.proven = True
+        connection.has_served_request = True
         after, wait, node = 0, 0.0, request.headers.get("host", "")
         for part in request.target.partition("?")[2].split("&"):
             name, _, value = part.partition("=")
@@ -203,7 +203,7 @@
         answer = {"version": self.version, "full": after == 0, "servers": rows}
         return Response(200, json.dumps(answer).encode())
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
@@ -244,10 +244,10 @@
             try:
                 while self.idle and connection is None:
                     kept = self.idle.pop()
-                    connection = kept if kept.usable() else None
+                    connection = kept if kept.is_available() else None
                 if connection is None:
                     self.dials += 1
-                    connection = await ClientConnection.dial(live.addresses[self.number], LIMITS)
+                    connection = await ClientConnection.connect(live.addresses[self.number], LIMITS)
                 reply = await connection.exchange("POST", f"/{live.script.job.name}", heads, b"seat")
                 verdict = {200: "served", 429: "refused", 503: "refused"}.get(reply.status, "failed")
                 retry_us = int(float(reply.headers.get("retry-after", "0")) * 1e6)
@@ -255,7 +255,7 @@
                 verdict = "lost"
         live.catch_up()
         if connection is not None:
-            if connection.reusable and verdict != "lost":
+            if connection.can_be_reused and verdict != "lost":
                 self.idle.append(connection)
             else:
                 connection.close()
--- a/merlinbay/emulator/node_process.py
+++ b/merlinbay/emulator/node_process.py
@@ -99,7 +99,7 @@
 
 async def _is_ready(addr: str) -> bool:
     try:
-        connection = await ClientConnection.dial(addr, LIMITS)
+        connection = await ClientConnection.connect(addr, LIMITS)
     except RequestNotSentError:
         return False
     try:
--- a/merlinbay/executor/server.py
+++ b/merlinbay/executor/server.py
@@ -71,10 +71,10 @@
                     raise unsupported(f"{request.method} {request.target[:100]}")
         except DrmaaError as error:
             return failure(error)
-        connection.proven = True
+        connection.has_served_request = True
         return response
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing to a node that hangs up."""
 
     def _run_job(self, body: bytes) -> Response:
@@ -175,7 +175,7 @@
 
     async def _notify(self, job: Job) -> None:
         addr, _, path = job.notify.removeprefix("http://").partition("/")
-        self.pool.entries_changed("changes", [ServiceEntry(addr, addr)])
+        self.pool.update_endpoints("changes", [ServiceEntry(addr, addr)])
         waiting, tries = self.notes[job], 0
         while waiting:
             try:
--- a/merlinbay/fleet/control.py
+++ b/merlinbay/fleet/control.py
@@ -130,5 +130,5 @@
             }
         )
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Nothing is kept for a caller."""
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -55,27 +55,27 @@
         path: Path,
         inbox: trio.MemorySendChannel[Message],
         listener: Listener,
-        attendance: ClientSteering,
+        client_steering: ClientSteering,
         limits: ResourceLimits,
         counters: Counters,
         log: Log,
         clock: Clock,
     ) -> None:
         self.clock = clock
-        self.path, self.inbox, self.listener, self.attendance = path, inbox, listener, attendance
+        self.path, self.inbox, self.listener, self.client_steering = path, inbox, listener, client_steering
         self.limits, self.counters, self.log = limits, counters, log
         self.predecessor: ControlSocket | None = None
         self.successor: ControlSocket | None = None
         self.succeeded = False  # the successor takes clients
-        attendance.told = self._away
+        client_steering.on_operator_request = self._away
 
     # Core's port.
 
-    def unclaimed(self, message: Callback) -> bool:
+    def relay_callback(self, message: Callback) -> bool:
         """Pass a call-back on that is for no request here; tell whether there is anybody to pass it to."""
         return self._post(messages.Unclaimed(message))
 
-    def maintained(self, server: str, on: bool) -> None:
+    def relay_maintenance(self, server: str, on: bool) -> None:
         """Pass a ban on."""
         self._post(messages.Banned(server, on))
 
@@ -171,7 +171,9 @@
 
         def told(learned: Learned) -> None:
             # Called in the owner's turn: bans after it are passed on behind what is told here.
-            for word in messages.told(*listing(), learned, self.attendance.away, self.clock.now_us()):
+            for word in messages.told(
+                *listing(), learned, self.client_steering.is_draining, self.clock.now_us()
+            ):
                 end.post(word)
             self.successor = end
 
@@ -203,7 +205,9 @@
         except OSError:
             return False
         self.counters.add("edge_connections_given")
-        return self.successor.post(messages.EdgeGiven(connection.proven, connection.calls_back), descriptor)
+        return self.successor.post(
+            messages.EdgeGiven(connection.has_served_request, connection.carries_callbacks), descriptor
+        )
 
     # Both.
 
@@ -226,6 +230,6 @@
             elif isinstance(word, messages.Banned):
                 await self.inbox.send(MaintenanceRequested(word.server, word.on, None))
             elif isinstance(word, messages.Away):
-                self.attendance.turn(word.away, relayed=True)
+                self.client_steering.set_draining(word.away, relayed=True)
             elif isinstance(word, messages.Serves):
                 self.succeeded = True
--- a/merlinbay/handover/wiring.py
+++ b/merlinbay/handover/wiring.py
@@ -23,7 +23,7 @@
     listen: tuple[str, int],
     inbox: trio.MemorySendChannel[Message],
     listener: Listener,
-    attendance: ClientSteering,
+    client_steering: ClientSteering,
     limits: ResourceLimits,
     counters: Counters,
     log: Log,
@@ -32,4 +32,4 @@
     """Return this process's side. Nodes that share a ``$TMPDIR`` are told apart by name and address."""
     key = zlib.crc32(f"{name} {listen[0]}:{listen[1]}".encode())
     path = Path(tempfile.gettempdir()) / f"merlinbay-{key:08x}.sock"
-    return Takeover(path, inbox, listener, attendance, limits, counters, log, clock)
+    return Takeover(path, inbox, listener, client_steering, limits, counters, log, clock)
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from merlinbay.http.sockets import readable, send_all
+from merlinbay.http.sockets import is_readable, send_all
 from merlinbay.limits import ResourceLimits
 
 # What the other side, or the way to it, is the cause of,
@@ -89,10 +89,10 @@
         self.sock, self.host, self.limits, self.body_bytes = sock, host, limits, body_bytes
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.head_bytes)
         self.idle_since = 0.0
-        self.rests_until = 0.0  # before this it is not used again
+        self.quarantined_until = 0.0  # before this it is not used again
 
     @classmethod
-    async def dial(
+    async def connect(
         cls, addr: str, limits: ResourceLimits, body_bytes: int = 0, timeout: float = 0.0
     ) -> ClientConnection:
         """Open a connection, or raise ``RequestNotSentError``.
@@ -121,14 +121,14 @@
         return cls(sock, addr, limits, body_bytes or limits.body_bytes)
 
     @property
-    def reusable(self) -> bool:
+    def can_be_reused(self) -> bool:
         """Tell whether the last exchange leaves it open."""
         # Guards against a second answer that came with the first: it would pass for that of the next request.
         return self.h11.our_state is h11.IDLE and not self.h11.trailing_data[0]
 
-    def usable(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether it can carry another request: nothing is to be read, not even its end."""
-        return self.reusable and not readable(self.sock)
+        return self.can_be_reused and not is_readable(self.sock)
 
     def close(self) -> None:
         """Close it."""
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -15,23 +15,23 @@
 
     def __init__(self, listener: Listener, limits: ResourceLimits) -> None:
         self.listener, self.limits = listener, limits
-        self.away = False  # clients are to go elsewhere
+        self.is_draining = False  # clients are to go elsewhere
         self.changed = trio.Event()
-        self.told: Callable[[bool], None] = lambda away: None  # hears what operators say
+        self.on_operator_request: Callable[[bool], None] = lambda away: None  # hears what operators say
 
-    def wanted(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Tell whether new clients are wanted."""
-        return not self.away
+        return not self.is_draining
 
-    def turn(self, away: bool, relayed: bool = False) -> None:
+    def set_draining(self, away: bool, relayed: bool = False) -> None:
         """Send clients away, or take them back. Asked twice, it stays as it is."""
         if not relayed:
-            self.told(away)
-        if away == self.away:
+            self.on_operator_request(away)
+        if away == self.is_draining:
             return
-        self.away = away
+        self.is_draining = away
         if not away:
-            self.listener.retire(False)
+            self.listener.set_closes_after_response(False)
         self.changed.set()
 
     async def run(self) -> None:
@@ -39,7 +39,7 @@
         while True:
             await self.changed.wait()
             self.changed = trio.Event()
-            if not self.away:
+            if not self.is_draining:
                 continue
             began = trio.current_time()
             with trio.CancelScope() as scope:
@@ -47,7 +47,7 @@
                     nursery.start_soon(self._until_changed, scope)
                     # Guards against clients met by a closed door: new ones come until the front has looked.
                     await trio.sleep(self.limits.away_arrivals)
-                    self.listener.retire(True)
+                    self.listener.set_closes_after_response(True)
                     # Guards against requests that cross the closing: most connections end with an answer.
                     await trio.sleep_until(began + self.limits.away_idle)
                     while True:
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -12,14 +12,14 @@
 import trio
 
 from merlinbay.http.messages import Request, Response, encode_response, header_table
-from merlinbay.http.sockets import Sock, readable, send_all
+from merlinbay.http.sockets import StreamSocket, is_readable, send_all
 from merlinbay.limits import ResourceLimits
 
-__all__ = ["Connection", "Give", "Handler", "Prepare", "Request", "Response"]
+__all__ = ["Connection", "GiveAway", "Handler", "Prepare", "Request", "Response"]
 
 HEAD_END = re.compile(rb"\n\r?\n")  # without one, what was read is no whole request
 
-Prepare = Callable[[trio.socket.SocketType], Awaitable[Sock]]
+Prepare = Callable[[trio.socket.SocketType], Awaitable[StreamSocket]]
 
 
 class Handler(Protocol):
@@ -28,11 +28,11 @@
     async def request(self, connection: Connection, request: Request) -> Response | None:
         """Answer a request, or return None and call ``connection.respond`` later."""
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Take it that the client hung up before its answer."""
 
 
-Give = Callable[["Connection"], bool]  # tells whether it took the connection
+GiveAway = Callable[["Connection"], bool]  # tells whether it took the connection
 
 
 class Connection:
@@ -48,69 +48,73 @@
         plain: socket.socket | None = None,
     ) -> None:
         self.raw, self.limits, self.handler, self.nursery = sock, limits, handler, nursery
-        self.plain = plain  # the same socket beneath trio's, to be read without a pause after the read
-        self.read_at_once = False  # the last read did not wait, so others have not run since
-        self.sock: Sock = sock
+        self.plain_socket = plain  # the same socket beneath trio's, to be read without a pause after the read
+        self.has_read_without_wait = False  # the last read did not wait, so others have not run since
+        self.sock: StreamSocket = sock
         self.prepare = prepare
         self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
-        self.wake = trio.Event()  # there is something to write
+        self.has_news = trio.Event()  # there is something to write
         self.response: Response | None = None
         self.context: object = None  # the handler's own
         self.has_writer = False  # most connections carry one call-back and need none
         self.head: h11.Request | None = None  # of the request that is being read,
         self.body = bytearray()  # and what has come of its body
-        self.waiting = False  # a request is with the handler
-        self.ended = False
-        self.ending = False  # it is to be shut, and what comes after the shutdown is not begun
+        self.has_request_in_progress = False  # a request is with the handler
+        self.has_ended = False
+        self.is_closing = False  # it is to be shut, and what comes after the shutdown is not begun
         self.received = 0  # bytes in all,
         self.arrivals: deque[tuple[int, float]] = deque()  # and how many there were when: the last reads
-        self.writing = False
-        self.attending = False  # the reader reads on behind a request that is not answered yet
-        self.head_only = False  # the request is a HEAD: its answer has no body
-        self.close_after = False  # no further request is wanted on this connection
-        self.give: Give | None = None  # takes the connection away as soon as no request is under way
-        self.reading = trio.CancelScope()
-        self.calls_back = False  # set by a front: a real server uses it, which is never sent away
+        self.is_writing = False
+        self.is_reading_ahead = False  # the reader reads on behind a request that is not answered yet
+        self.is_head_request = False  # the request is a HEAD: its answer has no body
+        self.closes_after_response = False  # no further request is wanted on this connection
+        self.give_away: GiveAway | None = None  # takes the connection away as soon as no request is under way
+        self.read_scope = trio.CancelScope()
+        self.carries_callbacks = False  # set by a front: a real server uses it, which is never sent away
         self.scope = trio.CancelScope()
         self.idle_since = trio.current_time()
-        self.proven = False  # set by a front: a job was served on it, so it is worth keeping
+        self.has_served_request = False  # set by a front: a job was served on it, so it is worth keeping
         self.has_answered = False
-        self.expires = self.idle_since + limits.read_request  # watched by the listener's sweep
+        self.expires_at = self.idle_since + limits.read_request  # watched by the listener's sweep
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no request is under way."""
-        return not self.waiting and self.h11.their_state is h11.IDLE and not self.h11.trailing_data[0]
+        return (
+            not self.has_request_in_progress
+            and self.h11.their_state is h11.IDLE
+            and not self.h11.trailing_data[0]
+        )
 
-    def hand_over(self, give: Give) -> None:
+    def hand_over(self, give: GiveAway) -> None:
         """Have the connection given away once no request is under way on it."""
         if self.prepare is None:  # what TLS knows of it cannot be given
-            self.give = give
-            if self.idle:
-                self.reading.cancel()
+            self.give_away = give
+            if self.is_idle:
+                self.read_scope.cancel()
 
-    def end(self) -> None:
+    def close_gracefully(self) -> None:
         """Have it ended in good order by its own task. Does not wait."""
-        self.ending = True
-        self.reading.cancel()
+        self.is_closing = True
+        self.read_scope.cancel()
 
-    def end_idle(self) -> bool:
+    def close_if_idle(self) -> bool:
         """End it unless a request is under way or has come; tell whether it ends."""
-        if not self.idle or readable(self.sock):
+        if not self.is_idle or is_readable(self.sock):
             return False
-        self.end()
+        self.close_gracefully()
         return True
 
     @property
-    def unfinished(self) -> bool:
+    def is_receiving_request(self) -> bool:
         """Tell whether a part of a request has come and not yet the rest."""
-        begun = self.h11.their_state in (h11.IDLE, h11.SEND_BODY) and not self.idle
-        return begun and not self.waiting and not self.ending
+        begun = self.h11.their_state in (h11.IDLE, h11.SEND_BODY) and not self.is_idle
+        return begun and not self.has_request_in_progress and not self.is_closing
 
-    def evict(self) -> bool:
+    def close_if_unused(self) -> bool:
         """Close it here and now unless a request is under way or has come; tell whether it did."""
         # Guards against a request that comes between the look and the close: no task runs in between.
-        if readable(self.sock) or not (self.idle or self.unfinished):
+        if is_readable(self.sock) or not (self.is_idle or self.is_receiving_request):
             return False
         self.raw.close()
         self.scope.cancel()
@@ -118,15 +122,15 @@
 
     def expire(self) -> None:
         """End it for having stood idle, dribbled or been stuck for too long."""
-        if self.writing or (self.prepare is not None and self.sock is self.raw):
+        if self.is_writing or (self.prepare is not None and self.sock is self.raw):
             self.scope.cancel()  # its client takes nothing, and nobody reads: there is no good order left
         else:
-            self.end()
+            self.close_gracefully()
 
     def respond(self, response: Response) -> None:
         """Have an answer written. Does not wait."""
         self.response = response
-        self.wake.set()
+        self.has_news.set()
 
     async def serve(self) -> None:
         """Serve the connection to its end. Its errors end it alone."""
@@ -137,11 +141,11 @@
                 await self._read()
             except (OSError, h11.ProtocolError, trio.ClosedResourceError):
                 pass
-        self.ended = True
-        self.wake.set()
-        if self.waiting:
-            self.waiting = False
-            self.handler.gone(self)
+        self.has_ended = True
+        self.has_news.set()
+        if self.has_request_in_progress:
+            self.has_request_in_progress = False
+            self.handler.client_disconnected(self)
 
     async def _read(self) -> None:
         """Read requests until the connection ends."""
@@ -149,7 +153,7 @@
         while goes_on:
             if not self._has_answered_last():
                 goes_on = await self._take_next()
-            elif not self.ending:
+            elif not self.is_closing:
                 # Guards against a close over the last answer, which is being written: what comes behind it
                 # is no request any more.
                 goes_on = await self._attend()
@@ -162,7 +166,7 @@
         try:
             event = self.h11.next_event()
         except h11.RemoteProtocolError as error:
-            if self.waiting:
+            if self.has_request_in_progress:
                 # Guards against a request that fails for bytes behind it: it said that it was the last.
                 return await self._attend()
             await self._last_words(error.error_status_hint if error.error_status_hint >= 400 else 400)
@@ -181,22 +185,22 @@
 
     async def _read_more(self) -> bool:
         """Read on; tell whether the connection goes on."""
-        if self.ending and not self._reads_on():
+        if self.is_closing and not self._reads_on():
             # Guards against a request that is read and gets no answer: it closes at once, and what comes from
             # now on is reset unread, by which its client knows that it was not taken.
             return False
-        if self.idle and self.give is not None and self.give(self):
+        if self.is_idle and self.give_away is not None and self.give_away(self):
             return False
         self.arrivals.clear()  # none of what was read before is the last byte of what is to come
         # Guards against bytes read and thrown away: cancelled by itself, this has read none.
-        with trio.CancelScope() as self.reading:
+        with trio.CancelScope() as self.read_scope:
             data = await self._receive()
-        if self.reading.cancelled_caught:
+        if self.read_scope.cancelled_caught:
             return True
-        if self.idle and self.has_answered:
+        if self.is_idle and self.has_answered:
             # Guards against a request that dribbles in: all of it has so long. The first one's time runs from
             # the accept. The look is after the read, which may have begun before the last answer.
-            self.expires = trio.current_time() + self.limits.read_request
+            self.expires_at = trio.current_time() + self.limits.read_request
         self.h11.receive_data(data)
         return True
 
@@ -222,10 +226,10 @@
 
     async def _receive(self) -> bytes:
         """Read some; nothing at the end."""
-        if self.plain is None or self.sock is not self.raw:
+        if self.plain_socket is None or self.sock is not self.raw:
             data = await self.sock.recv(self.limits.receive_bytes)
         else:
-            data = await self._receive_plain(self.plain)
+            data = await self._receive_plain(self.plain_socket)
         self.received += len(data)
         self.arrivals.append((self.received, trio.current_time()))
         return data
@@ -233,15 +237,15 @@
     async def _receive_plain(self, plain: socket.socket) -> bytes:
         # Guards against a connection closed as idle over a whole request: where trio's read succeeds at once,
         # it lets other tasks run before the bytes come back. Here they run before the next read instead.
-        if self.read_at_once:
-            self.read_at_once = False  # cancelled in this pause, it reads without another one
+        if self.has_read_without_wait:
+            self.has_read_without_wait = False  # cancelled in this pause, it reads without another one
             await trio.lowlevel.checkpoint()
-        self.read_at_once = True
+        self.has_read_without_wait = True
         while True:
             try:
                 return plain.recv(self.limits.receive_bytes)
             except BlockingIOError:
-                self.read_at_once = False
+                self.has_read_without_wait = False
                 await trio.lowlevel.wait_readable(plain)
 
     def _when_received(self) -> float:
@@ -257,12 +261,12 @@
 
     def _reads_on(self) -> bool:
         """Tell whether a connection that is to end has more to read first: the end comes after it."""
-        if not readable(self.sock):
+        if not is_readable(self.sock):
             return False
-        if self.idle:
+        if self.is_idle:
             # Guards against a request that crosses the end: it is answered, and the end comes after.
-            self.ending, self.close_after = False, True
-            self.expires = trio.current_time() + self.limits.read_request
+            self.is_closing, self.closes_after_response = False, True
+            self.expires_at = trio.current_time() + self.limits.read_request
         # Guards also against a request whose rest has come in time and was not read yet. Nothing is waited
         # for, and a request has a bound, so a client that dribbles or floods is cut off all the same.
         return True
@@ -271,23 +275,23 @@
         """Read on while an answer is awaited; tell whether the client is still there."""
         # Guards against a client whose going is not seen: bytes behind its request would hide it.
         ahead = len(self.h11.trailing_data[0])
-        self.attending = True
+        self.is_reading_ahead = True
         await trio.lowlevel.checkpoint()
-        while self.waiting and not self.ending:
+        while self.has_request_in_progress and not self.is_closing:
             if ahead > self.limits.ahead_bytes:
                 # Guards against what has no end: no usual client sends a second request before its answer.
-                self.handler.gone(self)
+                self.handler.client_disconnected(self)
                 await self._last_words(400)
                 return False
-            with trio.CancelScope() as self.reading:
+            with trio.CancelScope() as self.read_scope:
                 data = await self._receive()
-            if self.reading.cancelled_caught:
+            if self.read_scope.cancelled_caught:
                 continue
             if not data:
                 return False
             ahead += len(data)
             self.h11.receive_data(data)
-        self.attending = False
+        self.is_reading_ahead = False
         return True
 
     def _unwanted(self, head: h11.Request) -> int:
@@ -315,10 +319,10 @@
 
     async def _handle(self, request: Request) -> None:
         """Hand a request on; write its answer if it has come at once, else leave it to the writer."""
-        self.expires = float("inf")
-        self.waiting, self.head_only = True, request.method == "HEAD"
-        if self.ending:  # it was whole in time; the end comes after its answer
-            self.ending, self.close_after = False, True
+        self.expires_at = float("inf")
+        self.has_request_in_progress, self.is_head_request = True, request.method == "HEAD"
+        if self.is_closing:  # it was whole in time; the end comes after its answer
+            self.is_closing, self.closes_after_response = False, True
         try:
             response = await self.handler.request(self, request)
         except Exception:
@@ -333,9 +337,12 @@
 
     async def _last_words(self, status: int) -> None:
         """Answer what can't be served, then let the connection end."""
-        self.waiting, self.ending = False, True  # nobody evicts it before these words are written
+        self.has_request_in_progress, self.is_closing = (
+            False,
+            True,
+        )  # nobody evicts it before these words are written
         if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            self.expires = trio.current_time() + self.limits.write_answer
+            self.expires_at = trio.current_time() + self.limits.write_answer
             await self._send(Response(status), close=True)
             await self._part()
 
@@ -344,7 +351,7 @@
         # Guards against a reset that overtakes the last answer, as a close over unread bytes would send one:
         # what still comes is read and not begun, for a moment, and not much of it, since a client that sends
         # at full speed would take the CPU from the others.
-        self.ending, self.expires = True, float("inf")
+        self.is_closing, self.expires_at = True, float("inf")
         self.sock.shutdown(trio.socket.SHUT_WR)
         left = self.limits.linger_bytes
         with trio.move_on_after(self.limits.linger):
@@ -354,12 +361,12 @@
     async def _write(self) -> None:
         """Write the answers that come later, until the connection ends."""
         while True:
-            await self.wake.wait()
-            self.wake = trio.Event()
+            await self.has_news.wait()
+            self.has_news = trio.Event()
             response, self.response = self.response, None
-            if self.ended:
+            if self.has_ended:
                 return
-            if response is not None and self.waiting:
+            if response is not None and self.has_request_in_progress:
                 try:
                     await self._answer(response)
                 except (OSError, h11.ProtocolError, trio.ClosedResourceError):
@@ -368,32 +375,32 @@
 
     async def _answer(self, response: Response) -> None:
         """Write an answer, and make ready for the next request or end the connection."""
-        self.expires = trio.current_time() + self.limits.write_answer
+        self.expires_at = trio.current_time() + self.limits.write_answer
         # Guards against clients that ask for what there is not, and stay: each would hold a descriptor.
-        close = (self.close_after and not self.calls_back) or 400 <= response.status < 500
+        close = (self.closes_after_response and not self.carries_callbacks) or 400 <= response.status < 500
         # Guards against a request that is read behind this one and gets no answer: the end comes after it.
         await self._send(response, close and not HEAD_END.search(self.h11.trailing_data[0]))
-        self.waiting, self.has_answered = False, True
+        self.has_request_in_progress, self.has_answered = False, True
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
             self.idle_since = trio.current_time()
             # Guards against clients that ask for little and stay: each would hold a descriptor.
-            self.expires = self.idle_since + (
-                self.limits.edge_idle if self.proven else self.limits.read_request
+            self.expires_at = self.idle_since + (
+                self.limits.edge_idle if self.has_served_request else self.limits.read_request
             )
-            if self.attending or self.give is not None:
-                self.reading.cancel()
+            if self.is_reading_ahead or self.give_away is not None:
+                self.read_scope.cancel()
         else:
-            self.end()
+            self.close_gracefully()
 
     async def _send(self, response: Response, close: bool) -> None:
-        await self._write_out(encode_response(self.h11, response, close, self.head_only))
+        await self._write_out(encode_response(self.h11, response, close, self.is_head_request))
 
     async def _write_out(self, data: bytes) -> None:
-        self.writing = True
+        self.is_writing = True
         await send_all(self.sock, data, self._count_write_progress)
-        self.writing = False
+        self.is_writing = False
 
     def _count_write_progress(self) -> None:
         """Restart the write timeout, which bounds how long a client may take no bytes at all."""
-        self.expires = trio.current_time() + self.limits.write_answer
+        self.expires_at = trio.current_time() + self.limits.write_answer
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -20,7 +20,7 @@
 )
 from merlinbay.limits import ResourceLimits
 
-LastLook = Callable[[], Headers]
+PreSendCheck = Callable[[], Headers]
 """Called right before the first byte.
 
 Returns the headers that tell of that moment; raises ``AttemptWithheldError``.
@@ -28,12 +28,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class RealServer:
+class PooledServer:
     """A real server as the pool knows it."""
 
-    addr: str
-    started_us: int = 0
-    idle: list[ClientConnection] = field(default_factory=list)  # oldest first
+    address: str
+    started_at_us: int = 0
+    idle_connections: list[ClientConnection] = field(default_factory=list)  # oldest first
 
 
 class ConnectionPool:
@@ -46,11 +46,11 @@
         serves: Callable[[str], bool] = lambda name: True,
     ) -> None:
         self.limits, self.counters = limits, counters
-        self.serves = serves  # whether a real server is up by the newest list, heard but not yet taken in
-        self.servers: dict[str, RealServer] = {}
-        self.connections = 0
+        self.is_serving = serves  # whether a real server is up by the newest list, heard but not yet taken in
+        self.servers: dict[str, PooledServer] = {}
+        self.open_connections = 0
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn addresses. Connections to an earlier process of a server are of no use."""
         if scope in ("all", "remembered"):
             named = {entry.server for entry in entries}
@@ -59,12 +59,14 @@
         for entry in entries:
             known = self.servers.get(entry.server)
             if known is not None and (
-                entry.state == "removed" or known.addr != entry.addr or known.started_us != entry.started_us
+                entry.state == "removed"
+                or known.address != entry.address
+                or known.started_at_us != entry.started_at_us
             ):
                 self._drop_idle(self.servers.pop(entry.server))
                 known = None
             if known is None and entry.state != "removed":
-                self.servers[entry.server] = RealServer(entry.addr, entry.started_us)
+                self.servers[entry.server] = PooledServer(entry.address, entry.started_at_us)
 
     async def exchange(
         self,
@@ -73,7 +75,7 @@
         target: str,
         headers: Headers,
         body: bytes = b"",
-        last_look: LastLook | None = None,
+        last_look: PreSendCheck | None = None,
         keeps_after: Callable[[Reply], bool] = lambda reply: True,
         rested: bool = True,
     ) -> Reply:
@@ -93,7 +95,7 @@
                 headers = headers + self._look(name, server, last_look)
             except AttemptWithheldError:
                 self.counters.add("sends_withheld")
-                self._keep(name, server, connection, connection.rests_until)
+                self._keep(name, server, connection, connection.quarantined_until)
                 raise
         try:
             reply = await connection.exchange(method, target, headers, body)
@@ -114,35 +116,37 @@
             await trio.sleep(self.limits.pool_idle / 8)
             before = trio.current_time() - self.limits.pool_idle
             for server in self.servers.values():
-                while server.idle and server.idle[0].idle_since < before:
-                    self._close(server.idle.pop(0))
+                while server.idle_connections and server.idle_connections[0].idle_since < before:
+                    self._close(server.idle_connections.pop(0))
 
-    def _look(self, name: str, server: RealServer, last_look: LastLook) -> Headers:
+    def _look(self, name: str, server: PooledServer, last_look: PreSendCheck) -> Headers:
         """Look at the server, then at the request. Raises ``AttemptWithheldError``."""
         # Guards against a drain told between placing and the first byte: a dial, or a long turn, lay between.
-        if not self.serves(name) or self.servers.get(name) is not server:
+        if not self.is_serving(name) or self.servers.get(name) is not server:
             raise AttemptWithheldError("its server has left since it was chosen")
         return last_look()
 
-    async def _connection(self, server: RealServer, rested: bool) -> ClientConnection:
+    async def _connection(self, server: PooledServer, rested: bool) -> ClientConnection:
         """Return the connection that was used last, and has ``rested`` if it must have, or a new one."""
         now = trio.current_time()
-        for connection in [kept for kept in reversed(server.idle) if not rested or kept.rests_until <= now]:
-            server.idle.remove(connection)
+        for connection in [
+            kept for kept in reversed(server.idle_connections) if not rested or kept.quarantined_until <= now
+        ]:
+            server.idle_connections.remove(connection)
             fresh = now - connection.idle_since < self.limits.pool_idle
-            if fresh and connection.usable():
+            if fresh and connection.is_available():
                 return connection
             # Guards against a write that crosses the server's keep-alive: it would end as a reset.
             self._close(connection)
-        if self.connections >= self.limits.server_connections:
+        if self.open_connections >= self.limits.server_connections:
             self._make_room()
-        if self.connections >= self.limits.server_connections:
+        if self.open_connections >= self.limits.server_connections:
             raise LocalResourceError("no descriptor left for real servers")
-        self.connections += 1
+        self.open_connections += 1
         try:
-            connection = await ClientConnection.dial(server.addr, self.limits)
+            connection = await ClientConnection.connect(server.address, self.limits)
         except BaseException as error:
-            self.connections -= 1
+            self.open_connections -= 1
             if isinstance(error, LocalResourceError):
                 self.counters.add("dials_short")
             elif isinstance(error, RequestNotSentError):
@@ -153,23 +157,27 @@
         self.counters.add("server_connections")
         return connection
 
-    def _keep(self, name: str, server: RealServer, connection: ClientConnection, rests_until: float) -> None:
-        connection.idle_since, connection.rests_until = trio.current_time(), rests_until
-        if connection.reusable and self.servers.get(name) is server:
-            server.idle.append(connection)
+    def _keep(
+        self, name: str, server: PooledServer, connection: ClientConnection, rests_until: float
+    ) -> None:
+        connection.idle_since, connection.quarantined_until = trio.current_time(), rests_until
+        if connection.can_be_reused and self.servers.get(name) is server:
+            server.idle_connections.append(connection)
         else:
             self._close(connection)
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        self.connections -= 1
+        self.open_connections -= 1
 
     def _make_room(self) -> None:
         """Close the connection that has stood idle the longest, of all real servers."""
-        waiting = [server for server in self.servers.values() if server.idle]
+        waiting = [server for server in self.servers.values() if server.idle_connections]
         if waiting:
-            self._close(min(waiting, key=lambda server: server.idle[0].idle_since).idle.pop(0))
+            self._close(
+                min(waiting, key=lambda server: server.idle_connections[0].idle_since).idle_connections.pop(0)
+            )
 
-    def _drop_idle(self, server: RealServer) -> None:
-        while server.idle:
-            self._close(server.idle.pop())
+    def _drop_idle(self, server: PooledServer) -> None:
+        while server.idle_connections:
+            self._close(server.idle_connections.pop())
--- a/merlinbay/http/routes.py
+++ b/merlinbay/http/routes.py
@@ -20,7 +20,7 @@
                 return await handler.request(connection, request)
         return Response(404)
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Tell all; the one whose request it was knows it by the connection's context."""
         for _, handler in self.handlers:
-            handler.gone(connection)
+            handler.client_disconnected(connection)
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -8,8 +8,8 @@
 import trio
 
 from merlinbay.counters import Counters
-from merlinbay.http.connection import Connection, Give, Handler, Prepare
-from merlinbay.http.sockets import with_plain_socket
+from merlinbay.http.connection import Connection, GiveAway, Handler, Prepare
+from merlinbay.http.sockets import split_plain_socket
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -17,7 +17,7 @@
 GONE_BEFORE_ACCEPT = (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH)
 
 
-async def bound(host: str, port: int, backlog: int) -> trio.socket.SocketType:
+async def bind_socket(host: str, port: int, backlog: int) -> trio.socket.SocketType:
     """Return a socket that listens at an address."""
     sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
@@ -34,10 +34,10 @@
         self.handler, self.limits, self.counters, self.log = handler, limits, counters, log
         self.connections: set[Connection] = set()
         self.prepare: Prepare | None = None  # what makes TLS of what is accepted
-        self.leaving = False  # no new connection is to be expected, but the kept ones serve on
-        self.closing = False
-        self.give: Give | None = None  # takes connections over; no new ones are accepted then
-        self.accepting = trio.CancelScope()
+        self.is_draining = False  # no new connection is to be expected, but the kept ones serve on
+        self.closes_after_response = False
+        self.give_away: GiveAway | None = None  # takes connections over; no new ones are accepted then
+        self.accept_scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None  # of the connections, while it serves
 
     async def bind(self, host: str, port: int) -> trio.socket.SocketType:
@@ -48,7 +48,7 @@
             if not kept.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 kept.listen(self.limits.backlog)
             return trio.socket.from_stdlib_socket(kept)
-        return await bound(host, port, self.limits.backlog)
+        return await bind_socket(host, port, self.limits.backlog)
 
     async def serve(
         self, sock: trio.socket.SocketType, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -58,7 +58,7 @@
             nursery.start_soon(self._sweep)
             self.nursery = nursery
             task_status.started()
-            while self.give is None:
+            while self.give_away is None:
                 if len(self.connections) >= self.limits.edge_connections and not self._make_room():
                     # Guards against losing a request: one that is accepted and closed may have been written.
                     self.counters.add("accepts_put_off")
@@ -66,7 +66,7 @@
                     continue
                 accepted = None
                 try:
-                    with trio.CancelScope() as self.accepting:
+                    with trio.CancelScope() as self.accept_scope:
                         accepted, _ = await sock.accept()
                 except OSError as error:
                     # Guards against running out of descriptors: the listener must outlive it.
@@ -94,19 +94,19 @@
             self.counters.add("accepts_failed")
             sock.close()
             return
-        sock, plain = with_plain_socket(sock)
+        sock, plain = split_plain_socket(sock)
         connection = Connection(sock, self.limits, self.handler, self.nursery, self.prepare, plain)
-        connection.close_after, connection.give = self.closing, self.give
-        connection.proven, connection.calls_back = proven, calls_back
+        connection.closes_after_response, connection.give_away = self.closes_after_response, self.give_away
+        connection.has_served_request, connection.carries_callbacks = proven, calls_back
         if proven:
-            connection.expires = connection.idle_since + self.limits.edge_idle
+            connection.expires_at = connection.idle_since + self.limits.edge_idle
         self.connections.add(connection)
         self.nursery.start_soon(self._serve, connection)
 
-    def hand_over(self, give: Give) -> None:
+    def hand_over(self, give: GiveAway) -> None:
         """Accept no more, and have each connection given away once no request is under way on it."""
-        self.give = give
-        self.accepting.cancel()
+        self.give_away = give
+        self.accept_scope.cancel()
         for connection in list(self.connections):
             connection.hand_over(give)
 
@@ -125,21 +125,23 @@
             await trio.sleep(self.limits.sweep)
             now = trio.current_time()
             for connection in list(self.connections):
-                if connection.expires < now:
+                if connection.expires_at < now:
                     self.counters.add("edge_connections_expired")
                     connection.expire()
 
     def _make_room(self) -> bool:
         """Close connections that have stood idle the longest; tell whether there were any."""
-        idle = [connection for connection in self.connections if connection.idle]
-        fresh = [connection for connection in idle if not connection.proven]
+        idle = [connection for connection in self.connections if connection.is_idle]
+        fresh = [connection for connection in idle if not connection.has_served_request]
         # Guards against silent clients that crowd out usual ones: those never served go first, several at
         # a time since the look at all of them costs, and where they hold a third of all, a kept connection
         # stays and what comes next waits for one of them.
         before = trio.current_time() - self.limits.evict_after
         ripe = [connection for connection in fresh if connection.idle_since < before]
         most = self.limits.evict_at_once
-        slow = [] if ripe else [connection for connection in self.connections if connection.unfinished]
+        slow = (
+            [] if ripe else [connection for connection in self.connections if connection.is_receiving_request]
+        )
         if len(slow) > self.limits.edge_connections * 3 // 4:
             # Guards against clients that send a part and stay: call-backs and usual clients, whose requests
             # come whole, find a quarter of the places. Who writes slowly keeps his while there are few.
@@ -148,38 +150,38 @@
             ripe, most = [connection for connection in idle if connection.idle_since < before], 1
         closed = 0
         for connection in sorted(ripe, key=lambda connection: connection.idle_since):
-            if closed < most and connection.evict():
+            if closed < most and connection.close_if_unused():
                 self.connections.discard(connection)
                 closed += 1
         return closed > 0
 
-    async def finish(self, seconds: float) -> None:
+    async def close_all(self, seconds: float) -> None:
         """End every connection in good order, within so many seconds: the process ends after this."""
         with trio.move_on_after(seconds):
             while self.connections:
                 self.close_idle(calls_back=True)
                 await trio.sleep(self.limits.hand_look)
 
-    def scarce(self) -> bool:
+    def is_short_of_idle_connections(self) -> bool:
         """Tell whether clients are about to run out of connections that they kept and cannot replace."""
-        if not self.leaving:
+        if not self.is_draining:
             return False
-        free = sum(connection.proven and connection.idle for connection in self.connections)
+        free = sum(connection.has_served_request and connection.is_idle for connection in self.connections)
         return free < self.limits.spare_connections
 
-    def retire(self, closing: bool) -> None:
+    def set_closes_after_response(self, closing: bool) -> None:
         """Have connections close after their next answer, those to come included, or no longer."""
-        self.closing = closing
+        self.closes_after_response = closing
         for connection in self.connections:
-            connection.close_after = closing
+            connection.closes_after_response = closing
 
     def close_idle(self, quiet: float = 0.0, calls_back: bool = False) -> None:
         """Close connections idle for so many seconds, the others after their answer. Goes on accepting.
 
         Those of real servers stay unless ``calls_back`` is set: what ends a job still has to come in on them.
         """
-        self.retire(True)
+        self.set_closes_after_response(True)
         before = trio.current_time() - quiet
         for connection in self.connections:
-            if connection.idle_since <= before and (calls_back or not connection.calls_back):
-                connection.end_idle()
+            if connection.idle_since <= before and (calls_back or not connection.carries_callbacks):
+                connection.close_if_idle()
--- a/merlinbay/http/servers.py
+++ b/merlinbay/http/servers.py
@@ -21,7 +21,7 @@
     RequestNotSentError,
     UnreadableResponseError,
 )
-from merlinbay.http.pool import ConnectionPool, LastLook
+from merlinbay.http.pool import ConnectionPool, PreSendCheck
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -38,7 +38,7 @@
     return []
 
 
-class PooledServers:
+class PooledServerTransport:
     """Tasks of one nursery, so many at the most, that have exchanges and post what came of them."""
 
     def __init__(
@@ -53,24 +53,24 @@
     ) -> None:
         self.nursery, self.pool, self.inbox = nursery, pool, inbox
         self.clock, self.limits, self.counters = clock, limits, counters
-        self.log, self.tasks = log, 0
+        self.log, self.task_count = log, 0
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Learn addresses."""
-        self.pool.entries_changed(scope, entries)
+        self.pool.update_endpoints(scope, entries)
 
     def spawn(self, task: Callable[..., Awaitable[None]], *args: object) -> bool:
         """Start a task, unless there are too many."""
-        if self.tasks >= self.limits.server_tasks:
+        if self.task_count >= self.limits.server_tasks:
             self.counters.add("server_tasks_missing")
             return False
-        self.tasks += 1
+        self.task_count += 1
         self.nursery.start_soon(self._counted, task, args)
         return True
 
-    def not_sent(self, attempt: ServerAttempt) -> None:
+    def report_not_sent(self, attempt: ServerAttempt) -> None:
         """Tell that an attempt never went out. The owner's own task must not wait for its inbox."""
-        self.nursery.start_soon(self.ended, attempt, Outcome.CONNECT_FAILED)
+        self.nursery.start_soon(self.report_ended, attempt, Outcome.CONNECT_FAILED)
 
     async def exchange(
         self,
@@ -79,7 +79,7 @@
         target: str,
         headers: Headers,
         body: bytes = b"",
-        last_look: LastLook | None = None,
+        last_look: PreSendCheck | None = None,
         keeps_after: Callable[[Reply], bool] = lambda reply: True,
         rested: bool = True,
     ) -> Reply | Outcome:
@@ -98,7 +98,7 @@
         except ConnectionBrokenError:
             return Outcome.RESET
 
-    async def ended(
+    async def report_ended(
         self,
         attempt: ServerAttempt,
         outcome: Outcome,
@@ -122,4 +122,4 @@
             self.counters.add("server_tasks_faulty")
             self.log.event("exchange_failed", level="error", error=repr(error))
         finally:
-            self.tasks -= 1
+            self.task_count -= 1
--- a/merlinbay/http/sockets.py
+++ b/merlinbay/http/sockets.py
@@ -10,7 +10,7 @@
 import trio
 
 
-class Sock(Protocol):
+class StreamSocket(Protocol):
     """What a connection needs of a socket."""
 
     def recv(self, most: int, /) -> Awaitable[bytes]:
@@ -26,7 +26,7 @@
         """Return the descriptor."""
 
 
-async def send_all(sock: Sock, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
+async def send_all(sock: StreamSocket, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
     """Write all of it, and call ``on_progress`` after each part that leaves more to write."""
     sent = await sock.send(data)
     if sent == len(data):
@@ -38,7 +38,7 @@
         sent += await sock.send(rest[sent:])
 
 
-def readable(sock: Sock) -> bool:
+def is_readable(sock: StreamSocket) -> bool:
     """Tell whether there is something to read, be it the end."""
     # Guards against closing on a request that is written but not yet read: it would be lost.
     if sock.fileno() < 0:
@@ -48,7 +48,7 @@
     return bool(poll.poll(0))
 
 
-def hung_up(sock: Sock) -> bool:
+def has_hung_up(sock: StreamSocket) -> bool:
     """Tell whether the other side sends no more, whatever of it is still unread."""
     if sock.fileno() < 0:
         return True
@@ -66,7 +66,7 @@
 TRIO_SOCKET = _trio_socket_type()
 
 
-def with_plain_socket(
+def split_plain_socket(
     sock: trio.socket.SocketType,
 ) -> tuple[trio.socket.SocketType, socket.socket | None]:
     """Return trio's socket and the plain one beneath it; None beneath sockets that are not trio's own."""
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -23,7 +23,7 @@
 from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
-from merlinbay.http.server import Listener, bound
+from merlinbay.http.server import Listener, bind_socket
 from merlinbay.log import Log
 from merlinbay.platform import messages
 from merlinbay.platform.admin_listener import AdminListener
@@ -91,18 +91,20 @@
             sides.fleet = wire_fleet(operator.fleet, config.facts(), send, counters, log)
     listener = Listener(handler, limits, counters, log)
     if config.settings.balancers == 1:  # else clients find another node by a new connection
-        responder.scarce = listener.scarce
-    attendance = ClientSteering(listener, limits)
-    responder.wanted = attendance.wanted
-    admin = AdminListener(send, attendance, limits, counters, log)
+        responder.scarce = listener.is_short_of_idle_connections
+    client_steering = ClientSteering(listener, limits)
+    responder.wanted = client_steering.accepts_clients
+    admin = AdminListener(send, client_steering, limits, counters, log)
     sock = await listening(listener.bind(*config.listen), config.listen)
-    admin_sock = await listening(bound(*config.admin, limits.backlog), config.admin) if config.admin else None
+    admin_sock = (
+        await listening(bind_socket(*config.admin, limits.backlog), config.admin) if config.admin else None
+    )
     inherited = None
     if limits.accept_fd >= 0 and operator is None:  # what fronts hold is not handed over
         from merlinbay.handover.wiring import wire as wire_handover
 
         sides.takeover = wire_handover(
-            config.name, config.listen, send, listener, attendance, limits, counters, log, clock
+            config.name, config.listen, send, listener, client_steering, limits, counters, log, clock
         )
         inherited = await sides.takeover.inherit()
         if inherited is not None and inherited.clock_us:
@@ -139,19 +141,19 @@
                 nursery, pool, send, clock, limits, counters, log, bool(config.settings.report_fields)
             )
         balancer = Balancer(config.settings, config.seed, clock.now_us())
-        owner = Dispatcher(balancer, clock, limits, counters, log, servers, discovery)
+        dispatcher = Dispatcher(balancer, clock, limits, counters, log, servers, discovery)
         if drmaa is not None and drmaa.front is not None and drmaa.front.reserving is not None:
-            owner.watch_entries(drmaa.front.reserving)
+            dispatcher.add_endpoint_observer(drmaa.front.reserving)
         nursery.start_soon(pool.sweep)
         nursery.start_soon(discovery.run)
-        owner.know_other_process(sides.takeover)
+        dispatcher.set_peer_process(sides.takeover)
         if sides.fleet is not None:
-            sides.fleet.gauges = owner.gauges
+            sides.fleet.gauges = dispatcher.gauges
         if inherited is not None:
             if isinstance(discovery, Discovery):
                 discovery.confirm_after(limits.inherit_told_us)
-            attendance.turn(inherited.away, relayed=True)
-            owner.turn(
+            client_steering.set_draining(inherited.away, relayed=True)
+            dispatcher.run_batch(
                 [
                     EndpointListReceived("remembered", inherited.entries),
                     DiscoveryReloaded(limits.inherit_told_us),
@@ -159,7 +161,7 @@
             )
             adopt(balancer, balancer.classes, inherited.learned)
         else:
-            owner.turn([EndpointListReceived("remembered", messages.entries(config.known))])
+            dispatcher.run_batch([EndpointListReceived("remembered", messages.entries(config.known))])
         if isinstance(discovery, Discovery) and discovery.pushed:
             # Guards against a send by the old list: what the agent has counts as told from the first moment.
             with trio.move_on_after(limits.push_start):
@@ -168,7 +170,7 @@
         if sides.takeover is not None and isinstance(discovery, Discovery):
             nursery.start_soon(sides.takeover.follow)
             await nursery.start(sides.takeover.await_successors, discovery.listing)
-        nursery.start_soon(attendance.run)
+        nursery.start_soon(client_steering.run)
         if admin_sock is not None:
             nursery.start_soon(admin.serve, admin_sock)
         if drmaa is not None:
@@ -182,9 +184,9 @@
         nursery.start_soon(signals, config, listener, discovery, send, nursery, counters, log, sides)
         admin.serving = True
         log.event("serves", at=f"{config.listen[0]}:{config.listen[1]}", node=config.name)
-        await owner.run(receive)
+        await dispatcher.run(receive)
         responder.end()
-        await listener.finish(limits.stop_part)
+        await listener.close_all(limits.stop_part)
         nursery.cancel_scope.cancel()
 
 
@@ -276,7 +278,7 @@
         await inbox.send(ShutdownRequested())
         return
     await trio.sleep(limits.stop_arrivals)
-    listener.leaving = True
+    listener.is_draining = True
     if config.settings.balancers > 1:
         # Guards against refusing clients that another node could serve: their connections end unrefused,
         # and they open new ones, which lead there.
--- a/merlinbay/notify/sender.py
+++ b/merlinbay/notify/sender.py
@@ -10,7 +10,7 @@
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
 from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, RequestNotSentError
-from merlinbay.http.pool import ConnectionPool, LastLook, RealServer
+from merlinbay.http.pool import ConnectionPool, PooledServer, PreSendCheck
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify import signing
@@ -29,17 +29,17 @@
         target: str,
         headers: Headers,
         body: bytes = b"",
-        last_look: LastLook | None = None,
+        last_look: PreSendCheck | None = None,
         keeps_after: Callable[[Reply], bool] = lambda reply: True,
         rested: bool = True,
     ) -> Reply:
         """Have one exchange with the address ``name``."""
         if name not in self.servers:
-            for addr in [addr for addr, server in self.servers.items() if not server.idle][:8]:
+            for addr in [addr for addr, server in self.servers.items() if not server.idle_connections][:8]:
                 del self.servers[addr]
             if len(self.servers) >= KEPT_MOST:
                 self._drop_idle(self.servers.pop(next(iter(self.servers))))
-            self.servers[name] = RealServer(name)
+            self.servers[name] = PooledServer(name)
         return await super().exchange(name, method, target, headers, body, last_look, keeps_after, rested)
 
 
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -22,12 +22,12 @@
     def __init__(
         self,
         inbox: trio.MemorySendChannel[Message],
-        attendance: ClientSteering,
+        client_steering: ClientSteering,
         limits: ResourceLimits,
         counters: Counters,
         log: Log,
     ) -> None:
-        self.inbox, self.attendance, self.limits = inbox, attendance, limits
+        self.inbox, self.client_steering, self.limits = inbox, client_steering, limits
         self.counters, self.log = counters, log
         self.serving = False  # set once clients are taken
         self.waiting: dict[trio.CancelScope, None] = {}  # connections without a whole line yet, oldest first
@@ -100,11 +100,11 @@
         return "" if self.serving else "not yet"
 
     async def _standby(self, _: str) -> str:
-        self.attendance.turn(True)
+        self.client_steering.set_draining(True)
         return ""
 
     async def _active(self, _: str) -> str:
-        self.attendance.turn(False)
+        self.client_steering.set_draining(False)
         return ""
 
     async def _maint_on(self, server: str) -> str:
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -21,7 +21,7 @@
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.sockets import hung_up
+from merlinbay.http.sockets import has_hung_up
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages
@@ -54,18 +54,18 @@
         self.entering.cancel()
         self.unanswered.discard(self)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell whether the client has left, as its connection looks now."""
-        return self.withdrawn or hung_up(self.connection.sock)
+        return self.withdrawn or has_hung_up(self.connection.sock)
 
     def answer(self, answer: Answer) -> None:
         """Write the request's answer to its edge connection."""
         self.connection.context = None
         self.unanswered.discard(self)
-        if answer.verdict is AnswerStatus.SERVED:
-            self.connection.proven = True
+        if answer.status is AnswerStatus.SERVED:
+            self.connection.has_served_request = True
             self.connection.respond(Response(200, answer.result))
-        elif answer.verdict is AnswerStatus.REFUSED:
+        elif answer.status is AnswerStatus.REJECTED:
             self.connection.respond(refusal(answer.retry_after_us))
         else:
             self.connection.respond(Response(500, b"failed\n"))
@@ -99,7 +99,7 @@
         # has taken is answered, so nobody has begun these.
         for client_request in list(self.unanswered):
             client_request.answer(
-                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.retry_when_stopping_us)
+                Answer(AnswerStatus.REJECTED, retry_after_us=self.limits.retry_when_stopping_us)
             )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
@@ -109,7 +109,7 @@
             # Guards against what crosses the exit: it is answered, and not begun.
             return TAKEN if path == "/v1/job-events" else refusal(self.limits.retry_when_stopping_us)
         if path == "/v1/job-events":
-            connection.calls_back = True
+            connection.carries_callbacks = True
             return await self._call_back(request)
         if path == "/-/ready":
             if request.method not in ("GET", "HEAD"):
@@ -128,7 +128,7 @@
         if spec.job_class in self.keyed and not spec.repeat_key:
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
-        if connection.proven and self.scarce():
+        if connection.has_served_request and self.scarce():
             # Guards against the last kept connection being busy: a client that finds none, and gets no new
             # one from a node that leaves, gives the node up though it still serves.
             self.counters.add("jobs_spared")
@@ -152,7 +152,7 @@
         # Guards against a deadline that is too long by the time that a request was read ahead of its turn.
         return self.clock.now_us() if request.received is None else self.clock.from_trio(request.received)
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Withdraw the request of a client that hung up."""
         client_request = connection.context
         if isinstance(client_request, ClientRequest):
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -225,7 +225,7 @@
                     wait = self._wait()
                     wait_ms, most = int(wait * 1000), wait + self.limits.watch_slack
                     spoilt = False
-                if not connection.reusable:
+                if not connection.can_be_reused:
                     connection.close()
                     connection = await self._dial()
         finally:
@@ -239,7 +239,7 @@
 
     async def _dial(self) -> ClientConnection:
         limits = self.limits
-        return await ClientConnection.dial(self.addr, limits, limits.listing_bytes, limits.watch_dial)
+        return await ClientConnection.connect(self.addr, limits, limits.listing_bytes, limits.watch_dial)
 
     async def _hear(self, listing: messages.Listing) -> None:
         """Take an answer, and tell what it says."""
@@ -256,5 +256,5 @@
             self.report_next = False
             self.confirm_at = [at for at in self.confirm_at if at > now]
             scope = "all" if listing.full else "changes"
-            await self.inbox.send(EndpointListReceived(scope, entries, former=self.former))
+            await self.inbox.send(EndpointListReceived(scope, entries, is_from_former_discovery=self.former))
         self.had.set()
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -11,14 +11,14 @@
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Headers, Reply
 from merlinbay.http.pool import ConnectionPool
-from merlinbay.http.servers import PooledServers, check_may_begin
+from merlinbay.http.servers import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages, replies
 from merlinbay.platform.replies import JobReply
 
 
-class PlatformServers(PooledServers):
+class PlatformServers(PooledServerTransport):
     """Sends attempts to executors."""
 
     def __init__(
@@ -38,11 +38,13 @@
 
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
-        scope = trio.CancelScope(deadline=self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer)
+        scope = trio.CancelScope(
+            deadline=self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer
+        )
         if self.spawn(self._send, attempt, scope):
             self.sending[attempt] = scope
         else:
-            self.not_sent(attempt)
+            self.report_not_sent(attempt)
 
     def give_up(self, attempt: ServerAttempt) -> None:
         """Close the connection before the 202, delete the job after it."""
@@ -72,7 +74,7 @@
             ),
         )
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         """Ask a real server for its load."""
         self.spawn(self._probe, server)
 
@@ -100,14 +102,14 @@
                 # Guards against an answer that crosses the close: the job was taken then, and would run on.
                 await self._delete(attempt)
         elif isinstance(reply, Outcome):
-            await self.ended(attempt, reply)
+            await self.report_ended(attempt, reply)
         elif reply is not None:
             await self._take(attempt, reply)
 
     def _wait_ms(self, attempt: ServerAttempt) -> int:
         """Return how long the attempt is waited for from now on."""
         # Guards against a dial that eats from the client's time and is not taken off what servers are told.
-        return max((attempt.deadline_us - self.clock.now_us()) // 1000, 1)
+        return max((attempt.deadline_at_us - self.clock.now_us()) // 1000, 1)
 
     async def _take(self, attempt: ServerAttempt, reply: Reply) -> None:
         """Tell what an answer says of its attempt."""
@@ -122,7 +124,7 @@
             # where the server does not confirm that, it is waited for like one that was taken.
             if not await self._delete(attempt):
                 return
-        await self.ended(attempt, replies.OUTCOMES[found], report, unfit=found is JobReply.REJECTED)
+        await self.report_ended(attempt, replies.OUTCOMES[found], report, unfit=found is JobReply.REJECTED)
 
     async def _give_up_taken(self, attempt: ServerAttempt) -> None:
         await self._delete(attempt)
--- a/merlinbay/platform/start_times.py
+++ b/merlinbay/platform/start_times.py
@@ -22,21 +22,21 @@
     def __init__(self, clock: Clock, entries: list[ServiceEntry]) -> None:
         self.clock = clock
         self.offsets_us = [0]
-        self.translated = {entry.server: (entry.started_us, entry.started_us) for entry in entries}
+        self.translated = {entry.server: (entry.started_at_us, entry.started_at_us) for entry in entries}
 
     def translate(self, entries: list[ServiceEntry]) -> list[ServiceEntry]:
         """Return the entries with their starts on the node's own clock."""
         offset_us = self.clock.wall_offset_us()
         if abs(offset_us - self.offsets_us[-1]) >= STEP_US:
             self.offsets_us = [*self.offsets_us, offset_us][-OFFSETS_KEPT:]
-        return [self._translated(entry) if entry.started_us else entry for entry in entries]
+        return [self._translated(entry) if entry.started_at_us else entry for entry in entries]
 
     def _translated(self, entry: ServiceEntry) -> ServiceEntry:
         told_us, started_us = self.translated.get(entry.server, (0, 0))
-        if told_us != entry.started_us:
-            started_us = self._latest(entry.started_us)
-            self.translated[entry.server] = entry.started_us, started_us
-        return msgspec.structs.replace(entry, started_us=started_us)
+        if told_us != entry.started_at_us:
+            started_us = self._latest(entry.started_at_us)
+            self.translated[entry.server] = entry.started_at_us, started_us
+        return msgspec.structs.replace(entry, started_at_us=started_us)
 
     def _latest(self, told_us: int) -> int:
         """Return the latest moment up to now that the start may have been at."""
--- a/merlinbay/rig/run.py
+++ b/merlinbay/rig/run.py
@@ -134,7 +134,7 @@
         """Have one call of a node's operators' address; None: it does not answer."""
         try:
             with trio.fail_after(3 if path.startswith("events") is False else 40):
-                connection = await ClientConnection.dial(process.control, LIMITS, 4 * 1024 * 1024)
+                connection = await ClientConnection.connect(process.control, LIMITS, 4 * 1024 * 1024)
                 try:
                     reply = await connection.exchange(method, f"/fleet/{path}", [])
                 finally:
--- a/merlinbay/scale/control_writer.py
+++ b/merlinbay/scale/control_writer.py
@@ -65,7 +65,7 @@
         """Make one call; None: no answer came."""
         try:
             with trio.fail_after(ANSWER_S):
-                connection = await ClientConnection.dial(operator, LIMITS, MOST_BYTES)
+                connection = await ClientConnection.connect(operator, LIMITS, MOST_BYTES)
                 try:
                     return await connection.exchange(method, f"/control/{path}", [], body)
                 finally:
--- a/tests/faulty_cluster.py
+++ b/tests/faulty_cluster.py
@@ -235,7 +235,7 @@
         if route:
             sent.append(("X-Route-Key", route))
         try:
-            connection = await ClientConnection.dial(f"127.0.0.2:{at.port}", LIMITS)
+            connection = await ClientConnection.connect(f"127.0.0.2:{at.port}", LIMITS)
             self.clients.append(connection)
             with trio.fail_after(timeout_ms / 1000 + LATE_S):
                 reply = await connection.exchange(
--- a/tests/net.py
+++ b/tests/net.py
@@ -123,7 +123,7 @@
             connection.scope.cancel()
         return response
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Pass over it."""
 
     async def listen(self) -> None:
@@ -275,7 +275,7 @@
         self, method: str, target: str, headers: list[tuple[str, str]] | None = None, body: bytes = b""
     ) -> Reply:
         """Have one exchange with the node on a new connection."""
-        connection = await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS)
+        connection = await ClientConnection.connect(f"127.0.0.2:{self.port}", LIMITS)
         try:
             return await connection.exchange(method, target, headers or [], body)
         finally:
--- a/tests/soak_discovery.py
+++ b/tests/soak_discovery.py
@@ -15,7 +15,7 @@
 from merlinbay.counters import Counters
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
-from merlinbay.http.sockets import hung_up
+from merlinbay.http.sockets import has_hung_up
 from merlinbay.log import Log
 from tests.net import LIMITS, bound
 from tests.soak_day import ListFault, Outage, SoakDay
@@ -120,7 +120,7 @@
         await trio.sleep(CLOSES_S)
         self.scope.cancel()
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Pass over it."""
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
@@ -160,6 +160,6 @@
             return Response(200, body[:-9])
         if fault is ListFault.SLOW:
             await trio.sleep(discovery.rng.uniform(0.2, 1.2))
-        if not hung_up(connection.sock):  # the node has moved on, and hears nothing more of it
+        if not has_hung_up(connection.sock):  # the node has moved on, and hears nothing more of it
             discovery.notified.written.append((discovery.now(), version))
         return Response(200, body)
--- a/tests/soak_server.py
+++ b/tests/soak_server.py
@@ -39,7 +39,7 @@
         """Serve for ever."""
         await Listener(self, LIMITS, Counters(), Log(1)).serve(trio.socket.from_stdlib_socket(self.sock))
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Take it that the node has closed a connection before the 202."""
         if (name := self.open.pop(connection, "")) in self.attempts:
             self.world.judge.given_up(self.attempts[name])
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -121,7 +121,7 @@
         """Make a call-back, on a connection of its own."""
         body = json.dumps(event).encode()
         try:
-            connection = await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS, 0, 0.5)
+            connection = await ClientConnection.connect(f"127.0.0.2:{self.port}", LIMITS, 0, 0.5)
         except RequestNotSentError:
             return
         try:
@@ -192,7 +192,7 @@
         with trio.fail_after(30):
             while True:
                 try:
-                    connection = await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS)
+                    connection = await ClientConnection.connect(f"127.0.0.2:{self.port}", LIMITS)
                     ready = (await connection.exchange("GET", "/-/ready", [])).status == 200
                     connection.close()
                     if ready:
@@ -257,13 +257,13 @@
                     await trio.sleep(0.1)
                     continue
             request = await self._hand_in(connection, f"{self.day.seed}-{number}-{job}", fresh)
-            if request.status == 0 or not connection.reusable:
+            if request.status == 0 or not connection.can_be_reused:
                 connection.close()
                 connection = None
 
     async def _dial(self) -> ClientConnection | None:
         try:
-            return await ClientConnection.dial(f"127.0.0.2:{self.port}", LIMITS, 0, 1.0)
+            return await ClientConnection.connect(f"127.0.0.2:{self.port}", LIMITS, 0, 1.0)
         except RequestNotSentError:
             return None
 
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -34,7 +34,7 @@
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
-from merlinbay.http.sockets import hung_up
+from merlinbay.http.sockets import has_hung_up
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientAdapter
 from tests import net
@@ -112,7 +112,7 @@
     """Put such a socket under a connection."""
     interposed = InterposedSocket(connection.raw)
     connection.raw = connection.sock = interposed  # type: ignore[assignment]
-    connection.plain = None
+    connection.plain_socket = None
     return interposed
 
 
@@ -144,14 +144,14 @@
 
     def meddle(self) -> None:
         """Try to end the connection where it carries no request."""
-        if not self.connection.waiting:
+        if not self.connection.has_request_in_progress:
             if self.how == "make_room":
                 self.listener._make_room()
             else:
                 getattr(self.connection, self.how)()
 
 
-@pytest.mark.parametrize("how", ["end_idle", "evict", "expire", "make_room"])
+@pytest.mark.parametrize("how", ["close_if_idle", "close_if_unused", "expire", "make_room"])
 @pytest.mark.parametrize("at_once", [10, 32 * 1024])
 def test_a_request_that_is_read_as_its_connection_is_to_end_is_answered(how: str, at_once: int) -> None:
     """Others that run between its reader's steps never meet bytes that nobody has looked at."""
@@ -170,20 +170,20 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["expire", "evict"])
+@pytest.mark.parametrize("how", ["expire", "close_if_unused"])
 def test_a_request_whose_rest_has_come_in_time_is_answered(how: str) -> None:
     """The rest is there, unread, as the time for it is over, or as others want the place."""
 
     async def scene() -> None:
         async with door() as at:
             await at.client.send(ASK[:10])
-            await until(lambda: at.connection.unfinished)
+            await until(lambda: at.connection.is_receiving_request)
             send_now(at.client, ASK[10:])
             wait_for_system(lambda: unread(at.connection) == len(ASK) - 10)
             if how == "expire":
                 at.connection.expire()
             else:
-                assert not at.connection.evict()
+                assert not at.connection.close_if_unused()
             await at.heard.wait()
             at.connection.respond(Response(200, b"served"))
             assert (await at.client.recv(1000)).endswith(b"served")
@@ -201,7 +201,7 @@
         async with door(receive_bytes=8192) as at:
             head = f"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: {body}\r\n\r\n".encode()
             await at.client.send(head)
-            await until(lambda: at.connection.unfinished)
+            await until(lambda: at.connection.is_receiving_request)
             send_now(at.client, b"x" * body)
             wait_for_system(lambda: unread(at.connection) == body)
             at.connection.expire()
@@ -234,9 +234,9 @@
         async with door() as at:
             if part:
                 await at.client.send(part)
-                await until(lambda: at.connection.unfinished)
+                await until(lambda: at.connection.is_receiving_request)
             interposed = interpose(at.connection)
-            at.connection.end()
+            at.connection.close_gracefully()
             assert await at.client.recv(10) == b""
             send_now(at.client, ASK[len(part) :])
             await until(lambda: not at.listener.connections)
@@ -257,8 +257,8 @@
             await at.heard.wait()
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.idle)
-            at.connection.expires = trio.current_time() + 0.1  # it has rested for long
+            await until(lambda: at.connection.is_idle)
+            at.connection.expires_at = trio.current_time() + 0.1  # it has rested for long
             await at.client.send(ASK[:10])
             await trio.sleep(0.25)
             await at.client.send(ASK[10:])
@@ -274,10 +274,10 @@
         async with door(read_request=0.3, sweep=0.05) as at:
             await at.client.send(ASK)
             await at.heard.wait()
-            at.connection.proven = True
+            at.connection.has_served_request = True
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.idle)
+            await until(lambda: at.connection.is_idle)
             with pytest.raises(OSError):
                 for byte in ASK[:-1]:
                     await at.client.send(bytes([byte]))
@@ -295,7 +295,7 @@
         async with door() as at:
             await at.client.send(ASK + ASK)
             await at.heard.wait()
-            at.listener.retire(True)
+            at.listener.set_closes_after_response(True)
             at.connection.respond(Response(200, b"one"))
             await until(lambda: len(at.asked) == 2)
             at.connection.respond(Response(200, b"two"))
@@ -354,7 +354,7 @@
     async def scene() -> None:
         async with door() as at:
             evicted: list[bool] = []
-            interpose(at.connection).after_send = lambda: evicted.append(at.connection.evict())
+            interpose(at.connection).after_send = lambda: evicted.append(at.connection.close_if_unused())
             await at.client.send(ASK.replace(b"length: 2", b"length: 60000000"))
             assert (await at.answered()).startswith(b"HTTP/1.1 413") and evicted == [False]
 
@@ -364,9 +364,9 @@
 class CrossingDoor(Door):
     """A listener whose answer crosses the withdrawal of its request."""
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Answer all the same."""
-        super().gone(connection)
+        super().client_disconnected(connection)
         connection.respond(Response(200, b"late"))
 
 
@@ -389,12 +389,12 @@
     play(scene)
 
 
-# An owner that the test drives by hand, behind a listener and the adapter of the clients' protocol.
+# A dispatcher that the test drives by hand, behind a listener and the adapter of the clients' protocol.
 
 
 @dataclass
 class HandDriven:
-    """A node without its owner's task: messages stay in the inbox until the test has them taken."""
+    """A node without its dispatcher's task: messages stay in the inbox until the test has them taken."""
 
     nursery: trio.Nursery
     servers: Mock = field(default_factory=Mock)
@@ -408,7 +408,9 @@
         balancer = Balancer(settings(classes=classes, balancers=1), 1, self.clock.now_us())
         endpoints = [EndpointEntry(f"w{number}", "a", "k1") for number in range(4)]
         balancer.handle(self.clock.now_us(), [EndpointsChanged("all", endpoints)])
-        self.owner = Dispatcher(balancer, self.clock, LIMITS, self.counters, Log(9), self.servers, Mock())
+        self.dispatcher = Dispatcher(
+            balancer, self.clock, LIMITS, self.counters, Log(9), self.servers, Mock()
+        )
         self.adapter = ClientAdapter(send, self.clock, LIMITS, self.counters, {"safe"}, Log(9))
         self.listener = Listener(self.adapter, LIMITS, self.counters, Log(9))
         sock = bound()
@@ -428,20 +430,20 @@
         await until(lambda: statistics().current_buffer_used + statistics().tasks_waiting_send >= number)
 
     def take(self, most: int = 64) -> list[Message]:
-        """Have the owner take what is in the inbox, so many messages at the most; return them."""
+        """Have the dispatcher take what is in the inbox, so many messages at the most; return them."""
         taken: list[Message] = []
         while len(taken) < most:
             try:
                 taken.append(self.inbox.receive_nowait())
             except trio.WouldBlock:
                 break
-        self.owner.turn(taken)
+        self.dispatcher.run_batch(taken)
         return taken
 
     def wait_until_left(self) -> None:
         """Wait until the system has told of the client's end: no task runs in between."""
         connection = next(iter(self.listener.connections))
-        wait_for_system(lambda: hung_up(connection.raw))
+        wait_for_system(lambda: has_hung_up(connection.raw))
 
     @property
     def started(self) -> list[ServerAttempt]:
@@ -475,7 +477,7 @@
 def test_no_attempt_begins_for_a_client_that_left_while_its_request_waited(
     leave: Leave, behind: bytes
 ) -> None:
-    """The inbox is full, and the owner takes the request before anybody has seen the client leave."""
+    """The inbox is full, and the dispatcher takes the request before anybody has seen the client leave."""
 
     async def scene() -> None:
         async with hand_driven(inbox=0) as node:
@@ -507,7 +509,7 @@
             leave(client)
             await until(lambda: not node.adapter.unanswered)
             assert RequestArrived not in map(type, node.take())
-            assert not node.started and not len(node.owner.requests)
+            assert not node.started and not len(node.dispatcher.requests)
 
     play(scene)
 
@@ -526,9 +528,9 @@
             leave(client)
             node.wait_until_left()
             first = node.started[0]
-            node.owner.turn([AttemptFinished("a", first.server, Outcome.FULL)])
+            node.dispatcher.run_batch([AttemptFinished("a", first.server, Outcome.FULL)])
             await trio.testing.wait_all_tasks_blocked(0.05)
-            node.owner.turn([])
+            node.dispatcher.run_batch([])
             assert len(node.started) == 1
 
     play(scene)
@@ -543,7 +545,7 @@
             await client.send(job("a"))
             await node.arrived()
             node.take()
-            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.FULL)])
+            node.dispatcher.run_batch([AttemptFinished("a", node.started[0].server, Outcome.FULL)])
             assert len(node.started) == 2
             client.close()
 
@@ -604,10 +606,10 @@
             assert not given
             node.take()
             assert len(node.started) == 1
-            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
+            node.dispatcher.run_batch([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             assert (await client.recv(1000)).endswith(b"done")
             await until(lambda: bool(given))
-            assert len(node.owner.requests) == 0
+            assert len(node.dispatcher.requests) == 0
             client.close()
 
     play(scene)
@@ -617,13 +619,13 @@
     """The batch front's word of it may still wait behind others."""
     ended = Mock(ended=False)
     client = JobClient(Mock(), ended, RequestSpec("j", "safe", 0, 1))
-    assert not client.left()
+    assert not client.has_disconnected()
     ended.ended = True
-    assert client.left()
+    assert client.has_disconnected()
 
 
 def test_the_last_moments_leave_no_request_in_the_inbox_unanswered() -> None:
-    """The owner has ended; one request is in its inbox, another on its way into it."""
+    """The dispatcher has ended; one request is in its inbox, another on its way into it."""
 
     async def scene() -> None:
         async with hand_driven(inbox=1) as node:
@@ -662,12 +664,12 @@
             read_by = node.clock.now_us()
             await client.send(job("c")[:20])  # more behind it, later, is not its last byte
             await trio.sleep(0.2)
-            node.owner.turn([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
+            node.dispatcher.run_batch([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             await node.arrived()
             (message,) = node.take()
             assert isinstance(message, RequestArrived)
-            assert before <= message.spec.arrived_us <= read_by
-            assert node.started[1].deadline_us <= read_by + 900_000 - LIMITS.answer_margin_us
+            assert before <= message.spec.arrived_at_us <= read_by
+            assert node.started[1].deadline_at_us <= read_by + 900_000 - LIMITS.answer_margin_us
             client.close()
 
     play(scene)
@@ -689,7 +691,7 @@
             await node.arrived()
             (message,) = node.take()
             assert isinstance(message, RequestArrived)
-            assert before <= message.spec.arrived_us <= node.clock.now_us()
+            assert before <= message.spec.arrived_at_us <= node.clock.now_us()
             client.close()
 
     play(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -77,7 +77,7 @@
         self.heard.set()
         return self.answer
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Note it."""
         self.left.append(connection)
 
@@ -146,7 +146,7 @@
             assert len(at.asked) == 1
             at.connection.respond(Response(200, b"one"))
             await until(lambda: len(at.asked) == 2)
-            at.connection.close_after = True
+            at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"two"))
             got = await at.answered()
             assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"two")
@@ -161,16 +161,16 @@
     async def scene() -> None:
         async with door() as at:
             if how == "end_idle":
-                assert at.connection.end_idle()
+                assert at.connection.close_if_idle()
             else:
-                at.connection.expires = 0.0
+                at.connection.expires_at = 0.0
                 at.connection.expire()
             at.client._sock.send(ASK[:10])  # type: ignore[attr-defined]  # no task runs in between
             await until(lambda: at.connection.h11.trailing_data[0] == ASK[:10])
-            assert at.connection.expires > trio.current_time()  # it has its own time from now on
+            assert at.connection.expires_at > trio.current_time()  # it has its own time from now on
             await at.client.send(ASK[10:])
             await at.heard.wait()
-            at.connection.close_after = True
+            at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served")
 
@@ -182,7 +182,7 @@
 
     async def scene() -> None:
         async with door() as at:
-            at.connection.end()
+            at.connection.close_gracefully()
             assert await at.client.recv(10) == b""
             await at.client.send(ASK)
             with pytest.raises(OSError):  # the reset
@@ -201,10 +201,10 @@
         async with door(linger=5.0) as at:
             await at.client.send(ASK)
             await at.heard.wait()
-            at.connection.close_after = True
+            at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"last"))
             at.client._sock.send(b"x" * 60_000)  # type: ignore[attr-defined]
-            await until(lambda: at.connection.ending)
+            await until(lambda: at.connection.is_closing)
             for _ in range(4):  # a reset would show at the second
                 await at.client.send(b"x" * 20_000)
                 await trio.testing.wait_all_tasks_blocked(0.01)
@@ -220,9 +220,9 @@
         async with door() as at:
             await at.client.send(ASK)
             await at.heard.wait()
-            at.connection.close_after = True
+            at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"x" * 20_000_000))  # more than the system takes at once
-            await until(lambda: at.connection.writing)
+            await until(lambda: at.connection.is_writing)
             await at.client.send(b"x" * 1000)
             await until(lambda: bool(at.connection.h11.trailing_data[0]))
             assert len(await at.answered()) > 20_000_000
@@ -236,12 +236,12 @@
     async def scene() -> None:
         async with door() as at:
             at.client._sock.send(ASK)  # type: ignore[attr-defined]
-            assert not at.connection.evict()
+            assert not at.connection.close_if_unused()
             await at.heard.wait()
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.idle)
-            assert at.connection.evict() and at.connection.raw.fileno() < 0
+            await until(lambda: at.connection.is_idle)
+            assert at.connection.close_if_unused() and at.connection.raw.fileno() < 0
             await until(lambda: not at.listener.connections)
 
     play(scene)
@@ -354,7 +354,7 @@
             await at.client.send(ASK)
             await at.heard.wait()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(at.listener.finish, 5.0)
+                nursery.start_soon(at.listener.close_all, 5.0)
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 at.connection.respond(Response(503))
                 got = await at.answered()
@@ -370,12 +370,12 @@
 
     async def scene() -> None:
         async with door() as at:
-            at.connection.calls_back = calls_back
+            at.connection.carries_callbacks = calls_back
             at.listener.close_idle()
-            assert at.connection.ending == (not calls_back)
+            assert at.connection.is_closing == (not calls_back)
             if calls_back:
                 at.listener.close_idle(calls_back=True)
-                assert at.connection.ending
+                assert at.connection.is_closing
 
     play(scene)
 
@@ -393,7 +393,7 @@
         """Count it."""
         self.answers += 1
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Tell what the test says."""
         return self.is_left
 
@@ -405,17 +405,17 @@
     clock.now_us.return_value = 1_000_000
     made = Balancer(settings(balancers=1), 1, 0)
     made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
-    owner, responder = Dispatcher(made, clock, LIMITS, counters, Log(9), servers, Mock()), Leaver(left)
-    owner.turn([RequestArrived(RequestSpec("j", "safe", 1_000_000, 2_000_000), responder)])
+    dispatcher, responder = Dispatcher(made, clock, LIMITS, counters, Log(9), servers, Mock()), Leaver(left)
+    dispatcher.run_batch([RequestArrived(RequestSpec("j", "safe", 1_000_000, 2_000_000), responder)])
     assert servers.start.call_count == (not left) and responder.answers == 0
-    assert (len(owner.requests), counters.counts["requests_withdrawn"]) == ((0, 1) if left else (1, 0))
+    assert (len(dispatcher.requests), counters.counts["requests_withdrawn"]) == ((0, 1) if left else (1, 0))
 
 
 @pytest.mark.parametrize(
     ("job_class", "group", "verdict"),
     [
-        ("safe", "all", AnswerStatus.REFUSED),
-        ("keyed", "all", AnswerStatus.REFUSED),
+        ("safe", "all", AnswerStatus.REJECTED),
+        ("keyed", "all", AnswerStatus.REJECTED),
         ("keyed", "zone", AnswerStatus.FAILED),
         ("keyed", "cell", AnswerStatus.FAILED),
         ("unsafe", "all", AnswerStatus.FAILED),
@@ -424,9 +424,9 @@
 def test_a_node_that_stops_cuts_an_attempt_short_and_sends_no_other(
     job_class: str, group: str, verdict: AnswerStatus
 ) -> None:
-    """The owner's deadline is earlier than the module's, which would send the job again."""
+    """The dispatcher's deadline is earlier than the module's, which would send the job again."""
     servers, clock, responder = Mock(), Mock(), Mock()
-    responder.left.return_value = False
+    responder.has_disconnected.return_value = False
     clock.now_us.return_value = 1_000_000
     conf = settings(balancers=1)
     conf.classes[1].group = group
@@ -434,15 +434,15 @@
     made.handle(
         0, [EndpointsChanged("all", [EndpointEntry(f"w{n}", "a", f"k{n % 2 + 1}") for n in range(4)])]
     )
-    owner = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    dispatcher = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
     spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, repeat_key="k")
-    owner.turn([RequestArrived(spec, responder), ShutdownRequested()])
+    dispatcher.run_batch([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
     clock.now_us.return_value += LIMITS.stop_answers_us
-    owner.turn([])
+    dispatcher.run_batch([])
     assert servers.start.call_count == servers.give_up.call_count == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
-    assert answer.verdict is verdict
+    assert answer.status is verdict
 
 
 @pytest.mark.parametrize(
@@ -453,21 +453,21 @@
         ([AttemptProgress("j", "w", 0.4)], Outcome.RESET),
     ],
 )
-def test_the_owner_takes_no_hand_back_after_a_start_or_progress_for_unstarted(
+def test_the_dispatcher_takes_no_hand_back_after_a_start_or_progress_for_unstarted(
     reported: list[Message], outcome: Outcome
 ) -> None:
-    """Whatever the module makes of it: counters and fronts go by the owner's word."""
+    """Whatever the module makes of it: counters and fronts go by the dispatcher's word."""
     clock, counters, responder = Mock(), Counters(), Mock()
-    responder.left.return_value = False
+    responder.has_disconnected.return_value = False
     clock.now_us.return_value = 1_000_000
     made = Balancer(settings(balancers=1), 1, 0)
     made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
-    owner = Dispatcher(made, clock, LIMITS, counters, Log(9), Mock(), Mock())
-    owner.turn([RequestArrived(RequestSpec("j", "unsafe", 1_000_000, 5_000_000), responder)])
-    owner.turn([*reported, AttemptFinished("j", "w", Outcome.FULL)])
+    dispatcher = Dispatcher(made, clock, LIMITS, counters, Log(9), Mock(), Mock())
+    dispatcher.run_batch([RequestArrived(RequestSpec("j", "unsafe", 1_000_000, 5_000_000), responder)])
+    dispatcher.run_batch([*reported, AttemptFinished("j", "w", Outcome.FULL)])
     assert counters.counts[f"attempts_{outcome.name.lower()}"] == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
-    assert answer.verdict is (AnswerStatus.FAILED if reported else AnswerStatus.REFUSED)
+    assert answer.status is (AnswerStatus.FAILED if reported else AnswerStatus.REJECTED)
 
 
 @pytest.mark.parametrize("unread", [b"", b"x"])
@@ -479,9 +479,9 @@
         client_request = ClientRequest(Mock(sock=ours), "j")
         with ours, theirs:
             await theirs.send(b"y" + unread)
-            assert not client_request.left()
+            assert not client_request.has_disconnected()
             theirs.close()
-            assert client_request.left()
+            assert client_request.has_disconnected()
 
     play(scene)
 
@@ -501,7 +501,7 @@
             server, wanted = at.add("s"), True
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters())
-            pool.entries_changed("all", [ServiceEntry("s", server.addr)])
+            pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             dial = pool._connection
 
             async def left(known: object, rested: bool) -> object:
@@ -519,7 +519,7 @@
 
             with pytest.raises(AttemptWithheldError):
                 await pool.exchange("s", "POST", "/", [], b"x", last_look)
-            assert not server.seen and len(pool.servers["s"].idle) == 1
+            assert not server.seen and len(pool.servers["s"].idle_connections) == 1
 
     play(scene)
 
@@ -579,7 +579,7 @@
                 host, port = listeners[0].socket.getsockname()[:2]
                 counters = Counters()
                 pool = ConnectionPool(LIMITS, counters)
-                pool.entries_changed("all", [ServiceEntry("s", f"127.0.0.1:{port}")])
+                pool.update_endpoints("all", [ServiceEntry("s", f"127.0.0.1:{port}")])
                 first = await pool.exchange("s", "POST", "/", [], b"x")
                 if not late:  # both are read at once
                     await trio.sleep(2 * LIMITS.pool_rest)
@@ -611,7 +611,7 @@
 
 
 def test_what_crosses_the_exit_is_answered_and_not_begun(tmp_path: Path) -> None:
-    """The owner has ended; nobody reads its inbox any more."""
+    """The dispatcher has ended; nobody reads its inbox any more."""
 
     async def scene() -> None:
         from merlinbay.platform.client_adapter import ClientAdapter
@@ -620,7 +620,9 @@
         responder = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
         responder.over = True
         head = {name.lower(): value for name, value in admission("j")}
-        refused = await responder.request(Mock(proven=False), Request("POST", "/admit", head, b""))
+        refused = await responder.request(
+            Mock(has_served_request=False), Request("POST", "/admit", head, b"")
+        )
         told = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
         taken = await responder.request(Mock(), Request("POST", "/v1/job-events", {}, told))
         assert refused is not None and refused.status == 503 and refused.headers[0][0] == b"retry-after"
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -371,11 +371,11 @@
 
 
 TEMPLATES: list[tuple[dict[str, Any], dict[str, Any] | str | None]] = [
-    ({}, {"job_class": "admit", "budget_us": 3_000_000, "slots": 1.0, "tenant": ""}),
-    ({"jobCategory": "print", "rerunnable": False}, {"job_class": "print", "budget_us": 9_000_000}),
+    ({}, {"job_class": "admit", "time_budget_us": 3_000_000, "slots": 1.0, "tenant": ""}),
+    ({"jobCategory": "print", "rerunnable": False}, {"job_class": "print", "time_budget_us": 9_000_000}),
     ({"minSlots": 2, "maxSlots": 4, "accountingId": "t"}, {"slots": 2.0, "tenant": "t"}),
-    ({"deadlineTime": schema.when(NOW + 1_500_000)}, {"budget_us": 1_500_000}),
-    ({"deadlineTime": schema.when(NOW + 60_000_000)}, {"budget_us": 3_000_000}),
+    ({"deadlineTime": schema.when(NOW + 1_500_000)}, {"time_budget_us": 1_500_000}),
+    ({"deadlineTime": schema.when(NOW + 60_000_000)}, {"time_budget_us": 3_000_000}),
     ({"deadlineTime": schema.when(NOW - 1)}, None),
     ({"deadlineTime": datetime(2027, 1, 15)}, None),
     ({"jobCategory": "nonsense"}, None),
@@ -387,7 +387,7 @@
     ({"queueName": "print", "jobCategory": "admit"}, None),
     ({"minPhysMemory": 2048}, {"memory": 2.0}),
     ({"minPhysMemory": -1}, None),
-    ({"candidateMachines": ["s-1", "s-2"]}, {"only": ("s-1", "s-2")}),
+    ({"candidateMachines": ["s-1", "s-2"]}, {"allowed_servers": ("s-1", "s-2")}),
     ({"candidateMachines": ["m"] * 257}, None),
     ({"priority": 101}, None),
     ({"resourceLimits": {"CPU_TIME": 5}}, {"slots": 1.0}),
@@ -450,7 +450,7 @@
     else:
         assert isinstance(message, AttemptFinished) and message.outcome is expected
         assert message.result == info.get("output", b"")
-        assert message.unfit == ("exitStatus" in info)  # it ran to its end: no other scheduler gets it
+        assert message.is_unfit == ("exitStatus" in info)  # it ran to its end: no other scheduler gets it
 
 
 @pytest.mark.parametrize(
@@ -478,7 +478,7 @@
         for name in ("http", "platform", "drmaa", "dnssd", "json")
         if f"merlinbay.{name}" in text or f"import {name}" in text
     ]
-    assert RequestSpec("j", "c", 0, 1).budget_us == 1 and Answer(AnswerStatus.FAILED).retry_after_us == 0
+    assert RequestSpec("j", "c", 0, 1).time_budget_us == 1 and Answer(AnswerStatus.FAILED).retry_after_us == 0
 
 
 @pytest.mark.parametrize(
@@ -501,7 +501,7 @@
     }
     front.clock.now_us.return_value, front.limits = 1_000, ResourceLimits()
     client = JobClient(front, job, RequestSpec("j", "c", 0, 9_000_000))
-    client.answer(Answer(AnswerStatus.REFUSED, may_have_run=may_have_run))
+    client.answer(Answer(AnswerStatus.REJECTED, may_have_run=may_have_run))
     assert (front.engine.refused.call_count, front.engine.failed.call_count) == (
         (1, 0) if offered_again else (0, 1)
     )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -387,7 +387,7 @@
         del jobs[9]
         wait = json.dumps({"jobIds": jobs}).encode()
         for _ in range(30):  # limits.waits is 15 here
-            connection = await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS)
+            connection = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
             with trio.move_on_after(0.02):
                 await connection.exchange("POST", f"{Q}/waitAnyTerminated", [], wait)
             connection.close()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.context: object = None
-        self.proven = False
+        self.has_served_request = False
         self.answers: list[Response] = []
 
     def respond(self, response: Response) -> None:
@@ -199,14 +199,14 @@
                 documented(answer)
             if response is None and rng.random() < 0.5:
                 call = connection.context
-                front.gone(connection)  # type: ignore[arg-type]
+                front.client_disconnected(connection)  # type: ignore[arg-type]
                 assert call is not None and call not in front.engine.waits
                 assert front.hub is not None and call not in front.hub.polls
         for name in [job.id for job in front.engine.sessions["default"].jobs.values() if not job.ended]:
             connection, waits = FakeConnection(), len(front.engine.waits)
             wait: Any = connection
             if await front.request(wait, Request("GET", f"/drmaa2/jobs/{name}/wait", {}, b"")) is None:
-                front.gone(wait)
+                front.client_disconnected(wait)
             assert len(front.engine.waits) == waits
         for message in list(front.outbox):
             assert isinstance(message, RequestArrived | RequestWithdrawn | EndpointViewsRequested)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -119,7 +119,7 @@
     async def scene(h: House) -> None:
         s = h.stage
         old, _ = await h.start()
-        kept, busy = [await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
+        kept, busy = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
         assert await job(kept, "first") == 200
         ends: list[int] = []
 
@@ -188,7 +188,7 @@
 
     async def scene(h: House) -> None:
         old, _ = await h.start()
-        kept = await ClientConnection.dial(f"127.0.0.2:{h.stage.port}", LIMITS)
+        kept = await ClientConnection.connect(f"127.0.0.2:{h.stage.port}", LIMITS)
         assert await job(kept, "first") == 200
         dead, _ = await h.start()
         dead.kill()
@@ -208,7 +208,7 @@
     async def scene(h: House) -> None:
         s = h.stage
         old, _ = await h.start()
-        kept = await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS)
+        kept = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
         assert await job(kept, "first") == 200
         dead, _ = await h.start()
         dead.kill()
--- a/tests/test_in_service.py
+++ b/tests/test_in_service.py
@@ -178,7 +178,7 @@
 
     async def scene(s: Stage) -> None:
         address = f"127.0.0.2:{s.port}"
-        busy, idle, server = [await ClientConnection.dial(address, LIMITS) for _ in range(3)]
+        busy, idle, server = [await ClientConnection.connect(address, LIMITS) for _ in range(3)]
         event = b'{"id": "x", "from": "s-1", "state": "running"}'
         for connection in (busy, idle):
             name = f"first-{id(connection)}"
@@ -190,19 +190,21 @@
         assert (await s.admit("still")).status == 200
         assert (await s.operate("status")).startswith("SUCCESS")
         jobs = 0
-        while busy.usable():
+        while busy.is_available():
             jobs += 1
             assert (await busy.exchange("POST", "/admit", admission(f"busy-{jobs}"), b"seat")).status == 200
-        assert trio.current_time() - began > LIMITS.away_arrivals - 0.1 and idle.usable()  # these end later
+        assert (
+            trio.current_time() - began > LIMITS.away_arrivals - 0.1 and idle.is_available()
+        )  # these end later
         assert (await s.admit("late")).status == 200  # whoever comes all the same is served
         await trio.sleep(began + 2.0 - trio.current_time())
-        assert not idle.usable() and server.usable()
+        assert not idle.is_available() and server.is_available()
         assert (await s.operate("active")).startswith("SUCCESS")
         assert (await s.call("GET", "/-/ready")).status == 200
-        kept = await ClientConnection.dial(address, LIMITS)
+        kept = await ClientConnection.connect(address, LIMITS)
         assert (await kept.exchange("POST", "/admit", admission("back"), b"seat")).status == 200
         await trio.sleep(0.5)
-        assert kept.usable()
+        assert kept.is_available()
 
     in_service(tmp_path, scene)
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -387,7 +387,7 @@
             assert (await told.news()).entries[0].state == "up" and told.discovery.serves("s")
             refused = []
             while (news := await told.news()).scope == "refused":
-                refused.append(news.heard_us > 0)
+                refused.append(news.last_answer_at_us > 0)
                 if not pushed:
                     told.discovery.subscribe()
             assert refused == [True] + [False] * (len(refused) - 1) and refused
@@ -425,7 +425,7 @@
             assert not told.discovery.move(told.asked.addr)
             news = await told.news()
             assert 0.2 <= trio.current_time() - moved_at < 0.4
-            assert (news.scope, news.entries, news.former) == ("changes", [], False)
+            assert (news.scope, news.entries, news.is_from_former_discovery) == ("changes", [], False)
             assert len(told.asked.connections) == 1
 
     play(scene)
@@ -438,9 +438,9 @@
         async with stage(tmp_path) as at:
             told = Told(at, False, ["up", "draining"])
             told.discovery.subscribe()
-            assert not (await told.news()).former
+            assert not (await told.news()).is_from_former_discovery
             told.discovery.move("127.0.0.2:9")
-            assert (await told.news()).former
+            assert (await told.news()).is_from_former_discovery
 
     play(scene)
 
@@ -504,7 +504,7 @@
 
 
 def test_news_that_wait_for_a_full_inbox_count_already(tmp_path: Path) -> None:
-    """The owner is behind by a hundred messages; what is sent meanwhile looks at what was heard."""
+    """The dispatcher is behind by a hundred messages; what is sent meanwhile looks at what was heard."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
@@ -581,7 +581,7 @@
             server.sock.listen(8)
             counters = Counters()
             pool = ConnectionPool(LIMITS, counters, lambda name: not leaves)
-            pool.entries_changed("all", [ServiceEntry("s", server.addr)])
+            pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             assert (await pool.exchange("s", "POST", "/", [], b"x", last_look=list)).status == 202
             await trio.sleep(1.2 * LIMITS.pool_rest)
             leaves = True
@@ -602,7 +602,7 @@
             server, counters, clock = at.add("s", play=takes), Counters(), Clock()
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, counters, lambda name: False)
-            pool.entries_changed("all", [ServiceEntry("s", server.addr)])
+            pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             send, inbox = trio.open_memory_channel[Message](9)
             servers = PlatformServers(at.nursery, pool, send, clock, LIMITS, counters, Log(9), False)
             now = clock.now_us()
@@ -622,12 +622,12 @@
             server = at.add("s")
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters(), lambda name: True)
-            pool.entries_changed("all", [ServiceEntry("s", server.addr)])
+            pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             dial = pool._connection
 
             async def moved(known: object, rested: bool) -> object:
                 made = await dial(known, rested)  # type: ignore[arg-type]
-                pool.entries_changed("changes", [ServiceEntry("s", "127.0.0.2:1")])
+                pool.update_endpoints("changes", [ServiceEntry("s", "127.0.0.2:1")])
                 return made
 
             pool._connection = moved  # type: ignore[method-assign,assignment]
@@ -644,12 +644,12 @@
         settings(balancers=1, must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0
     )
     clock, servers = Mock(), Mock()
-    owner = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    dispatcher = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
     for now, news in (
         (0, EndpointListReceived("remembered")),
         (SECOND, EndpointListReceived("all")),
         (20 * SECOND, EndpointListReceived("refused", [], 18 * SECOND)),
     ):
         clock.now_us.return_value = now
-        owner.turn([news])
+        dispatcher.run_batch([news])
     assert made.calls.deadline == 18 * SECOND + NOTIFIED_US
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -53,7 +53,7 @@
         async with stage(tmp_path) as s:
             s.add("s-1", tells_early)
             await s.start()
-            client = await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS)
+            client = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
             for job in ("a1", "a2"):
                 reply = await client.exchange("POST", "/admit", admission(job), b"x")
                 assert (reply.status, reply.body) == (200, f"of {job}".encode())
@@ -431,7 +431,7 @@
             s.sockets = 64  # 17 edge connections
             s.add("s-1")
             await s.start()
-            kept = await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS)
+            kept = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
             assert (await kept.exchange("POST", "/admit", admission("a1"), b"x")).status == 200
             silent_ones = [await trio.open_tcp_stream("127.0.0.2", s.port) for _ in range(80)]
             for stream in silent_ones:
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -17,7 +17,7 @@
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, UnreadableResponseError
-from merlinbay.http.pool import ConnectionPool, LastLook
+from merlinbay.http.pool import ConnectionPool, PreSendCheck
 from merlinbay.log import Log
 from merlinbay.platform.servers import PlatformServers
 from tests.net import LIMITS
@@ -41,7 +41,7 @@
         target: str,
         headers: Headers,
         body: bytes = b"",
-        last_look: LastLook | None = None,
+        last_look: PreSendCheck | None = None,
         keeps_after: Callable[[Reply], bool] = lambda reply: True,
         rested: bool = True,
     ) -> Reply:
@@ -125,7 +125,7 @@
     async def scene() -> None:
         async with servers_over(takes, dial=0.4) as at:
             limit = at.clock.now_us() + 300_000
-            at.attempt = replace(at.attempt, allowed=lambda attempt: at.clock.now_us() < limit)
+            at.attempt = replace(at.attempt, is_permitted=lambda attempt: at.clock.now_us() < limit)
             at.servers.start(at.attempt)
             assert await at.outcome() is Outcome.MOOT
             assert not at.pool.sent
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -130,7 +130,7 @@
                 s.add(name, runs(lambda job: 0.05 if job.startswith("first") else 0.8))
             await s.start(program=True)
             assert s.process is not None
-            kept = [await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS) for _ in range(6)]
+            kept = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(6)]
 
             async def one(number: int, job: str, statuses: list[int]) -> None:
                 reply = await kept[number].exchange("POST", "/admit", admission(job), b"x")
@@ -159,15 +159,15 @@
             s.add("s-1")
             await s.start(program=True, balancers=2)
             assert s.process is not None
-            kept = [await ClientConnection.dial(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
+            kept = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
             for number, connection in enumerate(kept):
                 reply = await connection.exchange("POST", "/admit", admission(f"a{number}"), b"x")
                 assert reply.status == 200
             s.process.send_signal(signal.SIGTERM)
             await trio.sleep(2.4)
-            assert kept[0].usable() and kept[1].usable()
+            assert kept[0].is_available() and kept[1].is_available()
             await trio.sleep(0.4)
-            assert not kept[0].usable() and not kept[1].usable()
+            assert not kept[0].is_available() and not kept[1].is_available()
             reply = await s.admit("b1")
             assert (reply.status, reply.headers["connection"]) == (200, "close")
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -106,8 +106,8 @@
         return successor, ""
 
     async def scene() -> None:
-        inbox, listener, attendance, clock = Mock(), Mock(), Mock(), Mock()
-        takeover = Takeover(Path("x"), inbox, listener, attendance, LIMITS, Counters(), Log(9), clock)
+        inbox, listener, client_steering, clock = Mock(), Mock(), Mock(), Mock()
+        takeover = Takeover(Path("x"), inbox, listener, client_steering, LIMITS, Counters(), Log(9), clock)
         listening = Mock(accept=failing(accept, [errno.ECONNABORTED, errno.EMFILE]))
         with trio.fail_after(5):
             assert await takeover._accept(listening) is successor
@@ -138,7 +138,7 @@
             patch.object(TRIO_SOCKET, "connect", failing(TRIO_SOCKET.connect, [number])),
             pytest.raises(RequestNotSentError) as raised,
         ):
-            await ClientConnection.dial("127.0.0.2:9", LIMITS)
+            await ClientConnection.connect("127.0.0.2:9", LIMITS)
         assert type(raised.value) is kind and failure_of(raised.value) is failure
 
     trio.run(scene)
@@ -184,16 +184,16 @@
         made = Clock()
         times = StartTimes(made, [])
         started_us, wall_us = made.now_us() - 3 * SECOND, int(step_s * SECOND) * stepped_first
-        told = ServiceEntry("s", "a:1", started_us=started_us + wall_us)
+        told = ServiceEntry("s", "a:1", started_at_us=started_us + wall_us)
         with patch("merlinbay.clock.time.time", lambda: made.now_us() / 1e6 + step_s):
             (first,) = times.translate([told])
             await trio.sleep(0.02)
             (second,) = times.translate([told])
-        age_us = made.now_us() - first.started_us
+        age_us = made.now_us() - first.started_at_us
         assert -SECOND // 10 <= age_us <= 3 * SECOND + SECOND // 10
         assert second == first  # the same start is the same moment, or it would count as another start
-        (usual,) = times.translate([ServiceEntry("t", "a:1", started_us=0)])
-        assert usual.started_us == 0
+        (usual,) = times.translate([ServiceEntry("t", "a:1", started_at_us=0)])
+        assert usual.started_at_us == 0
 
     trio.run(scene)
 
@@ -204,7 +204,7 @@
     async def scene() -> None:
         made = Clock()
         times = StartTimes(made, [])
-        warm = ServiceEntry("s", "a:1", started_us=made.now_us() - 3602 * SECOND)
+        warm = ServiceEntry("s", "a:1", started_at_us=made.now_us() - 3602 * SECOND)
         assert times.translate([warm]) == [warm]
         with patch("merlinbay.clock.time.time", lambda: made.now_us() / 1e6 - 3600):
             assert times.translate([warm]) == [warm]
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -513,7 +513,7 @@
         while receive.statistics().current_buffer_used:
             message = receive.receive_nowait()
             assert isinstance(message, BalancersChanged)
-            counts.append((message.count, message.me))
+            counts.append((message.count, message.own_index))
         again = wiring.FleetParts(section, facts, send, Counters(), Log(1))
         assert again.view.me.incarnation == 2 << 16 and again.view.me.disk == parts.view.me.disk
         return counts
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -37,12 +37,12 @@
         {
             "name": "9b1f",
             "job_class": "admit",
-            "budget_us": 4_998_000,
+            "time_budget_us": 4_998_000,
             "slots": 1.0,
             "memory": 0.638,
             "repeat_key": "k",
             "target": "/admit?x=1",
-            "retried": False,
+            "is_retry": False,
         },
     ),
     ("/admit", {"x-priority-class": ""}, {"job_class": "admit"}),
@@ -51,7 +51,7 @@
     (
         "/admit",
         {"x-retried": "1", "x-route-key": "r", "x-cost": "1200.5"},
-        {"retried": True, "key": "r", "hint_us": 1200},
+        {"is_retry": True, "affinity_key": "r", "duration_hint_us": 1200},
     ),
     ("/admit", {"x-attrs": "odd,slots = 2 ,new=x"}, {"slots": 2.0, "memory": 0.0}),
     ("/admit", {"x-request-id": ""}, None),
@@ -78,7 +78,7 @@
     else:
         spec = messages.job_spec(target, {**HEADERS, **more}, b"", 7)
         assert {name: getattr(spec, name) for name in expected} == expected
-        assert spec.arrived_us == 7
+        assert spec.arrived_at_us == 7
 
 
 @pytest.mark.parametrize(
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""Front, owner and module together, without sockets: clients, schedulers and the clock in any order."""
+"""Front, dispatcher and module together, without sockets: clients, schedulers and the clock in any order."""
 
 from __future__ import annotations
 
@@ -104,15 +104,15 @@
         """Note it."""
         self.controls.append((attempt, action))
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         """Pass over it."""
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
         """Pass over it."""
 
 
 class Inbox:
-    """The owner's inbox: so much fits, and the rest waits in the front's outbox."""
+    """The dispatcher's inbox: so much fits, and the rest waits in the front's outbox."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
@@ -148,9 +148,11 @@
         clock: Any = self.clock
         inbox: Any = self.inbox
         self.front = DrmaaFront(inbox, clock, limits, counters, Log(1), classes, drmaa, "n")
-        self.owner = Dispatcher(Balancer(conf, 7, T0), clock, limits, counters, Log(1), self.servers, self)
+        self.dispatcher = Dispatcher(
+            Balancer(conf, 7, T0), clock, limits, counters, Log(1), self.servers, self
+        )
         self.rows = [ServiceEntry(f"s-{n}", "", "", "k", n // 2) for n in range(4)]
-        self.owner.turn([EndpointListReceived("all", self.rows)])
+        self.dispatcher.run_batch([EndpointListReceived("all", self.rows)])
         self.answers: list[tuple[FakeConnection, str]] = []  # of calls that wait
         self.finals: dict[str, str] = {}
         self.parallel: dict[str, int] = {}
@@ -160,10 +162,10 @@
         """Be the directory: all is told without being asked."""
 
     def turn(self) -> None:
-        """Let the owner and the front work until nothing is left to do now."""
+        """Let the dispatcher and the front work until nothing is left to do now."""
         while self.inbox.messages:
             messages, self.inbox.messages = self.inbox.messages, []
-            self.owner.turn(messages)
+            self.dispatcher.run_batch(messages)
         for connection, _ in self.answers:
             assert len(connection.answers) <= 1
             for answer in connection.answers:
@@ -257,7 +259,7 @@
         if self.answers:
             one = data.draw(st.sampled_from(range(len(self.answers))))
             connection: Any = self.answers.pop(one)[0]
-            self.front.gone(connection)
+            self.front.client_disconnected(connection)
             self.turn()
 
     # Schedulers.
@@ -298,8 +300,8 @@
                             name,
                             server,
                             outcome,
-                            unfit=news == "exit",
-                            ending=ExitDetails(3) if news == "exit" else None,
+                            is_unfit=news == "exit",
+                            exit_details=ExitDetails(3) if news == "exit" else None,
                         )
                     )
 
@@ -318,7 +320,7 @@
         """Answer a recall, or a suspend or resume."""
         if self.servers.recalls:
             attempt = self.servers.recalls.pop(0)
-            done = yes and not attempt.started
+            done = yes and not attempt.has_started
             self.tell(AttemptRecalled(attempt.spec.name, attempt.server, done))
         else:
             attempt, action = self.servers.controls.pop(0)
@@ -343,11 +345,11 @@
         """Let time pass, with all that becomes due on the way."""
         until = self.clock.now + by
         for _ in range(10_000):
-            due = min(self.front.engine.next_us(), self.owner.timers.next_us() or until, until)
+            due = min(self.front.engine.next_us(), self.dispatcher.timers.next_us() or until, until)
             self.clock.now = max(due, self.clock.now)
             self.front.engine.tick(self.clock.now)
             self.front.flush(self.clock.now)
-            self.owner.turn([])
+            self.dispatcher.run_batch([])
             self.turn()
             if self.clock.now >= until:
                 return
@@ -369,8 +371,8 @@
                 assert has_request == (job in self.front.edges)
                 if has_request:
                     responder = self.front.edges[job]
-                    request = self.owner.requests.by_name.get(responder.name)
-                    assert request is not None and request.responder is responder and not request.done
+                    request = self.dispatcher.requests.by_name.get(responder.name)
+                    assert request is not None and request.responder is responder and not request.is_answered
                     if job.array is not None:
                         out[job.array.id] += 1
         for array_id, most in self.parallel.items():
@@ -386,7 +388,7 @@
             for array in list(self.front.engine.sessions["q"].arrays):
                 self.call("POST", f"/sessions/q/arrays/{array}/release")
             self.pass_time(60 * SECOND)
-        assert self.front.engine.jobs == 0 and not len(self.owner.requests) and not self.front.edges
+        assert self.front.engine.jobs == 0 and not len(self.dispatcher.requests) and not self.front.edges
         assert not self.answers and not self.servers.open and not self.front.engine.waits
 
 
@@ -415,7 +417,7 @@
         coroutine.send(None)
     except StopIteration as stop:
         assert stop.value is None and connection.context is not None
-    world.front.gone(connection)
+    world.front.client_disconnected(connection)
     world.turn()
-    assert not len(world.owner.requests) and not world.servers.open and world.front.engine.jobs == 0
+    assert not len(world.dispatcher.requests) and not world.servers.open and world.front.engine.jobs == 0
     assert not connection.answers and world.counters.counts["requests_withdrawn"] == 1
