--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -97,8 +97,12 @@
     return _may_begin(self, job_id, number, decided)
 
 
-def keeps_without_rest(
-    self: ConnectionPool, name: str, server: PooledServer, connection: ClientConnection, rests_until: float
+def keeps_without_quarantine(
+    self: ConnectionPool,
+    name: str,
+    server: PooledServer,
+    connection: ClientConnection,
+    quarantined_until: float,
 ) -> None:
     """Use a connection again at once."""
     _keep(self, name, server, connection, 0.0)
@@ -175,7 +179,9 @@
     Mutant("answer: an unnamed status is an end", ((replies, "classify", unnamed_status_fails),)),
     Mutant("last look: for the client only", ((ServerAttempt, "may_begin", looks_for_the_client_only),)),
     Mutant("last look: not at the window", ((Eligibility, "may_begin", looks_at_the_old_time),)),
-    Mutant("stray answer: connections do not rest", ((ConnectionPool, "_keep", keeps_without_rest),)),
+    Mutant(
+        "stray answer: connections have no quarantine", ((ConnectionPool, "_keep", keeps_without_quarantine),)
+    ),
     Mutant("refusal: of a job that may have run", ((Eligibility, "may_refuse", refuses_anything),)),
     Mutant(
         "cell and zone: of now, not of the send",
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -11,7 +11,7 @@
 from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -50,7 +50,9 @@
                 "jobId": job_id,
                 "jobInfo": {"jobId": job_id, "jobState": state, "exitStatus": 0},
             }
-            await self.pool.exchange(addr, "POST", f"/{path}", [], json.dumps(note).encode())
+            await self.pool.exchange(
+                addr, OutgoingRequest("POST", f"/{path}", body=json.dumps(note).encode())
+            )
 
     def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -26,7 +26,7 @@
 from merlinbay.drmaa.status_polling import PollingLimits, StatusPolling
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.http.servers import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -150,14 +150,14 @@
         )
         reply: Reply | Outcome = Outcome.TIMEOUT
         with trio.move_on_at(self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer):
-            reply = await self.exchange(
-                attempt.server,
+            request = OutgoingRequest(
                 "POST",
                 JOBS,
                 [("content-type", "application/json")],
                 schema.write(call),
                 partial(check_may_begin, attempt),
             )
+            reply = await self.exchange(attempt.server, request)
         outcome, job_id = outcome_of(reply) if isinstance(reply, Reply) else (reply, "")
         self.sending.discard(attempt)
         gave_up, recall = attempt in self.given_up, attempt in self.recalls
@@ -181,13 +181,13 @@
 
     async def _terminate(self, server: str, job_id: str) -> None:
         with trio.move_on_after(self.limits.cancel_exchange):
-            reply = await self.exchange(server, "POST", f"{JOBS}/{job_id}/terminate", [])
+            reply = await self.exchange(server, OutgoingRequest("POST", f"{JOBS}/{job_id}/terminate"))
             self.counters.add("drmaa_terminates" if isinstance(reply, Reply) else "drmaa_terminates_failed")
 
     async def _recall(self, attempt: ServerAttempt, job_id: str) -> None:
         done = False
         with trio.move_on_after(self.limits.cancel_exchange):
-            reply = await self.exchange(attempt.server, "POST", f"{JOBS}/{job_id}/recall", [])
+            reply = await self.exchange(attempt.server, OutgoingRequest("POST", f"{JOBS}/{job_id}/recall"))
             done = isinstance(reply, Reply) and reply.status == 200
         self.counters.add("drmaa_recalls" if done else "drmaa_recalls_failed")
         await self.post(AttemptRecalled(attempt.spec.name, attempt.server, done))
@@ -195,7 +195,7 @@
     async def _control(self, attempt: ServerAttempt, job_id: str, action: str) -> None:
         error, message = "DrmCommunicationException", "its scheduler did not answer"
         with trio.move_on_after(self.limits.cancel_exchange):
-            reply = await self.exchange(attempt.server, "POST", f"{JOBS}/{job_id}/{action}", [])
+            reply = await self.exchange(attempt.server, OutgoingRequest("POST", f"{JOBS}/{job_id}/{action}"))
             if isinstance(reply, Reply):
                 error, message = error_of(reply)
         self.counters.add("drmaa_controls_failed" if error else "drmaa_controls")
@@ -205,7 +205,7 @@
         """IncomingCall for one job's state, and tell what differs from what is known."""
         reply: Reply | Outcome = Outcome.TIMEOUT
         with trio.move_on_after(self.limits.cancel_exchange):
-            reply = await self.exchange(attempt.server, "GET", f"{JOBS}/{job_id}", [])
+            reply = await self.exchange(attempt.server, OutgoingRequest("GET", f"{JOBS}/{job_id}"))
         self.counters.add("drmaa_asked")
         now, name, server = self.clock.now_us(), attempt.spec.name, attempt.server
         info: schema.JobInfo | None = None
--- a/merlinbay/executor/server.py
+++ b/merlinbay/executor/server.py
@@ -18,7 +18,7 @@
 from merlinbay.executor.slots import Job, Slots
 from merlinbay.http.client import ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -179,9 +179,8 @@
         waiting, tries = self.notes[job], 0
         while waiting:
             try:
-                reply = await self.pool.exchange(
-                    addr, "POST", f"/{path}", [("content-type", "application/json")], waiting[0]
-                )
+                heads = [("content-type", "application/json")]
+                reply = await self.pool.exchange(addr, OutgoingRequest("POST", f"/{path}", heads, waiting[0]))
                 done = reply.status < 300 or reply.status == 400
             except (RequestNotSentError, ConnectionBrokenError):
                 done = False
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -21,12 +21,30 @@
 from merlinbay.limits import ResourceLimits
 
 PreSendCheck = Callable[[], Headers]
-"""Called right before the first byte.
+"""Called right before the first byte of a request.
 
-Returns the headers that tell of that moment; raises ``AttemptWithheldError``.
+Returns headers whose values depend on that moment. Raises ``AttemptWithheldError``.
 """
 
 
+def may_always_keep(reply: Reply) -> bool:
+    """Keep the connection after any answer."""
+    return True
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingRequest:
+    """A request for a pooled connection. Dispatching an attempt needs a ``pre_send_check``."""
+
+    method: str
+    target: str
+    headers: Headers = field(default_factory=list)
+    body: bytes = b""
+    pre_send_check: PreSendCheck | None = None  # also requires that the server is still listed and serving
+    may_keep: Callable[[Reply], bool] = may_always_keep  # whether the connection stays open after an answer
+    may_reuse_in_quarantine: bool = False  # its answer proves nothing, so a stray earlier one does no harm
+
+
 @dataclass(slots=True, eq=False)
 class PooledServer:
     """A real server as the pool knows it."""
@@ -68,41 +86,29 @@
             if known is None and entry.state != "removed":
                 self.servers[entry.server] = PooledServer(entry.address, entry.started_at_us)
 
-    async def exchange(
-        self,
-        name: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: PreSendCheck | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply:
-        """Have one exchange, and keep the connection if it can carry another.
-
-        One that places a job has a ``last_look``: it goes to no server that has left since it was chosen,
-        and not if the look raises ``AttemptWithheldError``. The connection ends after an answer that
-        ``keeps_after``
-        does not accept. One whose answer proves nothing needs no ``rested`` connection.
+    async def exchange(self, name: str, request: OutgoingRequest) -> Reply:
+        """Send a request to a server, return its answer, and keep the connection if it can carry another.
+
+        Raises ``RequestNotSentError`` or ``ConnectionBrokenError``.
         """
         server = self.servers.get(name)
         if server is None:
             raise RequestNotSentError("not listed")
-        connection = await self._connection(server, rested)
-        if last_look is not None:
+        connection = await self._connection(server, request.may_reuse_in_quarantine)
+        headers = request.headers
+        if request.pre_send_check is not None:
             try:
-                headers = headers + self._look(name, server, last_look)
+                headers = headers + self._check_before_sending(name, server, request.pre_send_check)
             except AttemptWithheldError:
                 self.counters.add("sends_withheld")
                 self._keep(name, server, connection, connection.quarantined_until)
                 raise
         try:
-            reply = await connection.exchange(method, target, headers, body)
+            reply = await connection.exchange(request.method, request.target, headers, request.body)
         except BaseException:
             self._close(connection)
             raise
-        if keeps_after(reply):
+        if request.may_keep(reply):
             # Guards against an answer that comes twice, the second time some milliseconds late: it would pass
             # for the answer to the next request, be it that a job which was taken never ran.
             self._keep(name, server, connection, trio.current_time() + self.limits.pool_rest)
@@ -119,18 +125,20 @@
                 while server.idle_connections and server.idle_connections[0].idle_since < before:
                     self._close(server.idle_connections.pop(0))
 
-    def _look(self, name: str, server: PooledServer, last_look: PreSendCheck) -> Headers:
-        """Look at the server, then at the request. Raises ``AttemptWithheldError``."""
-        # Guards against a drain told between placing and the first byte: a dial, or a long turn, lay between.
+    def _check_before_sending(self, name: str, server: PooledServer, check: PreSendCheck) -> Headers:
+        """Check the server, then the request. Raises ``AttemptWithheldError``."""
+        # Guards against a drain notified between dispatch and the first byte, during a dial or a long batch.
         if not self.is_serving(name) or self.servers.get(name) is not server:
             raise AttemptWithheldError("its server has left since it was chosen")
-        return last_look()
+        return check()
 
-    async def _connection(self, server: PooledServer, rested: bool) -> ClientConnection:
-        """Return the connection that was used last, and has ``rested`` if it must have, or a new one."""
+    async def _connection(self, server: PooledServer, may_reuse_in_quarantine: bool) -> ClientConnection:
+        """Return the available connection that was used last, or a new one."""
         now = trio.current_time()
         for connection in [
-            kept for kept in reversed(server.idle_connections) if not rested or kept.quarantined_until <= now
+            kept
+            for kept in reversed(server.idle_connections)
+            if may_reuse_in_quarantine or kept.quarantined_until <= now
         ]:
             server.idle_connections.remove(connection)
             fresh = now - connection.idle_since < self.limits.pool_idle
--- a/merlinbay/http/servers.py
+++ b/merlinbay/http/servers.py
@@ -21,7 +21,7 @@
     RequestNotSentError,
     UnreadableResponseError,
 )
-from merlinbay.http.pool import ConnectionPool, PreSendCheck
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -29,7 +29,7 @@
 
 
 def check_may_begin(attempt: ServerAttempt) -> Headers:
-    """Look at an attempt right before its first byte, as a pool's last look.
+    """Look at an attempt right before its first byte, as a ``PreSendCheck``.
 
     Raises ``AttemptWithheldError``.
     """
@@ -72,22 +72,10 @@
         """Tell that an attempt never went out. The owner's own task must not wait for its inbox."""
         self.nursery.start_soon(self.report_ended, attempt, Outcome.CONNECT_FAILED)
 
-    async def exchange(
-        self,
-        server: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: PreSendCheck | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply | Outcome:
+    async def exchange(self, server: str, request: OutgoingRequest) -> Reply | Outcome:
         """Have one exchange; return its answer, be it an unreadable one, or the outcome where none came."""
         try:
-            return await self.pool.exchange(
-                server, method, target, headers, body, last_look, keeps_after, rested
-            )
+            return await self.pool.exchange(server, request)
         except (AttemptWithheldError, LocalResourceError):
             # Guards against servers that are left out as failing for what this machine lacks.
             return Outcome.MOOT
--- a/merlinbay/notify/sender.py
+++ b/merlinbay/notify/sender.py
@@ -9,8 +9,8 @@
 
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
-from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, RequestNotSentError
-from merlinbay.http.pool import ConnectionPool, PooledServer, PreSendCheck
+from merlinbay.http.client import ConnectionBrokenError, Reply, RequestNotSentError
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest, PooledServer
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify import signing
@@ -22,17 +22,7 @@
 class AddressPool(ConnectionPool):
     """Connections by address, to whom they may be."""
 
-    async def exchange(
-        self,
-        name: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: PreSendCheck | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply:
+    async def exchange(self, name: str, request: OutgoingRequest) -> Reply:
         """Have one exchange with the address ``name``."""
         if name not in self.servers:
             for addr in [addr for addr, server in self.servers.items() if not server.idle_connections][:8]:
@@ -40,7 +30,7 @@
             if len(self.servers) >= KEPT_MOST:
                 self._drop_idle(self.servers.pop(next(iter(self.servers))))
             self.servers[name] = PooledServer(name)
-        return await super().exchange(name, method, target, headers, body, last_look, keeps_after, rested)
+        return await super().exchange(name, request)
 
 
 class Sender:
@@ -89,7 +79,9 @@
         target, why, reply = batch.listener.target, "", None
         try:
             with trio.fail_after(self.timeout):
-                reply = await self.pool.exchange(target.addr, "POST", target.path, heads, body)
+                reply = await self.pool.exchange(
+                    target.addr, OutgoingRequest("POST", target.path, heads, body)
+                )
         except trio.TooSlowError:
             why = f"no answer within {self.timeout:g} s"
         except (RequestNotSentError, ConnectionBrokenError) as error:
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -10,7 +10,7 @@
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Headers, Reply
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.http.servers import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -86,16 +86,17 @@
         reply: Reply | Outcome | None = None
         begun = False
 
-        def last_look() -> Headers:
+        def check_before_sending() -> Headers:
             nonlocal begun
             check_may_begin(attempt)
             begun = True
             return [("x-timeout-ms", str(self._wait_ms(attempt)))]
 
         with scope:
-            reply = await self.exchange(
-                attempt.server, "POST", spec.target, headers, spec.body, last_look, replies.settles
+            request = OutgoingRequest(
+                "POST", spec.target, headers, spec.body, check_before_sending, replies.settles
             )
+            reply = await self.exchange(attempt.server, request)
         given_up = self.sending.pop(attempt, None) is None
         if given_up:
             if begun and may_be_held(reply):
@@ -133,8 +134,8 @@
         """Give up an attempt at its server; tell whether the server has answered."""
         reply: Reply | Outcome | None = None
         with trio.move_on_after(self.limits.cancel_exchange):
-            target = f"/jobs/{attempt.spec.name}"
-            reply = await self.exchange(attempt.server, "DELETE", target, [], rested=False)
+            request = OutgoingRequest("DELETE", f"/jobs/{attempt.spec.name}", may_reuse_in_quarantine=True)
+            reply = await self.exchange(attempt.server, request)
             self.counters.add("deletes" if isinstance(reply, Reply) else "deletes_failed")
         return isinstance(reply, Reply)
 
@@ -142,7 +143,8 @@
         began = self.clock.now_us()
         reply: Reply | Outcome = Outcome.TIMEOUT
         with trio.move_on_after(self.limits.probe_exchange):
-            reply = await self.exchange(name, "GET", "/-/load" if self.has_load else "/-/healthy", [])
+            request = OutgoingRequest("GET", "/-/load" if self.has_load else "/-/healthy")
+            reply = await self.exchange(name, request)
         outcome, report = reply if isinstance(reply, Outcome) else Outcome.ERROR, None
         if isinstance(reply, Reply):
             outcome = Outcome.OK if reply.status == 200 else Outcome.ERROR
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import AttemptWithheldError
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientRequest
@@ -504,21 +504,21 @@
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             dial = pool._connection
 
-            async def left(known: object, rested: bool) -> object:
+            async def left(known: object, in_quarantine: bool) -> object:
                 nonlocal wanted
-                made = await dial(known, rested)  # type: ignore[arg-type]
+                made = await dial(known, in_quarantine)  # type: ignore[arg-type]
                 wanted = False
                 return made
 
             pool._connection = left  # type: ignore[method-assign,assignment]
 
-            def last_look() -> list[tuple[str, str]]:
+            def check_before_sending() -> list[tuple[str, str]]:
                 if not wanted:
                     raise AttemptWithheldError("its client has left")
                 return []
 
             with pytest.raises(AttemptWithheldError):
-                await pool.exchange("s", "POST", "/", [], b"x", last_look)
+                await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x", check_before_sending))
             assert not server.seen and len(pool.servers["s"].idle_connections) == 1
 
     play(scene)
@@ -580,15 +580,19 @@
                 counters = Counters()
                 pool = ConnectionPool(LIMITS, counters)
                 pool.update_endpoints("all", [ServiceEntry("s", f"127.0.0.1:{port}")])
-                first = await pool.exchange("s", "POST", "/", [], b"x")
+                first = await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x"))
                 if not late:  # both are read at once
                     await trio.sleep(2 * LIMITS.pool_rest)
-                assert (await pool.exchange("s", "POST", "/", [], b"x")).status == first.status
+                assert (
+                    await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x"))
+                ).status == first.status
                 assert counters.counts["server_connections"] == 2  # on a connection of its own
                 # A give-up takes any connection, but the next job not the one that it used.
-                await pool.exchange("s", "DELETE", "/jobs/x", [], rested=False)
+                await pool.exchange("s", OutgoingRequest("DELETE", "/jobs/x", may_reuse_in_quarantine=True))
                 assert counters.counts["server_connections"] == (3 if not late else 2)
-                assert (await pool.exchange("s", "POST", "/", [], b"x")).status == first.status
+                assert (
+                    await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x"))
+                ).status == first.status
                 nursery.cancel_scope.cancel()
 
     play(scene)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -38,7 +38,7 @@
 from merlinbay.handover import messages as handed
 from merlinbay.http.client import RequestNotSentError
 from merlinbay.http.connection import Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.log import Log
 from merlinbay.platform import messages
 from merlinbay.platform.discovery import Discovery
@@ -47,6 +47,7 @@
 from tests.support import entry, settings
 
 SECOND = 1_000_000
+JOB_REQUEST = OutgoingRequest("POST", "/", [], b"x", pre_send_check=list)
 QUICK = replace(
     LIMITS,
     watch_wait=0.05,
@@ -582,12 +583,12 @@
             counters = Counters()
             pool = ConnectionPool(LIMITS, counters, lambda name: not leaves)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
-            assert (await pool.exchange("s", "POST", "/", [], b"x", last_look=list)).status == 202
+            assert (await pool.exchange("s", JOB_REQUEST)).status == 202
             await trio.sleep(1.2 * LIMITS.pool_rest)
             leaves = True
             with pytest.raises(RequestNotSentError):
-                await pool.exchange("s", "POST", "/", [], b"x", last_look=list)
-            assert (await pool.exchange("s", "DELETE", "/jobs/x", [])).status == 202
+                await pool.exchange("s", JOB_REQUEST)
+            assert (await pool.exchange("s", OutgoingRequest("DELETE", "/jobs/x"))).status == 202
             assert server.targets() == ["/"] and len(server.connections) == 1
             assert counters.counts["sends_withheld"] == 1
 
@@ -625,14 +626,14 @@
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             dial = pool._connection
 
-            async def moved(known: object, rested: bool) -> object:
-                made = await dial(known, rested)  # type: ignore[arg-type]
+            async def moved(known: object, in_quarantine: bool) -> object:
+                made = await dial(known, in_quarantine)  # type: ignore[arg-type]
                 pool.update_endpoints("changes", [ServiceEntry("s", "127.0.0.2:1")])
                 return made
 
             pool._connection = moved  # type: ignore[method-assign,assignment]
             with pytest.raises(RequestNotSentError):
-                await pool.exchange("s", "POST", "/", [], b"x", last_look=list)
+                await pool.exchange("s", JOB_REQUEST)
             assert not server.targets()
 
     play(scene)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -16,8 +16,8 @@
 from merlinbay.core.values import RequestSpec
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
-from merlinbay.http.client import ConnectionBrokenError, Headers, Reply, UnreadableResponseError
-from merlinbay.http.pool import ConnectionPool, PreSendCheck
+from merlinbay.http.client import ConnectionBrokenError, Reply, UnreadableResponseError
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.log import Log
 from merlinbay.platform.servers import PlatformServers
 from tests.net import LIMITS
@@ -34,22 +34,12 @@
         self.answers, self.dial = answers, dial
         self.sent: list[tuple[str, dict[str, str]]] = []
 
-    async def exchange(
-        self,
-        name: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: PreSendCheck | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply:
+    async def exchange(self, name: str, request: OutgoingRequest) -> Reply:
         """Dial, look, send, and answer by the script."""
         await trio.sleep(self.dial)
-        told = last_look() if last_look is not None else []
-        self.sent.append((method, dict([*headers, *told])))
-        return await self.answers(method)
+        told = request.pre_send_check() if request.pre_send_check is not None else []
+        self.sent.append((request.method, dict([*request.headers, *told])))
+        return await self.answers(request.method)
 
     @property
     def methods(self) -> list[str]:
