--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -11,9 +11,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from merlinbay.core import dispatcher
+from merlinbay.core import attempt_lifecycle
+from merlinbay.core.attempt_lifecycle import AttemptLifecycle
 from merlinbay.core.attempts import ServerAttempt
-from merlinbay.core.dispatcher import Dispatcher
 from merlinbay.core.messages import AttemptProgress
 from merlinbay.core.requests import RequestTable
 from merlinbay.decision import outcomes, rules
@@ -144,7 +144,7 @@
     return JobReply.FAILED if found is JobReply.UNKNOWN else found
 
 
-def progress_goes_unheard(self: Dispatcher, message: AttemptProgress) -> None:
+def progress_goes_unheard(self: AttemptLifecycle, message: AttemptProgress) -> None:
     """Take no notice of progress, from which it follows that the job has started."""
 
 
@@ -156,7 +156,7 @@
 def never_ran_too(outcome: Outcome) -> tuple[tuple[Any, str, Any], ...]:
     """Count another outcome as proof that an attempt never ran, wherever that is asked."""
     wrong = NEVER_RAN | {outcome}
-    return ((outcomes, "NEVER_RAN", wrong), (dispatcher, "NEVER_RAN", wrong))
+    return ((outcomes, "NEVER_RAN", wrong), (attempt_lifecycle, "NEVER_RAN", wrong))
 
 
 MUTANTS = (
@@ -169,9 +169,9 @@
     Mutant("outcome: an error never ran", never_ran_too(Outcome.ERROR)),
     Mutant(
         "outcome: returned after a start never ran",
-        ((rules, "never_ran", never_ran_after_all), (dispatcher, "never_ran", never_ran_after_all)),
+        ((rules, "never_ran", never_ran_after_all), (attempt_lifecycle, "never_ran", never_ran_after_all)),
     ),
-    Mutant("outcome: progress is no start", ((Dispatcher, "_on_attempt_progress", progress_goes_unheard),)),
+    Mutant("outcome: progress is no start", ((AttemptLifecycle, "_on_progress", progress_goes_unheard),)),
     Mutant(
         "outcome: broken before the 202 is unsent", ((PooledServerTransport, "exchange", broken_is_unsent),)
     ),
--- /dev/null
+++ b/merlinbay/core/attempt_lifecycle.py
@@ -0,0 +1,229 @@
+"""Attempts from their dispatch to their one outcome."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from merlinbay.clock import Clock
+from merlinbay.core.attempts import ServerAttempt
+from merlinbay.core.event_batch import EventBatch
+from merlinbay.core.interfaces import PeerProcess, ServerTransport
+from merlinbay.core.messages import (
+    AttemptFinished,
+    AttemptProgress,
+    AttemptStarted,
+    AttemptSuspended,
+    Callback,
+    CallbackRelayed,
+)
+from merlinbay.core.request_lifecycle import RequestLifecycle
+from merlinbay.core.requests import OpenRequest, RequestTable
+from merlinbay.core.timers import AttemptDeadline, Timers
+from merlinbay.core.values import Answer, AnswerStatus
+from merlinbay.counters import Counters
+from merlinbay.decision import Balancer
+from merlinbay.decision.actions import Dispatch
+from merlinbay.decision.events import AttemptEnded, ExecutionPaused, ExecutionProgressed, ExecutionStarted
+from merlinbay.decision.outcomes import NEVER_RAN, Outcome, never_ran
+
+
+def report_row(report: dict[str, float] | None, fields: list[str]) -> list[object] | None:
+    """Return a load report in the order of the settings' fields."""
+    return None if report is None else [report.get(name) for name in fields]
+
+
+class AttemptLifecycle:
+    """Begins and ends attempts, and takes the servers' reports on them. Nothing here waits."""
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        request_lifecycle: RequestLifecycle,
+        timers: Timers,
+        batch: EventBatch,
+        servers: ServerTransport,
+        balancer: Balancer,
+        clock: Clock,
+        counters: Counters,
+    ) -> None:
+        self.requests, self.request_lifecycle = requests, request_lifecycle
+        self.timers, self.batch, self.servers = timers, batch, servers
+        self.balancer, self.clock, self.counters = balancer, clock, counters
+        self.peer: PeerProcess | None = None  # the process that this one replaces, or that replaces it
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            AttemptStarted: self._on_started,
+            AttemptProgress: self._on_progress,
+            AttemptSuspended: self._on_suspended,
+            AttemptFinished: self._on_finished,
+            CallbackRelayed: self._on_relayed,
+        }
+
+    def set_peer_process(self, peer: PeerProcess | None) -> None:
+        """Relay call-backs for requests of the node's other process to it."""
+        self.peer = peer
+
+    # Dispatch.
+
+    def dispatch(self, request: OpenRequest, action: Dispatch) -> None:
+        """Begin an attempt, or end it at once as withheld where it is not to begin any more."""
+        number, request.attempt_count = request.attempt_count, request.attempt_count + 1
+        if not request.is_answered and request.responder.has_disconnected():
+            # Guards against an attempt for a client whose disconnect is not in the inbox yet.
+            self.request_lifecycle.withdraw(request)
+        is_on_server = self.requests.find_attempt(request.spec.name, action.endpoint) is not None
+        if request.is_answered or self.batch.now_us >= request.deadline_at_us or is_on_server:
+            self.counters.add("attempts_moot")
+            self.batch.add(
+                AttemptEnded(
+                    request.number, number, Outcome.MOOT, 0, request.is_answered, None, action.endpoint
+                )
+            )
+            return
+        self.counters.add("attempts_sent")
+        self._begin(request, number, action)
+
+    def _begin(self, request: OpenRequest, number: int, action: Dispatch) -> None:
+        deadline_at_us = request.deadline_at_us
+        if action.timeout_us:
+            deadline_at_us = min(deadline_at_us, self.batch.now_us + action.timeout_us)
+        attempt = ServerAttempt(
+            request.spec,
+            request.number,
+            number,
+            action.endpoint,
+            self.batch.now_us,
+            deadline_at_us,
+            responder=request.responder,
+            is_permitted=self._is_permitted,
+        )
+        self.requests.open_attempt(request, attempt)
+        if deadline_at_us < request.deadline_at_us:
+            self.timers.add(deadline_at_us, AttemptDeadline(attempt))
+        self.servers.start(attempt)
+        if request.is_recalling:  # Guards against a hedge that starts while the first attempt is recalled.
+            self.servers.recall(attempt)
+        request.responder.on_dispatched(attempt.server)
+
+    def _is_permitted(self, attempt: ServerAttempt) -> bool:
+        """Tell whether the rules still allow an attempt whose dial may have taken long."""
+        now_us = self.clock.now_us()
+        return now_us < attempt.deadline_at_us and self.balancer.may_begin(
+            attempt.request_number, attempt.number, now_us
+        )
+
+    # Reports of servers.
+
+    def set_suspended(self, attempt: ServerAttempt, is_suspended: bool) -> None:
+        """Record that a server has suspended or resumed an attempt."""
+        attempt.is_suspended = is_suspended
+        self.batch.add(ExecutionPaused(attempt.request_number, attempt.number, is_suspended))
+
+    def _on_started(self, message: AttemptStarted) -> None:
+        attempt = self.requests.find_attempt(message.name, message.server)
+        if attempt is None:
+            self._relay(message)
+            return
+        attempt.has_started = True
+        if attempt.is_suspended:
+            self.set_suspended(attempt, False)
+        else:
+            self.batch.add(ExecutionStarted(attempt.request_number, attempt.number))
+        request = self.requests.request_of(attempt)
+        if not request.is_answered:
+            request.responder.on_started(attempt.server)
+
+    def _on_progress(self, message: AttemptProgress) -> None:
+        attempt = self.requests.find_attempt(message.name, message.server)
+        if attempt is None:
+            self._relay(message)
+            return
+        attempt.has_started = True  # the report of the start may come later, or never
+        self.batch.add(ExecutionProgressed(attempt.request_number, attempt.number, message.share))
+
+    def _on_suspended(self, message: AttemptSuspended) -> None:
+        attempt = self.requests.find_attempt(message.name, message.server)
+        if attempt is None or attempt.is_suspended:
+            return
+        attempt.has_started = True
+        self.set_suspended(attempt, True)
+        request = self.requests.request_of(attempt)
+        if not request.is_answered:
+            request.responder.on_suspended()
+
+    def _on_finished(self, message: AttemptFinished) -> None:
+        attempt = self.requests.find_attempt(message.name, message.server)
+        if attempt is None:  # Guards against call-backs that repeat, or cross a cancel.
+            self._relay(message)
+        elif message.is_unfit:
+            self._fail_unfit(attempt, message)
+        else:
+            self.requests.request_of(attempt).exit_details = message.exit_details
+            self.end(attempt, message.outcome, message.result, message.report)
+
+    def _on_relayed(self, message: CallbackRelayed) -> None:
+        if self.requests.find_attempt(message.message.name, message.message.server) is not None:
+            self.handlers[type(message.message)](message.message)
+
+    def _relay(self, message: Callback) -> None:
+        """Relay a call-back for no attempt here to the node's other process, if there is one."""
+        if self.peer is None or not self.peer.relay_callback(message):
+            self.counters.add("attempts_stale")
+
+    def _fail_unfit(self, attempt: ServerAttempt, message: AttemptFinished) -> None:
+        """Fail a request that a server finds invalid, and end its attempt as cancelled."""
+        # Guards against one invalid request that goes from server to server and has each ejected as failing:
+        # it is not retried, and a cancelled attempt says nothing of a server's health.
+        request = self.requests.request_of(attempt)
+        self.counters.add("requests_unfit")
+        if not request.is_answered:
+            answer = Answer(AnswerStatus.FAILED, exit_details=message.exit_details)
+            self.request_lifecycle.answer(request, answer)
+        self.end(attempt, Outcome.CANCELLED, report=message.report)
+
+    # Ends.
+
+    def end(
+        self,
+        attempt: ServerAttempt,
+        outcome: Outcome,
+        result: bytes = b"",
+        report: dict[str, float] | None = None,
+    ) -> None:
+        """End an attempt, once; the first success answers its request."""
+        if outcome in NEVER_RAN and not never_ran(outcome, attempt.has_started):
+            outcome = Outcome.RESET
+        request = self.requests.close_attempt(attempt)
+        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+        attempt.has_ended = True
+        self.servers.forget(attempt)
+        self.counters.add(f"attempts_{outcome.name.lower()}")
+        self._notify_responder(request, attempt, outcome, result)
+        self.batch.add(
+            AttemptEnded(
+                attempt.request_number,
+                attempt.number,
+                outcome,
+                self.batch.now_us - attempt.sent_at_us,
+                request.is_answered,
+                report_row(report, self.balancer.settings.report_fields),
+                attempt.server,
+            )
+        )
+        self.requests.remove_if_finished(request)
+
+    def _notify_responder(
+        self, request: OpenRequest, attempt: ServerAttempt, outcome: Outcome, result: bytes
+    ) -> None:
+        if request.is_answered:
+            return
+        if outcome is Outcome.OK:
+            answer = Answer(AnswerStatus.SERVED, result, exit_details=request.exit_details)
+            self.request_lifecycle.answer(request, answer)
+        elif attempt.has_started and not any(other.has_started for other in request.open_attempts.values()):
+            request.responder.on_requeued()
+
+    def give_up(self, attempt: ServerAttempt, outcome: Outcome) -> None:
+        """Have the server stop an attempt, and end it."""
+        self.servers.give_up(attempt)
+        self.end(attempt, outcome)
--- a/merlinbay/core/attempts.py
+++ b/merlinbay/core/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on a server, and the client that waits for the request."""
+"""One attempt of a request on a server, and the responder that carries the request's answer to its client."""
 
 from __future__ import annotations
 
@@ -9,66 +9,65 @@
 
 
 class Responder:
-    """The client's side of one request. A front overrides what its wire has words for; nothing here waits."""
+    """The client's side of one request. A front overrides what its protocol can express; none waits."""
 
     def answer(self, answer: Answer) -> None:
-        """Take the request's one answer."""
+        """Send the request's one final answer."""
         raise NotImplementedError
 
     def has_disconnected(self) -> bool:
-        """Tell whether the client has left, be it that nobody has said so yet."""
+        """Tell whether the client has disconnected, even if no ``RequestWithdrawn`` has come yet."""
         return False
 
     def on_dispatched(self, server: str) -> None:
-        """Take it that a real server has been chosen. May come more than once."""
+        """Note that an attempt goes to a server. May come more than once."""
 
     def on_started(self, server: str) -> None:
-        """Take it that a real server runs the job. May come more than once."""
+        """Note that a server has started the request. May come more than once."""
 
     def on_suspended(self) -> None:
-        """Take it that its real server has suspended the job."""
+        """Note that the server has suspended the request."""
 
     def on_requeued(self) -> None:
-        """Take it that no real server runs the job any more; the module decides anew."""
+        """Note that no server runs the request any more; the decision module decides anew."""
 
     def on_status_unknown(self) -> None:
-        """Take it that its real server cannot be asked at present."""
+        """Note that the server cannot be asked for the request's status at present."""
 
     def on_found_queued(self) -> None:
-        """Take it that its real server was asked, and has not started the job."""
+        """Note that the server was asked, and has not started the request."""
 
-    def on_recall_ended(self, done: bool) -> None:
-        """Take it that the request was called back unstarted and is over (``done``), or that it goes on."""
+    def on_recall_ended(self, was_recalled: bool) -> None:
+        """Note that the request was recalled unstarted and is over, or that it goes on."""
 
     def on_control_ended(self, action: str, error: str, message: str) -> None:
-        """Take what came of ``suspend`` or ``resume``; ``error`` is empty where it was done."""
+        """Note the result of ``suspend`` or ``resume``; ``error`` is empty where it succeeded."""
 
 
-def always(attempt: ServerAttempt) -> bool:
-    """Allow any attempt."""
+def is_always_permitted(attempt: ServerAttempt) -> bool:
+    """Permit any attempt."""
     return True
 
 
 @dataclass(slots=True, eq=False)
 class ServerAttempt:
-    """One attempt of a request on a real server."""
+    """One attempt of a request on a server."""
 
     spec: RequestSpec
-    request_number: int  # the request's id in the module
-    number: int  # of this attempt, from 0
+    request_number: int  # the request's id in the decision module
+    number: int  # of this attempt among those of its request, from 0
     server: str
     sent_at_us: int
     deadline_at_us: int
     has_ended: bool = False
     has_started: bool = False
-    is_suspended: bool = False  # suspended by its real server
+    is_suspended: bool = False
     responder: Responder | None = None  # of its request
-    is_permitted: Callable[[ServerAttempt], bool] = (
-        always  # whether its class allows it still, see ``may_begin``
-    )
+    # Whether the rules still allow it, see ``may_begin``.
+    is_permitted: Callable[[ServerAttempt], bool] = is_always_permitted
 
     def may_begin(self) -> bool:
-        """Tell, right before its first byte, whether it is still to be begun."""
+        """Tell, right before its first byte, whether it may still be sent."""
         if self.has_ended or (self.responder is not None and self.responder.has_disconnected()):
             return False
         return self.is_permitted(self)
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -1,65 +1,57 @@
-"""Recall, suspend and resume: what fronts with more than the platform's calls ask of open requests."""
+"""Recall, suspend and resume of open requests, for fronts whose protocol has them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
+from merlinbay.core.attempt_lifecycle import AttemptLifecycle
 from merlinbay.core.attempts import ServerAttempt
 from merlinbay.core.interfaces import ServerTransport
 from merlinbay.core.messages import (
     AttemptControlled,
     AttemptRecalled,
     AttemptStatusUnknown,
-    AttemptSuspended,
     ControlRequested,
     RecallRequested,
 )
+from merlinbay.core.request_lifecycle import RequestLifecycle
 from merlinbay.core.requests import OpenRequest, RequestTable
-from merlinbay.decision.events import Event, ExecutionPaused
 from merlinbay.decision.outcomes import Outcome
 
 
-class EndAttempt(Protocol):
-    """How the owner ends an attempt."""
-
-    def __call__(self, attempt: ServerAttempt, outcome: Outcome) -> None:
-        """End it, once."""
-
-
 class RequestControls:
-    """Handlers of these messages, by type. Called by the owner's task alone; nothing here waits."""
+    """Handles these messages, by type. Only the dispatcher's task calls it; nothing here waits."""
 
     def __init__(
         self,
         requests: RequestTable,
+        request_lifecycle: RequestLifecycle,
+        attempt_lifecycle: AttemptLifecycle,
         servers: ServerTransport,
-        end_attempt: EndAttempt,
-        tell_module: Callable[[Event], None],
     ) -> None:
         self.requests, self.servers = requests, servers
-        self.end_attempt, self.tell_module = end_attempt, tell_module
+        self.request_lifecycle, self.attempt_lifecycle = request_lifecycle, attempt_lifecycle
         self.handlers: dict[type, Callable[[Any], None]] = {
-            RecallRequested: self._recall,
-            ControlRequested: self._control,
+            RecallRequested: self._on_recall_requested,
+            ControlRequested: self._on_control_requested,
             AttemptRecalled: self._on_recalled,
             AttemptControlled: self._on_controlled,
-            AttemptSuspended: self._on_suspended,
-            AttemptStatusUnknown: self._on_unseen,
+            AttemptStatusUnknown: self._on_status_unknown,
         }
 
-    def _open(
+    def _find(
         self, message: AttemptRecalled | AttemptControlled | AttemptStatusUnknown
     ) -> tuple[OpenRequest, ServerAttempt] | None:
-        """Return the open attempt that a message is about, and its request, unless that is answered."""
-        attempt = self.requests.attempts.get((message.name, message.server))
+        """Return the open attempt of a message and its request; None if that is answered already."""
+        attempt = self.requests.find_attempt(message.name, message.server)
         if attempt is None:
             return None
         request = self.requests.request_of(attempt)
         return None if request.is_answered else (request, attempt)
 
-    def _recall(self, message: RecallRequested) -> None:
-        # A request that is done has been answered: that, and nothing here, tells what became of it.
+    def _on_recall_requested(self, message: RecallRequested) -> None:
+        # A request that is answered needs no reply: its answer says what became of it.
         request = self.requests.find_unanswered(message.name, message.responder)
         if request is None or request.is_recalling:
             return
@@ -67,22 +59,19 @@
         for attempt in request.open_attempts.values():
             self.servers.recall(attempt)
 
-    def _control(self, message: ControlRequested) -> None:
+    def _on_control_requested(self, message: ControlRequested) -> None:
         request = self.requests.find_unanswered(message.name, message.responder)
         if request is None:
             return
         if len(request.open_attempts) == 1:
             self.servers.control(next(iter(request.open_attempts.values())), message.action)
             return
-        # Guards against a copy that runs on while the other is suspended.
-        count = len(request.open_attempts)
-        request.responder.on_control_ended(
-            message.action, "TryLaterException", f"{count} servers have the job"
-        )
+        # Guards against a hedge that runs on while the other attempt is suspended.
+        cause = f"{len(request.open_attempts)} servers have the job"
+        request.responder.on_control_ended(message.action, "TryLaterException", cause)
 
     def _on_recalled(self, message: AttemptRecalled) -> None:
-        """Take a server's word on an attempt that is to come back unstarted."""
-        if (found := self._open(message)) is None:
+        if (found := self._find(message)) is None:
             return
         request, attempt = found
         if request.is_recalling and (not message.was_returned or attempt.has_started):
@@ -90,39 +79,27 @@
             request.responder.on_recall_ended(False)
         if not message.was_returned:
             return
-        # Guards against a server that looks full for having given back what was asked for: that is CANCELLED.
+        # Guards against a server that looks full because it returned what was recalled: that is CANCELLED.
         if not request.is_recalling:
-            self.end_attempt(attempt, Outcome.FULL)
-        elif len(request.open_attempts) > 1:  # the others are asked too: the last one's word counts
-            self.end_attempt(attempt, Outcome.CANCELLED)
+            self.attempt_lifecycle.end(attempt, Outcome.FULL)
+        elif len(request.open_attempts) > 1:  # the reply for the last attempt decides
+            self.attempt_lifecycle.end(attempt, Outcome.CANCELLED)
         else:
-            request.is_answered = (
-                True  # Guards against a next attempt: the module hears that nothing is owed.
-            )
+            # Guards against a retry: the module hears that the request is final.
+            self.request_lifecycle.mark_recalled(request)
             request.responder.on_recall_ended(True)
-            self.end_attempt(attempt, Outcome.CANCELLED)
+            self.attempt_lifecycle.end(attempt, Outcome.CANCELLED)
 
     def _on_controlled(self, message: AttemptControlled) -> None:
-        if (found := self._open(message)) is None:
+        if (found := self._find(message)) is None:
             return
         request, attempt = found
         if not message.error:
-            attempt.is_suspended = message.action == "suspend"
-            self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, attempt.is_suspended))
+            self.attempt_lifecycle.set_suspended(attempt, message.action == "suspend")
         request.responder.on_control_ended(message.action, message.error, message.message)
 
-    def _on_suspended(self, message: AttemptSuspended) -> None:
-        attempt = self.requests.attempts.get((message.name, message.server))
-        if attempt is None or attempt.is_suspended:
-            return
-        attempt.has_started = attempt.is_suspended = True
-        self.tell_module(ExecutionPaused(attempt.request_number, attempt.number, True))
-        request = self.requests.request_of(attempt)
-        if not request.is_answered:
-            request.responder.on_suspended()
-
-    def _on_unseen(self, message: AttemptStatusUnknown) -> None:
-        if (found := self._open(message)) is None:
+    def _on_status_unknown(self, message: AttemptStatusUnknown) -> None:
+        if (found := self._find(message)) is None:
             return
         request, _ = found
         if message.is_queued:
--- a/merlinbay/core/endpoint_messages.py
+++ b/merlinbay/core/endpoint_messages.py
@@ -1,10 +1,12 @@
-"""What the owner hears of the fleet: real servers, their list, peers, and operators' questions about them."""
+"""Messages about endpoints: their list, health checks, balancers that share them, operators' calls."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
+from merlinbay.core.attempt_lifecycle import report_row
+from merlinbay.core.event_batch import EventBatch
 from merlinbay.core.interfaces import EndpointObserver, PeerProcess, ServerTransport
 from merlinbay.core.messages import (
     BalancersChanged,
@@ -24,7 +26,6 @@
     DiscoveryChanged,
     EndpointEntry,
     EndpointsChanged,
-    Event,
     HealthCheckEnded,
     MaintenanceChanged,
     SlotsReserved,
@@ -32,51 +33,53 @@
 from merlinbay.decision.learned import learned
 
 
-def report_row(report: dict[str, float] | None, fields: list[str]) -> list[object] | None:
-    """Return a load report in the order of the settings' fields."""
-    return None if report is None else [report.get(name) for name in fields]
-
-
 class EndpointMessages:
-    """Handlers of these messages, by type. Called by the owner's task alone; nothing here waits."""
+    """Handles messages about endpoints, by type. Only the dispatcher's task calls it; nothing here waits."""
 
     def __init__(
-        self,
-        balancer: Balancer,
-        servers: ServerTransport,
-        counters: Counters,
-        tell_module: Callable[[Event], None],
-        now: Callable[[], int],
+        self, balancer: Balancer, servers: ServerTransport, counters: Counters, batch: EventBatch
     ) -> None:
-        self.balancer, self.servers, self.counters = balancer, servers, counters
-        self.tell_module, self.now = tell_module, now
+        self.balancer, self.servers = balancer, servers
+        self.counters, self.batch = counters, batch
         self.observers: list[EndpointObserver] = []
-        self.peer: PeerProcess | None = None  # of this node; hears of operators' maintenance
+        self.peer: PeerProcess | None = None  # the process that this one replaces, or that replaces it
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerChecked: self._on_server_probed,
-            EndpointListReceived: self._on_entries_changed,
-            DiscoveryReloaded: self._on_directory_moved,
-            BalancersChanged: self._on_balancers_counted,
-            ReservedSlotsChanged: self._on_slots_kept,
-            EndpointViewsRequested: self._on_fleet_asked,
-            MaintenanceRequested: self._on_maintenance_asked,
-            SnapshotRequested: self._on_learned_asked,
+            ServerChecked: self._on_server_checked,
+            EndpointListReceived: self._on_endpoint_list,
+            DiscoveryReloaded: self._on_discovery_reloaded,
+            BalancersChanged: self._on_balancers_changed,
+            ReservedSlotsChanged: self._on_reserved_slots,
+            EndpointViewsRequested: self._on_views_requested,
+            MaintenanceRequested: self._on_maintenance_requested,
+            SnapshotRequested: self._on_snapshot_requested,
         }
 
-    def _on_server_probed(self, message: ServerChecked) -> None:
+    def set_peer_process(self, peer: PeerProcess | None) -> None:
+        """Relay operators' maintenance to the node's other process."""
+        self.peer = peer
+
+    def _on_server_checked(self, message: ServerChecked) -> None:
         row = report_row(message.report, self.balancer.settings.report_fields)
-        self.tell_module(HealthCheckEnded(message.server, message.outcome, message.took_for_us, row))
+        self.batch.add(HealthCheckEnded(message.server, message.outcome, message.took_for_us, row))
 
-    def _on_entries_changed(self, message: EndpointListReceived) -> None:
+    def _on_endpoint_list(self, message: EndpointListReceived) -> None:
         self.counters.add(f"entries_{message.scope}")
         self.servers.update_endpoints(message.scope, message.entries)
-        for watcher in self.observers:
-            watcher.update_endpoints(message.scope, message.entries)
+        for observer in self.observers:
+            observer.update_endpoints(message.scope, message.entries)
         rows = [
-            EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, e.started_at_us)
-            for e in message.entries
+            EndpointEntry(
+                entry.server,
+                entry.zone,
+                entry.kind,
+                entry.cell,
+                entry.state,
+                entry.weight,
+                entry.started_at_us,
+            )
+            for entry in message.entries
         ]
-        self.tell_module(
+        self.batch.add(
             EndpointsChanged(
                 message.scope,
                 rows,
@@ -86,27 +89,27 @@
             )
         )
 
-    def _on_directory_moved(self, message: DiscoveryReloaded) -> None:
-        self.tell_module(DiscoveryChanged(message.notified_after_us, message.has_moved))
+    def _on_discovery_reloaded(self, message: DiscoveryReloaded) -> None:
+        self.batch.add(DiscoveryChanged(message.notified_after_us, message.has_moved))
 
-    def _on_balancers_counted(self, message: BalancersChanged) -> None:
-        self.tell_module(BalancerCountChanged(message.count, message.own_index))
+    def _on_balancers_changed(self, message: BalancersChanged) -> None:
+        self.batch.add(BalancerCountChanged(message.count, message.own_index))
 
-    def _on_slots_kept(self, message: ReservedSlotsChanged) -> None:
-        self.tell_module(SlotsReserved(message.server, message.slots, message.total_slots))
+    def _on_reserved_slots(self, message: ReservedSlotsChanged) -> None:
+        self.batch.add(SlotsReserved(message.server, message.slots, message.total_slots))
 
-    def _on_fleet_asked(self, message: EndpointViewsRequested) -> None:
-        message.reply([EndpointView(**view) for view in self.balancer.beliefs(self.now())])
+    def _on_views_requested(self, message: EndpointViewsRequested) -> None:
+        message.reply([EndpointView(**view) for view in self.balancer.beliefs(self.batch.now_us)])
 
-    def _on_maintenance_asked(self, message: MaintenanceRequested) -> None:
-        known = self.balancer.knows(message.server)
-        if known:
-            self.tell_module(MaintenanceChanged(message.server, message.is_disabled))
+    def _on_maintenance_requested(self, message: MaintenanceRequested) -> None:
+        is_known = self.balancer.knows(message.server)
+        if is_known:
+            self.batch.add(MaintenanceChanged(message.server, message.is_disabled))
         if message.reply is None:
             return
-        message.reply(known)  # heard after this turn, in which the module learns it
-        if known and self.peer is not None:
+        message.reply(is_known)  # the caller goes on after this batch, in which the module learns of it
+        if is_known and self.peer is not None:
             self.peer.relay_maintenance(message.server, message.is_disabled)
 
-    def _on_learned_asked(self, message: SnapshotRequested) -> None:
+    def _on_snapshot_requested(self, message: SnapshotRequested) -> None:
         message.reply(learned(self.balancer, self.balancer.classes))
--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -10,52 +10,52 @@
 
 
 class ServerTransport(Protocol):
-    """The real servers. Nothing here waits; outcomes come back through the inbox."""
+    """Carries attempts to servers. Their outcomes come back as messages in the dispatcher's inbox."""
 
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
 
     def give_up(self, attempt: ServerAttempt) -> None:
-        """Stop an attempt whose outcome is settled already."""
+        """Have the server stop an attempt whose outcome is settled already."""
 
     def forget(self, attempt: ServerAttempt) -> None:
-        """Drop what is kept of an attempt: it has ended, by itself or given up."""
+        """Drop what is kept for an attempt that has ended."""
 
     def recall(self, attempt: ServerAttempt) -> None:
-        """Take an attempt back if it has not started; ``AttemptRecalled`` tells."""
+        """Take an attempt back if it has not started; the reply is ``AttemptRecalled``."""
 
     def control(self, attempt: ServerAttempt, action: str) -> None:
-        """Have the real server ``suspend`` or ``resume`` a job; ``AttemptControlled`` tells."""
+        """Have the server ``suspend`` or ``resume`` an attempt; the reply is ``AttemptControlled``."""
 
     def check_health(self, server: str) -> None:
-        """Test a real server."""
+        """Check a server's health; the reply is ``ServerChecked``."""
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Learn addresses; drop what belongs to servers that are gone or have restarted."""
+        """Take addresses; drop what belongs to servers that were removed or have restarted."""
 
 
 class EndpointDiscovery(Protocol):
-    """Discovery."""
+    """Watches the endpoint list."""
 
     def subscribe(self, patience_us: int = 0) -> None:
-        """Begin to watch the list, or do so again after a failure or a move.
+        """Begin to watch the list, again after a failure or a change of the address.
 
-        The first answer is waited for so long; 0: as long as is usual.
+        ``patience_us`` is the timeout of the first answer; 0: the usual one.
         """
 
 
 class PeerProcess(Protocol):
-    """The process that this one replaces, or that replaces it. Nothing here waits."""
+    """The process that this one replaces, or that replaces it."""
 
     def relay_callback(self, message: Callback) -> bool:
-        """Pass a call-back on that is for no request here; tell whether there is anybody to pass it to."""
+        """Relay a call-back for no request here; tell whether there is a process to relay it to."""
 
     def relay_maintenance(self, server: str, on: bool) -> None:
-        """Pass on what operators did with a real server."""
+        """Relay that operators have disabled a server (``on``) or enabled it."""
 
 
 class EndpointObserver(Protocol):
-    """Somebody beside the real servers who wants to know of them."""
+    """Hears of changes of the endpoint list beside the server transport."""
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Take discovery's news. Called by the owner's task; nothing here waits."""
+        """Take changes of the list."""
--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -14,36 +14,36 @@
 
 
 class RequestArrived(msgspec.Struct, frozen=True):
-    """A client hands in a job."""
+    """A client has sent a request."""
 
     spec: RequestSpec
     responder: Responder
 
 
 class RequestWithdrawn(msgspec.Struct, frozen=True):
-    """The client has left."""
+    """The client has disconnected."""
 
-    name: str
+    name: str  # of the request
     responder: Responder
 
 
 class RecallRequested(msgspec.Struct, frozen=True):
-    """The client's side wants the request back, if it has not started."""
+    """The client wants its request back, if it has not started."""
 
     name: str
     responder: Responder
 
 
 class ControlRequested(msgspec.Struct, frozen=True):
-    """The client's side wants the job ``suspend``-ed or ``resume``-d."""
+    """The client wants its request suspended or resumed."""
 
     name: str
     responder: Responder
-    action: str
+    action: str  # suspend | resume
 
 
 class AttemptRecalled(msgspec.Struct, frozen=True):
-    """Whether a real server gave an attempt back unstarted."""
+    """A server was asked to return an attempt unstarted."""
 
     name: str
     server: str
@@ -51,114 +51,113 @@
 
 
 class AttemptControlled(msgspec.Struct, frozen=True):
-    """What came of ``suspend`` or ``resume``; ``error`` names one of the standard's, or is empty."""
+    """A server was asked to suspend or resume an attempt."""
 
     name: str
     server: str
-    action: str
-    error: str = ""
-    message: str = ""
+    action: str  # suspend | resume
+    error: str = ""  # the standard's name of an error; empty: it succeeded
+    message: str = ""  # explains the error
 
 
 class AttemptSuspended(msgspec.Struct, frozen=True):
-    """The real server has suspended the job."""
+    """The server has suspended the attempt."""
 
     name: str
     server: str
 
 
 class AttemptStatusUnknown(msgspec.Struct, frozen=True):
-    """The real server cannot be asked (``found`` false), or was asked and has not started the job."""
+    """The server cannot be asked, or was asked and has not started the attempt."""
 
     name: str
     server: str
-    is_queued: bool
+    is_queued: bool  # it was asked
 
 
 class AttemptStarted(msgspec.Struct, tag="SchedulingStarted", frozen=True):
-    """The real server has started the job."""
+    """The server has started the attempt."""
 
     name: str
     server: str
 
 
 class AttemptProgress(msgspec.Struct, tag="SchedulingProgress", frozen=True):
-    """The job runs."""
+    """The server runs the attempt."""
 
     name: str
     server: str
-    share: float
+    share: float  # of its work that is done, from 0 to 1
 
 
 class AttemptFinished(msgspec.Struct, tag="SchedulingEnded", frozen=True):
-    """How an attempt ended. A request has one at a time on a real server, so the two names match it."""
+    """The attempt has ended. A request has one at a time on a server, so the two names identify it."""
 
     name: str
     server: str
     outcome: Outcome
     result: bytes = b""
-    report: dict[str, float] | None = None
-    is_unfit: bool = msgspec.field(
-        default=False, name="unfit"
-    )  # the real server finds the job itself at fault: no other would take it
+    report: dict[str, float] | None = None  # the server's load
+    # The server finds the request itself invalid: no other would accept it.
+    is_unfit: bool = msgspec.field(default=False, name="unfit")
     exit_details: ExitDetails | None = msgspec.field(default=None, name="ending")
 
 
 class ServerChecked(msgspec.Struct, frozen=True):
-    """What a probe found."""
+    """A health check of a server has ended."""
 
     server: str
     outcome: Outcome
     took_for_us: int
-    report: dict[str, float] | None = None
+    report: dict[str, float] | None = None  # the server's load
 
 
 class EndpointListReceived(msgspec.Struct, frozen=True):
-    """Discovery's news. Scopes: ``changes``, ``all``, ``remembered``, ``refused``."""
+    """Discovery has sent entries of the endpoint list, or a call for it has failed."""
 
-    scope: str
+    scope: str  # changes | all | remembered (from an earlier process) | refused (the call has failed)
     entries: list[ServiceEntry] = []
-    last_answer_at_us: int = -1  # of a watch that broke: when its last answer came
+    last_answer_at_us: int = -1  # of a watch that broke; -1: when it broke
     failure: CallFailure = CallFailure.BROKEN  # of a call or watch that failed
-    is_from_former_discovery: bool = False  # it comes from a discovery that the configuration names no more
+    is_from_former_discovery: bool = False  # the configuration names another one by now
 
 
 class DiscoveryReloaded(msgspec.Struct, frozen=True):
-    """A new configuration has come; all that its discovery has counts as notified after ``told_us``."""
+    """A new configuration is in use."""
 
-    notified_after_us: int
+    notified_after_us: int  # from now until all that its discovery has counts as notified
     has_moved: bool = True  # it names another discovery, which is to be called
 
 
 class BalancersChanged(msgspec.Struct, frozen=True):
-    """So many balancers share the work by now, this one included, and which in their order it is."""
+    """The balancers that share the work have changed."""
 
-    count: int
-    own_index: int = 0
+    count: int  # this one included
+    own_index: int = 0  # of this one in their common order
 
 
 class EndpointViewsRequested(msgspec.Struct, frozen=True):
-    """Somebody wants to know what the module believes of the real servers."""
+    """Somebody wants the decision module's view of the endpoints."""
 
     reply: Callable[[list[EndpointView]], None]
 
 
 class MaintenanceRequested(msgspec.Struct, frozen=True):
-    """Operators take a real server out (``on``) or put it back; ``told`` hears whether the name is known."""
+    """An operator disables or enables a server."""
 
     server: str
     is_disabled: bool
-    reply: Callable[[bool], None] | None  # None: the node's other process was asked, which has answered
+    reply: Callable[[bool], None] | None  # takes whether the name is known; None: the other process replies
 
 
 class SnapshotRequested(msgspec.Struct, frozen=True):
-    """The process that is to take this one's place asks what the module has learned."""
+    """The process that is to replace this one wants the decision module's handover snapshot."""
 
     reply: Callable[[Learned], None]
 
 
 class CallbackRelayed(msgspec.Struct, frozen=True):
-    """A call-back that reached the node's other process; it is passed on no further."""
+    """A call-back that reached the node's other process; it is not relayed again."""
 
     message: AttemptStarted | AttemptProgress | AttemptFinished
 
@@ -167,15 +166,15 @@
 
 
 class ReservedSlotsChanged(msgspec.Struct, frozen=True):
-    """So many slots of a real server are kept free, but for requests that they are reserved for."""
+    """The slots of a server that are kept free for requests with a reservation have changed."""
 
     server: str
     slots: float
-    total_slots: float  # all that it has, as the operator says
+    total_slots: float  # of the server, by the operator's file
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
-    """Refuse what is new, and end once the last request is answered."""
+    """Reject new requests, and end once the last one is answered."""
 
 
 Message = (
--- /dev/null
+++ b/merlinbay/core/request_lifecycle.py
@@ -0,0 +1,127 @@
+"""Requests from their arrival to their one final answer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from merlinbay.core.event_batch import EventBatch
+from merlinbay.core.messages import RequestArrived, RequestWithdrawn, ShutdownRequested
+from merlinbay.core.requests import OpenRequest, RequestTable
+from merlinbay.core.timers import RequestDeadline, Timers
+from merlinbay.core.values import Answer, AnswerStatus, RequestSpec
+from merlinbay.counters import Counters
+from merlinbay.decision.events import ClientDisconnected, RequestReceived
+from merlinbay.limits import ResourceLimits
+
+SHORTEST_BUDGET_US = 1000
+
+
+class RequestLifecycle:
+    """Takes requests, answers each once, and takes no more after shutdown. Nothing here waits."""
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        timers: Timers,
+        batch: EventBatch,
+        limits: ResourceLimits,
+        counters: Counters,
+        class_names: set[str],
+    ) -> None:
+        self.requests, self.timers, self.batch = requests, timers, batch
+        self.limits, self.counters = limits, counters
+        self.class_names = class_names  # those that the settings know
+        self.request_count = 0
+        self.is_shutting_down = False
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            RequestArrived: self._on_arrived,
+            RequestWithdrawn: self._on_withdrawn,
+            ShutdownRequested: self._on_shutdown_requested,
+        }
+
+    def answer(self, request: OpenRequest, answer: Answer) -> None:
+        """Give a request its one final answer."""
+        request.is_answered = True
+        self.counters.add(f"answers_{answer.status.value}")
+        request.responder.answer(answer)
+
+    def answer_if_open(self, request: OpenRequest, answer: Answer) -> None:
+        """Answer a request that still waits, and remove it unless it has an open attempt."""
+        if not request.is_answered:
+            self.answer(request, answer)
+            self.requests.remove_if_finished(request)
+
+    def withdraw(self, request: OpenRequest) -> None:
+        """Close a request whose client has disconnected."""
+        self.counters.add("requests_withdrawn")
+        request.is_answered = True
+        self._report_disconnect(request)
+
+    def mark_recalled(self, request: OpenRequest) -> None:
+        """Close a request that its client has taken back unstarted."""
+        request.is_answered = True
+
+    def fail_overdue(self, request: OpenRequest) -> None:
+        """Fail a request that is open past its deadline."""
+        self.answer(request, Answer(AnswerStatus.FAILED))
+        self._report_disconnect(request)
+
+    def _report_disconnect(self, request: OpenRequest) -> None:
+        self.batch.add(ClientDisconnected(request.number))
+        self.requests.remove_if_finished(request)
+
+    def _on_arrived(self, message: RequestArrived) -> None:
+        spec = message.spec
+        self.counters.add("requests_taken")
+        # Guards against a name that is used again: servers would take its attempts for repeats.
+        if spec.job_class not in self.class_names or self.requests.has_used(spec.name):
+            self.counters.add("answers_failed")
+            message.responder.answer(Answer(AnswerStatus.FAILED))
+            return
+        if self.is_shutting_down or len(self.requests) >= self.limits.most_held:
+            self.counters.add("answers_refused")
+            retry_after_us = self.limits.retry_when_stopping_us
+            message.responder.answer(Answer(AnswerStatus.REJECTED, retry_after_us=retry_after_us))
+            return
+        self.request_count += 1
+        budget_us = max(spec.time_budget_us - self.limits.answer_margin_us, SHORTEST_BUDGET_US)
+        deadline_at_us = spec.arrived_at_us + budget_us
+        request = OpenRequest(spec, self.request_count, message.responder, deadline_at_us)
+        self.requests.add(request)
+        self.timers.add(deadline_at_us, RequestDeadline(request))
+        remaining_us = max(deadline_at_us - self.batch.now_us, 0)
+        self.batch.add(received_event(request.number, spec, remaining_us))
+
+    def _on_withdrawn(self, message: RequestWithdrawn) -> None:
+        request = self.requests.find_unanswered(message.name, message.responder)
+        if request is not None:
+            self.withdraw(request)
+
+    def _on_shutdown_requested(self, message: ShutdownRequested) -> None:
+        self.is_shutting_down = True
+        # Guards against requests that outlast the process: all are answered before it ends.
+        latest_us = self.batch.now_us + self.limits.stop_answers_us
+        for request in self.requests:
+            if not request.is_answered and request.deadline_at_us > latest_us:
+                request.deadline_at_us = latest_us
+                self.timers.add(latest_us, RequestDeadline(request))
+
+
+def received_event(number: int, spec: RequestSpec, remaining_us: int) -> RequestReceived:
+    """Return the decision module's event for a request that has so much time left."""
+    return RequestReceived(
+        number,
+        spec.job_class,
+        remaining_us,
+        spec.slots,
+        spec.memory,
+        spec.affinity_key,
+        spec.tenant,
+        spec.is_retry,
+        spec.duration_hint_us,
+        spec.allowed_servers,
+        spec.needs_free_slot,
+        spec.uses_reserved_slots,
+        keyless=not spec.idempotency_key,
+    )
--- a/merlinbay/core/requests.py
+++ b/merlinbay/core/requests.py
@@ -1,8 +1,7 @@
-"""What the owner keeps: requests that are not over, their attempts, and what is due when."""
+"""Open requests and their open attempts."""
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
@@ -15,26 +14,26 @@
     """A client's request, from its arrival until it is answered and its last attempt has ended."""
 
     spec: RequestSpec
-    number: int  # its id in the module
+    number: int  # its id in the decision module
     responder: Responder
     deadline_at_us: int
-    is_answered: bool = False  # answered or withdrawn
-    attempt_count: int = 0
-    may_have_run: bool = False  # an attempt of it has ended in a way that does not exclude it
-    is_recalling: bool = False  # the client's side wants it back, if it has not started
-    exit_details: ExitDetails | None = None
-    open_attempts: dict[int, ServerAttempt] = field(default_factory=dict)
+    is_answered: bool = False  # or nobody waits for the answer any more
+    attempt_count: int = 0  # attempts dispatched so far, also those that were withheld
+    may_have_run: bool = False  # one of its attempts ended in a way that does not exclude it
+    is_recalling: bool = False  # its client wants it back unless it has started
+    exit_details: ExitDetails | None = None  # of the attempt that ended last
+    open_attempts: dict[int, ServerAttempt] = field(default_factory=dict)  # by number of the attempt
 
 
 class RequestTable:
-    """Open requests by number and by name, and their open attempts by name and server."""
+    """Open requests by number and by name, and open attempts by request name and server."""
 
-    def __init__(self, remembered: int) -> None:
-        self.remembered_limit = remembered
+    def __init__(self, remembered_limit: int) -> None:
+        self.remembered_limit = remembered_limit  # names of finished requests that are remembered
         self.by_number: dict[int, OpenRequest] = {}
         self.by_name: dict[str, OpenRequest] = {}
-        self.attempts: dict[tuple[str, str], ServerAttempt] = {}
-        self.recent_names: dict[str, None] = {}  # names of requests that are over, oldest first
+        self.attempts: dict[tuple[str, str], ServerAttempt] = {}  # by name of the request and of the server
+        self.recent_names: dict[str, None] = {}  # names of finished requests, oldest first
 
     def __len__(self) -> int:
         return len(self.by_number)
@@ -43,77 +42,54 @@
         return iter(self.by_number.values())
 
     def add(self, request: OpenRequest) -> None:
-        """Keep a request."""
+        """Add a request."""
         self.by_number[request.number] = self.by_name[request.spec.name] = request
 
     def has_used(self, name: str) -> bool:
-        """Tell whether a request of that name is open, or had attempts lately."""
+        """Tell whether a request of that name is open, or had attempts recently."""
         return name in self.by_name or name in self.recent_names
 
     def find_unanswered(self, name: str, responder: Responder) -> OpenRequest | None:
-        """Return the request of that name and client that still waits for its answer."""
+        """Return the request of that name and responder if it still waits for its answer."""
         request = self.by_name.get(name)
         if request is None or request.responder is not responder or request.is_answered:
             return None
         return request
 
-    def remove_if_finished(self, request: OpenRequest) -> None:
-        """Drop a request that is answered or withdrawn and has no attempt open."""
-        if (
-            request.is_answered
-            and not request.open_attempts
-            and self.by_number.pop(request.number, None) is not None
-        ):
-            del self.by_name[request.spec.name]
-            if request.attempt_count:
-                self._remember(request.spec.name)
+    def find_attempt(self, name: str, server: str) -> ServerAttempt | None:
+        """Return the open attempt of the request of that name on a server."""
+        return self.attempts.get((name, server))
 
-    def _remember(self, name: str) -> None:
-        """Keep the name of a request that is over, so that what repeats it is not sent as another one."""
-        self.recent_names[name] = None
-        if len(self.recent_names) > self.remembered_limit:
-            del self.recent_names[next(iter(self.recent_names))]
+    def request_of(self, attempt: ServerAttempt) -> OpenRequest:
+        """Return the request of an open attempt."""
+        return self.by_number[attempt.request_number]
 
     def open_attempt(self, request: OpenRequest, attempt: ServerAttempt) -> None:
-        """Keep an attempt of a request."""
+        """Add an attempt of a request."""
         request.open_attempts[attempt.number] = self.attempts[request.spec.name, attempt.server] = attempt
 
     def close_attempt(self, attempt: ServerAttempt) -> OpenRequest:
-        """Drop an attempt that has ended; return its request."""
+        """Remove an attempt that has ended; return its request."""
         del self.attempts[attempt.spec.name, attempt.server]
         request = self.by_number[attempt.request_number]
         del request.open_attempts[attempt.number]
         return request
 
-    def request_of(self, attempt: ServerAttempt) -> OpenRequest:
-        """Return the request of an open attempt."""
-        return self.by_number[attempt.request_number]
+    def remove_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that is answered and has no open attempt."""
+        if not request.is_answered or request.open_attempts:
+            return
+        if self.by_number.pop(request.number, None) is not None:
+            del self.by_name[request.spec.name]
+            if request.attempt_count:
+                self._remember(request.spec.name)
+
+    def _remember(self, name: str) -> None:
+        # Guards against a client's repeat of a finished request that is dispatched as a new one.
+        self.recent_names[name] = None
+        if len(self.recent_names) > self.remembered_limit:
+            del self.recent_names[next(iter(self.recent_names))]
 
     def all_answered(self) -> bool:
         """Tell whether no client waits for an answer."""
         return all(request.is_answered for request in self)
-
-
-Timed = str | OpenRequest | ServerAttempt  # a timer of the module by its token, or what has a deadline
-
-
-class Timers:
-    """What is due when. An entry cannot be taken back: who made it looks whether it still matters."""
-
-    def __init__(self) -> None:
-        self.heap: list[tuple[int, int, Timed]] = []
-        self.count = 0
-
-    def add(self, due_us: int, what: Timed) -> None:
-        """Have something become due."""
-        self.count += 1
-        heapq.heappush(self.heap, (due_us, self.count, what))
-
-    def next_us(self) -> int | None:
-        """Return when something is due next; None: nothing is."""
-        return self.heap[0][0] if self.heap else None
-
-    def pop_due(self, now_us: int) -> Iterator[Timed]:
-        """Take out what is due, one at a time."""
-        while self.heap and self.heap[0][0] <= now_us:
-            yield heapq.heappop(self.heap)[2]
--- a/merlinbay/core/values.py
+++ b/merlinbay/core/values.py
@@ -12,91 +12,91 @@
 
 
 class AnswerStatus(Enum):
-    """A final answer's kind."""
+    """The kind of a final answer; the value is part of a counter's name."""
 
     SERVED = "served"
-    REJECTED = "refused"  # trying again is harmless
-    FAILED = "failed"  # nothing is promised about the effect
+    REJECTED = "refused"  # a retry is harmless
+    FAILED = "failed"  # the request may have had its effect
 
 
 class ExitDetails(msgspec.Struct, frozen=True):
-    """What a real server told of a job's end beside its outcome."""
+    """What a server reported of an attempt's end beside its outcome."""
 
     exit_status: int | None = None
-    signal: str = ""  # the name of the one that ended it
-    cpu_us: int = 0
-    note: str = ""
-    output: bytes = b""  # of a job that failed
+    signal: str = ""  # name of the signal that ended it
+    cpu_us: int = 0  # processor time used
+    note: str = ""  # the server's explanation
+    output: bytes = b""  # of an attempt that failed
 
 
 class Answer(msgspec.Struct, frozen=True):
     """A request's one final answer."""
 
     status: AnswerStatus
-    result: bytes = b""
-    retry_after_us: int = 0
-    exit_details: ExitDetails | None = None  # of the attempt that ended last, where its server told one
-    may_have_run: bool = False  # of one that is refused: trying again is harmless for a while only
+    result: bytes = b""  # of a request that was served
+    retry_after_us: int = 0  # of a rejected one; 0: not given
+    exit_details: ExitDetails | None = None  # of the attempt that ended last, if its server reported any
+    may_have_run: bool = False  # of a rejected one: a retry is harmless within the idempotency window only
 
 
 class RequestSpec(msgspec.Struct, frozen=True):
-    """What a client asks for, in no wire's words."""
+    """A client's request, independent of the protocol that it came by."""
 
-    name: str  # the request's id, the same on both sides
+    name: str  # the request's id, the same towards clients and servers
     job_class: str
-    arrived_at_us: int  # when its last byte had come
-    time_budget_us: int
-    target: str = "/"  # passes on unchanged
-    body: bytes = b""  # passes on unchanged
-    body_type: str = ""  # its media type, where the front says
-    repeat_key: str = ""  # by which real servers know a repeat
-    affinity_key: str = ""
+    arrived_at_us: int  # when its last byte was read
+    time_budget_us: int  # from its arrival to its deadline
+    target: str = "/"  # forwarded unchanged
+    body: bytes = b""  # forwarded unchanged
+    body_type: str = ""  # its media type; empty: not given
+    idempotency_key: str = ""  # by which servers recognize a repeat; empty: none
+    affinity_key: str = ""  # requests with the same key prefer the same server; empty: none
     tenant: str = ""
-    slots: float = 1.0
-    memory: float = 0.0
-    duration_hint_us: int = 0
-    is_retry: bool = False
-    allowed_servers: tuple[str, ...] = ()  # the real servers that may run it; empty: any
-    needs_free_slot: bool = False  # not into a server's queue
-    uses_reserved_slots: bool = False  # the slots kept there are for it
+    slots: float = 1.0  # of a server that it takes
+    memory: float = 0.0  # of a server that it takes
+    duration_hint_us: int = 0  # expected work; 0: not given
+    is_retry: bool = False  # its client says so
+    allowed_servers: tuple[str, ...] = ()  # empty: any
+    needs_free_slot: bool = False  # it may not wait in a server's queue
+    uses_reserved_slots: bool = False  # the slots reserved on its servers are for it
 
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """What a node is, to those parts that an operator's file turns on."""
+    """A node's name, address and settings, for the parts that an operator's file turns on."""
 
     name: str
-    listen: tuple[str, int]
+    listen: tuple[str, int]  # host and port
     settings: Settings
     limits: ResourceLimits
 
 
 class ServiceEntry(msgspec.Struct, frozen=True):
-    """One line of discovery's list."""
+    """One entry of the endpoint list."""
 
-    server: str
+    server: str  # its id
     address: str = msgspec.field(name="addr")
     zone: str = ""
     kind: str = ""
     cell: int = 0
     state: str = "up"  # up | draining | removed
-    weight: float = 1.0
-    started_at_us: int = msgspec.field(default=0, name="started_us")
+    weight: float = 1.0  # its share beside others of its kind
+    started_at_us: int = msgspec.field(default=0, name="started_us")  # its latest start; 0: long ago
 
 
 class EndpointView(msgspec.Struct, frozen=True):
-    """What the module believes of one real server."""
+    """The decision module's view of one server."""
 
     name: str
     zone: str
     kind: str
     state: str
-    slots: float
-    held: float  # by us,
-    others: float  # and as is believed by the others
-    pace: float
+    slots: float  # its capacity
+    held: float  # slots in flight or reserved by this balancer
+    others: float  # the same of other balancers, estimated
+    pace: float  # its run times relative to those of its kind
     failures: int  # in a row
-    cold: bool
-    out_since_us: int = 0  # left out; 0: it is not
-    out_until_us: int = 0
-    why: str = ""
+    cold: bool  # it is in slow start
+    out_since_us: int = 0  # when it was ejected; 0: it is not
+    out_until_us: int = 0  # when its ejection ends
+    why: str = ""  # cause of the ejection
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -62,11 +62,11 @@
         """Take it that its server has not started it."""
         self._tell(self.front.engine.found_queued)
 
-    def on_recall_ended(self, done: bool) -> None:
+    def on_recall_ended(self, was_recalled: bool) -> None:
         """Take it that a hold came in time, or not."""
-        if done:
+        if was_recalled:
             self.front.forget_edge(self.job)
-        self._tell(self.front.engine.recalled, done)
+        self._tell(self.front.engine.recalled, was_recalled)
 
     def on_control_ended(self, action: str, error: str, message: str) -> None:
         """Take what came of suspend or resume."""
--- a/merlinbay/drmaa/templates.py
+++ b/merlinbay/drmaa/templates.py
@@ -144,7 +144,7 @@
         target=f"/{what.job_class}",
         body=body,
         body_type=TEMPLATE_TYPE,
-        repeat_key=job.id,
+        idempotency_key=job.id,
         tenant=what.account,
         slots=what.slots,
         memory=memory,
@@ -177,6 +177,6 @@
         template = JobTemplate(remoteCommand=spec.target, payload=spec.body)
     template.jobCategory, template.jobName = spec.job_class, spec.name
     template.deadlineTime = when(deadline_us)
-    if spec.repeat_key:
-        template.jobEnvironment = {**template.jobEnvironment, "DRMAA2_REPEAT_KEY": spec.repeat_key}
+    if spec.idempotency_key:
+        template.jobEnvironment = {**template.jobEnvironment, "DRMAA2_REPEAT_KEY": spec.idempotency_key}
     return template
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -125,7 +125,7 @@
             self.counters.add("requests_bad")
             self.log.event("request_bad", level="warning", cause=str(error))
             return Response(400, f"bad request: {error}\n".encode())
-        if spec.job_class in self.keyed and not spec.repeat_key:
+        if spec.job_class in self.keyed and not spec.idempotency_key:
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
         if connection.has_served_request and self.scarce():
--- a/merlinbay/platform/messages.py
+++ b/merlinbay/platform/messages.py
@@ -154,7 +154,7 @@
         time_budget_us=budget_ms * 1000,
         target=target,
         body=body,
-        repeat_key=headers.get("idempotency-key", ""),
+        idempotency_key=headers.get("idempotency-key", ""),
         affinity_key=headers.get("x-route-key", ""),
         tenant=headers.get("x-tenant-id", ""),
         slots=slots,
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -81,8 +81,8 @@
     async def _send(self, attempt: ServerAttempt, scope: trio.CancelScope) -> None:
         spec = attempt.spec
         headers = [("x-request-id", spec.name)]
-        if spec.repeat_key:
-            headers.append(("idempotency-key", spec.repeat_key))
+        if spec.idempotency_key:
+            headers.append(("idempotency-key", spec.idempotency_key))
         reply: Reply | Outcome | None = None
         begun = False
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -435,7 +435,7 @@
         0, [EndpointsChanged("all", [EndpointEntry(f"w{n}", "a", f"k{n % 2 + 1}") for n in range(4)])]
     )
     dispatcher = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
-    spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, repeat_key="k")
+    spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, idempotency_key="k")
     dispatcher.run_batch([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
     clock.now_us.return_value += LIMITS.stop_answers_us
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -40,7 +40,7 @@
             "time_budget_us": 4_998_000,
             "slots": 1.0,
             "memory": 0.638,
-            "repeat_key": "k",
+            "idempotency_key": "k",
             "target": "/admit?x=1",
             "is_retry": False,
         },
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -85,7 +85,7 @@
         key = attempt.spec.name, attempt.server
         assert key not in self.open
         if attempt.spec.job_class == "once":  # it may go out only while nothing of it may have run
-            assert not self.runs[attempt.spec.repeat_key]
+            assert not self.runs[attempt.spec.idempotency_key]
         self.open[key] = attempt
 
     def give_up(self, attempt: ServerAttempt) -> None:
@@ -307,7 +307,7 @@
 
     def ran(self, attempt: ServerAttempt) -> None:
         """Note that an attempt may have run; a held job never does."""
-        key = attempt.spec.repeat_key
+        key = attempt.spec.idempotency_key
         if attempt not in self.servers.runs[key]:
             self.servers.runs[key].append(attempt)
         for session in self.front.engine.sessions.values():
