--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -104,7 +104,7 @@
 
 async def start_tasks(running: int) -> list[float]:
     """Return an executor's own processor time for starts and ends, beside so many tasks, and their number."""
-    connection: Any = SimpleNamespace(proven=False)
+    connection: Any = SimpleNamespace(has_served_request=False)
     with tempfile.TemporaryDirectory() as folder:
         executor = Executor(
             "x", Slots(running + 1), Path(folder), ResourceLimits(), Counters(), Log(1), Clock()
--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -22,7 +22,7 @@
 from merlinbay.decision.records import Attempt, Endpoint, Job
 from merlinbay.http.client import ClientConnection, Reply
 from merlinbay.http.pool import ConnectionPool, PooledServer
-from merlinbay.http.servers import PooledServerTransport
+from merlinbay.http.pooled_transport import PooledServerTransport
 from merlinbay.platform import replies
 from merlinbay.platform.replies import JobReply
 
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -27,7 +27,7 @@
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool, OutgoingRequest
-from merlinbay.http.servers import PooledServerTransport, check_may_begin
+from merlinbay.http.pooled_transport import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -201,7 +201,7 @@
         if self.successor is None:
             return False
         try:
-            descriptor = os.dup(connection.raw.fileno())
+            descriptor = os.dup(connection.stream.raw.fileno())
         except OSError:
             return False
         self.counters.add("edge_connections_given")
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -1,4 +1,4 @@
-"""The client's half of HTTP: one connection, one exchange at a time. Nothing is ever sent again here."""
+"""The client's side of HTTP/1.1: one connection, one exchange at a time. Nothing is retried here."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from merlinbay.http.sockets import is_readable, send_all
 from merlinbay.limits import ResourceLimits
 
-# What the other side, or the way to it, is the cause of,
-REFUSALS = (
+# Errors of a connect whose cause is the other side, or the way to it.
+REMOTE_ERRORS = (
     errno.ECONNREFUSED,
     errno.ECONNRESET,
     errno.ETIMEDOUT,
@@ -20,8 +20,8 @@
     errno.EHOSTDOWN,
     errno.ENETUNREACH,
 )
-# and what this machine lacks.
-SHORTAGES = (
+# Errors of a connect whose cause is a lack on this machine.
+LOCAL_RESOURCE_ERRORS = (
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
     errno.EAGAIN,
@@ -33,23 +33,23 @@
 
 
 class RequestNotSentError(Exception):
-    """The connection never came up, or broke before the request's last byte was written."""
+    """No connection came up, or it broke before the request's last byte was written."""
 
 
 class ConnectTimeoutError(RequestNotSentError):
-    """No connection in time: the server is gone silently, or holds as many as it accepts."""
+    """No connection in time: the server has gone silently, or has as many as it accepts."""
 
 
 class ConnectRefusedError(RequestNotSentError):
-    """Nothing listens there, or there is no way to it."""
+    """Nothing listens at the address, or there is no route to it."""
 
 
 class LocalResourceError(RequestNotSentError):
-    """A descriptor, a port or memory is missing on this machine: that says nothing of the server."""
+    """A lack of descriptors, ports or memory on this machine, which says nothing of the server."""
 
 
 class AttemptWithheldError(RequestNotSentError):
-    """The last look before the first byte found that the request is not to be sent any more."""
+    """The pre-send check found that the request is not to be sent any more."""
 
 
 class ConnectionBrokenError(Exception):
@@ -57,15 +57,15 @@
 
 
 class UnreadableResponseError(ConnectionBrokenError):
-    """The answer is no HTTP, or larger than is taken: the other side has not broken the connection."""
+    """The response is no HTTP, or too large; the other side has not closed the connection."""
 
 
-def dial_error(error: OSError | ValueError) -> type[RequestNotSentError]:
-    """Return what a connection that failed to come up stands for."""
+def connect_error(error: OSError | ValueError) -> type[RequestNotSentError]:
+    """Return the type of error for a connect that has failed."""
     number = error.errno if isinstance(error, OSError) else None
-    if number in SHORTAGES:
+    if number in LOCAL_RESOURCE_ERRORS:
         return LocalResourceError
-    return ConnectRefusedError if number in REFUSALS else RequestNotSentError
+    return ConnectRefusedError if number in REMOTE_ERRORS else RequestNotSentError
 
 
 Headers = list[tuple[str, str]]
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A whole response. Header names are in lower case."""
+    """A whole response to a request of ours. Header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -81,7 +81,7 @@
 
 
 class ClientConnection:
-    """One connection to a server."""
+    """One connection to a server. Moments are by trio's clock."""
 
     def __init__(
         self, sock: trio.socket.SocketType, host: str, limits: ResourceLimits, body_bytes: int
@@ -89,21 +89,21 @@
         self.sock, self.host, self.limits, self.body_bytes = sock, host, limits, body_bytes
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.head_bytes)
         self.idle_since = 0.0
-        self.quarantined_until = 0.0  # before this it is not used again
+        self.quarantined_until = 0.0  # a stray response may come until then
 
     @classmethod
     async def connect(
         cls, addr: str, limits: ResourceLimits, body_bytes: int = 0, timeout: float = 0.0
     ) -> ClientConnection:
-        """Open a connection, or raise ``RequestNotSentError``.
+        """Open a connection; raise ``RequestNotSentError`` if none comes up.
 
-        The usual time-out is that for real servers.
+        ``timeout`` is in seconds, ``body_bytes`` the limit of a response's body; 0: those for servers.
         """
         timeout = timeout or limits.dial
         host, _, port = addr.rpartition(":")
         try:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
-        except OSError as error:  # Guards against running out of descriptors: nothing was sent.
+        except OSError as error:  # Guards against a lack of descriptors that counts against the server.
             raise LocalResourceError(f"socket: {error}") from None
         try:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -114,7 +114,7 @@
             raise ConnectTimeoutError(f"dial {addr}: no answer in {timeout} s") from None
         except (OSError, ValueError) as error:
             sock.close()
-            raise dial_error(error)(f"dial {addr}: {error}") from None
+            raise connect_error(error)(f"dial {addr}: {error}") from None
         except BaseException:
             sock.close()
             raise
@@ -122,8 +122,8 @@
 
     @property
     def can_be_reused(self) -> bool:
-        """Tell whether the last exchange leaves it open."""
-        # Guards against a second answer that came with the first: it would pass for that of the next request.
+        """Whether the last exchange leaves it open."""
+        # Guards against a second response that came with the first and would be taken for the next one.
         return self.h11.our_state is h11.IDLE and not self.h11.trailing_data[0]
 
     def is_available(self) -> bool:
@@ -131,43 +131,42 @@
         return self.can_be_reused and not is_readable(self.sock)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.sock.close()
 
     async def exchange(self, method: str, target: str, headers: Headers, body: bytes = b"") -> Reply:
-        """Send a request and return its answer.
+        """Send a request and return its response.
 
         Raises ``RequestNotSentError`` or ``ConnectionBrokenError``.
         """
-        # Guards against header bytes beyond ASCII, which pass on as they came.
-        everything = [
-            (name.encode(), value.encode("latin-1", "replace"))
-            for name, value in [("host", self.host), *headers]
-        ]
-        if body or method == "POST":
-            everything.append((b"content-length", str(len(body)).encode()))
         try:
-            data = (
-                self.h11.send(
-                    h11.Request(method=method, target=target.encode("latin-1", "replace"), headers=everything)
-                )
-                or b""
-            )
-            if body:
-                data += self.h11.send(h11.Data(data=body)) or b""
-            data += self.h11.send(h11.EndOfMessage()) or b""
-            await send_all(self.sock, data)
+            await send_all(self.sock, self._encode(method, target, headers, body))
         except (OSError, h11.LocalProtocolError) as error:
             raise RequestNotSentError(str(error)) from None
         try:
-            return await self._reply()
+            return await self._read_reply()
         except OSError as error:
             raise ConnectionBrokenError(str(error)) from None
         except h11.RemoteProtocolError as error:
-            ended = self.h11.trailing_data[1]
-            raise (ConnectionBrokenError if ended else UnreadableResponseError)(str(error)) from None
+            has_ended = self.h11.trailing_data[1]
+            raise (ConnectionBrokenError if has_ended else UnreadableResponseError)(str(error)) from None
 
-    async def _reply(self) -> Reply:
+    def _encode(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
+        """Return a request's bytes. Raises ``h11.LocalProtocolError``."""
+        # Guards against header bytes beyond ASCII, which are forwarded as they came.
+        encoded = [
+            (name.encode(), value.encode("latin-1", "replace"))
+            for name, value in [("host", self.host), *headers]
+        ]
+        if body or method == "POST":
+            encoded.append((b"content-length", str(len(body)).encode()))
+        head = h11.Request(method=method, target=target.encode("latin-1", "replace"), headers=encoded)
+        data = self.h11.send(head) or b""
+        if body:
+            data += self.h11.send(h11.Data(data=body)) or b""
+        return data + (self.h11.send(h11.EndOfMessage()) or b"")
+
+    async def _read_reply(self) -> Reply:
         head: h11.Response | None = None
         body = bytearray()
         while True:
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -1,4 +1,4 @@
-"""Whether clients are wanted here, and how they are sent away without losing what they ask for."""
+"""Whether this node accepts clients, and how it sends them to other nodes without losing requests."""
 
 from __future__ import annotations
 
@@ -11,49 +11,48 @@
 
 
 class ClientSteering:
-    """Sends clients away and takes them back. No connection of a real server is touched."""
+    """Drains client connections while the node is in standby. Connections of servers are not touched."""
 
     def __init__(self, listener: Listener, limits: ResourceLimits) -> None:
         self.listener, self.limits = listener, limits
-        self.is_draining = False  # clients are to go elsewhere
-        self.changed = trio.Event()
-        self.on_operator_request: Callable[[bool], None] = lambda away: None  # hears what operators say
+        self.is_draining = False  # clients are to use other nodes
+        self.changed = trio.Event()  # set whenever ``is_draining`` has changed
+        self.on_operator_request: Callable[[bool], None] = lambda is_draining: None
 
     def accepts_clients(self) -> bool:
-        """Tell whether new clients are wanted."""
+        """Tell whether new clients are accepted."""
         return not self.is_draining
 
-    def set_draining(self, away: bool, relayed: bool = False) -> None:
-        """Send clients away, or take them back. Asked twice, it stays as it is."""
+    def set_draining(self, is_draining: bool, relayed: bool = False) -> None:
+        """Begin or end draining. ``relayed``: the node's other process has asked, and needs no relay back."""
         if not relayed:
-            self.on_operator_request(away)
-        if away == self.is_draining:
+            self.on_operator_request(is_draining)
+        if is_draining == self.is_draining:
             return
-        self.is_draining = away
-        if not away:
+        self.is_draining = is_draining
+        if not is_draining:
             self.listener.set_closes_after_response(False)
         self.changed.set()
 
     async def run(self) -> None:
-        """Carry it out."""
+        """Drain whenever that is asked for, until it is no longer."""
         while True:
             await self.changed.wait()
             self.changed = trio.Event()
             if not self.is_draining:
                 continue
-            began = trio.current_time()
-            with trio.CancelScope() as scope:
-                async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._until_changed, scope)
-                    # Guards against clients met by a closed door: new ones come until the front has looked.
-                    await trio.sleep(self.limits.away_arrivals)
-                    self.listener.set_closes_after_response(True)
-                    # Guards against requests that cross the closing: most connections end with an answer.
-                    await trio.sleep_until(began + self.limits.away_idle)
-                    while True:
-                        self.listener.close_idle(self.limits.away_quiet)
-                        await trio.sleep(self.limits.away_look)
-
-    async def _until_changed(self, scope: trio.CancelScope) -> None:
-        await self.changed.wait()
-        scope.cancel()
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(self._drain)
+                await self.changed.wait()
+                nursery.cancel_scope.cancel()
+
+    async def _drain(self) -> None:
+        began = trio.current_time()
+        # Guards against clients that meet a closed connection: new ones come until the front has polled.
+        await trio.sleep(self.limits.away_arrivals)
+        self.listener.set_closes_after_response(True)
+        # Guards against requests that cross the close: most connections end with a response.
+        await trio.sleep_until(began + self.limits.away_idle)
+        while True:
+            self.listener.close_idle(self.limits.away_quiet)
+            await trio.sleep(self.limits.away_look)
--- a/merlinbay/http/messages.py
+++ b/merlinbay/http/messages.py
@@ -1,4 +1,4 @@
-"""A server's requests and responses: whole ones, as handlers take and give them."""
+"""Whole requests and responses of a server, as its handlers take and return them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """A whole request. Header names are in lower case."""
+    """A whole request of a client. Header names are in lower case."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    received: float | None = None  # when its last byte was read, by trio's clock
+    received_at: float | None = None  # when its last byte was read, by trio's clock
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole response."""
+    """A whole response to a client."""
 
     status: int
     body: bytes = b""
@@ -45,7 +45,7 @@
 
 
 def header_table(head: h11.Request) -> dict[str, str]:
-    """Return the headers by name; those that come more than once are joined, so none hides another."""
+    """Return the headers by name; values of the same name are joined, so that none hides another."""
     table: dict[str, str] = {}
     for name, value in head.headers:
         key, text = name.decode(), value.decode("latin-1")
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to named real servers, shared by every real-server side."""
+"""A pool of connections to servers, shared by all server transports."""
 
 from __future__ import annotations
 
@@ -47,29 +47,30 @@
 
 @dataclass(slots=True, eq=False)
 class PooledServer:
-    """A real server as the pool knows it."""
+    """A server and its idle connections."""
 
     address: str
-    started_at_us: int = 0
+    started_at_us: int = 0  # its latest start; 0: long ago
     idle_connections: list[ClientConnection] = field(default_factory=list)  # oldest first
 
 
 class ConnectionPool:
-    """Connections by real server, newest used first, so many over all."""
+    """Connections by server, the latest used first, up to a limit over all. Moments are by trio's clock."""
 
     def __init__(
         self,
         limits: ResourceLimits,
         counters: Counters,
-        serves: Callable[[str], bool] = lambda name: True,
+        is_serving: Callable[[str], bool] = lambda name: True,
     ) -> None:
         self.limits, self.counters = limits, counters
-        self.is_serving = serves  # whether a real server is up by the newest list, heard but not yet taken in
+        # Whether a server is up by the latest list, which the decision module may not know yet.
+        self.is_serving = is_serving
         self.servers: dict[str, PooledServer] = {}
-        self.open_connections = 0
+        self.open_connections = 0  # idle or in use, of all servers
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Learn addresses. Connections to an earlier process of a server are of no use."""
+        """Take addresses; close idle connections to earlier processes of servers."""
         if scope in ("all", "remembered"):
             named = {entry.server for entry in entries}
             for name in [name for name in self.servers if name not in named]:
@@ -109,20 +110,21 @@
             self._close(connection)
             raise
         if request.may_keep(reply):
-            # Guards against an answer that comes twice, the second time some milliseconds late: it would pass
-            # for the answer to the next request, be it that a job which was taken never ran.
-            self._keep(name, server, connection, trio.current_time() + self.limits.pool_rest)
+            # Guards against a response that comes twice, the second time some milliseconds late: it would be
+            # taken for the response to the next request, which may never have run.
+            quarantined_until = trio.current_time() + self.limits.pool_rest
+            self._keep(name, server, connection, quarantined_until)
         else:
             self._close(connection)
         return reply
 
     async def sweep(self) -> None:
-        """Close connections before the server's keep-alive does."""
+        """Close idle connections before the keep-alive of their servers does."""
         while True:
             await trio.sleep(self.limits.pool_idle / 8)
-            before = trio.current_time() - self.limits.pool_idle
+            now = trio.current_time()
             for server in self.servers.values():
-                while server.idle_connections and server.idle_connections[0].idle_since < before:
+                while server.idle_connections and self._has_expired(server.idle_connections[0], now):
                     self._close(server.idle_connections.pop(0))
 
     def _check_before_sending(self, name: str, server: PooledServer, check: PreSendCheck) -> Headers:
@@ -141,15 +143,22 @@
             if may_reuse_in_quarantine or kept.quarantined_until <= now
         ]:
             server.idle_connections.remove(connection)
-            fresh = now - connection.idle_since < self.limits.pool_idle
-            if fresh and connection.is_available():
+            if not self._has_expired(connection, now) and connection.is_available():
                 return connection
-            # Guards against a write that crosses the server's keep-alive: it would end as a reset.
+            # Guards against a write that crosses the end of the server's keep-alive, and ends as a reset.
             self._close(connection)
+        return await self._connect(server)
+
+    def _has_expired(self, connection: ClientConnection, now: float) -> bool:
+        """Tell whether the server may close an idle connection soon."""
+        return now - connection.idle_since >= self.limits.pool_idle
+
+    async def _connect(self, server: PooledServer) -> ClientConnection:
+        """Open a connection, if need be in the place of an idle one. Raises ``RequestNotSentError``."""
         if self.open_connections >= self.limits.server_connections:
             self._make_room()
         if self.open_connections >= self.limits.server_connections:
-            raise LocalResourceError("no descriptor left for real servers")
+            raise LocalResourceError("no descriptor left for servers")
         self.open_connections += 1
         try:
             connection = await ClientConnection.connect(server.address, self.limits)
@@ -166,9 +175,9 @@
         return connection
 
     def _keep(
-        self, name: str, server: PooledServer, connection: ClientConnection, rests_until: float
+        self, name: str, server: PooledServer, connection: ClientConnection, quarantined_until: float
     ) -> None:
-        connection.idle_since, connection.quarantined_until = trio.current_time(), rests_until
+        connection.idle_since, connection.quarantined_until = trio.current_time(), quarantined_until
         if connection.can_be_reused and self.servers.get(name) is server:
             server.idle_connections.append(connection)
         else:
@@ -179,12 +188,11 @@
         self.open_connections -= 1
 
     def _make_room(self) -> None:
-        """Close the connection that has stood idle the longest, of all real servers."""
-        waiting = [server for server in self.servers.values() if server.idle_connections]
-        if waiting:
-            self._close(
-                min(waiting, key=lambda server: server.idle_connections[0].idle_since).idle_connections.pop(0)
-            )
+        """Close the connection of all servers that has been idle the longest."""
+        candidates = [server for server in self.servers.values() if server.idle_connections]
+        if candidates:
+            longest = min(candidates, key=lambda server: server.idle_connections[0].idle_since)
+            self._close(longest.idle_connections.pop(0))
 
     def _drop_idle(self, server: PooledServer) -> None:
         while server.idle_connections:
--- a/merlinbay/http/servers.py
+++ b/merlinbay/http/pooled_transport.py
@@ -1,4 +1,4 @@
-"""What every real-server side over the connection pool has in common."""
+"""What all server transports over the connection pool have in common."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-UNREADABLE = 0  # the status of an answer that is no HTTP, or larger than is taken
+UNREADABLE = 0  # the status of a response that is no HTTP, or too large
 
 
 def check_may_begin(attempt: ServerAttempt) -> Headers:
-    """Look at an attempt right before its first byte, as a ``PreSendCheck``.
+    """Check an attempt right before its first byte, as a ``PreSendCheck``.
 
     Raises ``AttemptWithheldError``.
     """
@@ -39,7 +39,7 @@
 
 
 class PooledServerTransport:
-    """Tasks of one nursery, so many at the most, that have exchanges and post what came of them."""
+    """Exchanges with servers in tasks, up to a limit, whose results are posted to the dispatcher's inbox."""
 
     def __init__(
         self,
@@ -53,14 +53,15 @@
     ) -> None:
         self.nursery, self.pool, self.inbox = nursery, pool, inbox
         self.clock, self.limits, self.counters = clock, limits, counters
-        self.log, self.task_count = log, 0
+        self.log = log
+        self.task_count = 0  # exchanges in progress
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Learn addresses."""
+        """Take addresses."""
         self.pool.update_endpoints(scope, entries)
 
     def spawn(self, task: Callable[..., Awaitable[None]], *args: object) -> bool:
-        """Start a task, unless there are too many."""
+        """Start a task, unless there are too many; tell whether it starts."""
         if self.task_count >= self.limits.server_tasks:
             self.counters.add("server_tasks_missing")
             return False
@@ -69,15 +70,16 @@
         return True
 
     def report_not_sent(self, attempt: ServerAttempt) -> None:
-        """Tell that an attempt never went out. The owner's own task must not wait for its inbox."""
+        """Report that an attempt was not sent."""
+        # Guards against a deadlock: the dispatcher's task calls this, and must not wait for its own inbox.
         self.nursery.start_soon(self.report_ended, attempt, Outcome.CONNECT_FAILED)
 
     async def exchange(self, server: str, request: OutgoingRequest) -> Reply | Outcome:
-        """Have one exchange; return its answer, be it an unreadable one, or the outcome where none came."""
+        """Send a request; return the response, even an unreadable one, or the outcome if none came."""
         try:
             return await self.pool.exchange(server, request)
         except (AttemptWithheldError, LocalResourceError):
-            # Guards against servers that are left out as failing for what this machine lacks.
+            # Guards against servers that are ejected as failing for what this machine lacks.
             return Outcome.MOOT
         except RequestNotSentError:
             return Outcome.CONNECT_FAILED
@@ -93,20 +95,20 @@
         report: dict[str, float] | None = None,
         unfit: bool = False,
     ) -> None:
-        """Tell how an attempt ended."""
+        """Report how an attempt ended."""
         await self.post(AttemptFinished(attempt.spec.name, attempt.server, outcome, b"", report, unfit))
 
     async def post(self, message: Message) -> None:
-        """Put a message into the owner's inbox."""
+        """Put a message into the dispatcher's inbox."""
         try:
             await self.inbox.send(message)
-        except trio.BrokenResourceError:  # the owner has ended, and with it every request
+        except trio.BrokenResourceError:  # the dispatcher has ended, and with it every request
             pass
 
     async def _counted(self, task: Callable[..., Awaitable[None]], args: tuple[object, ...]) -> None:
         try:
             await task(*args)
-        except Exception as error:  # Guards against a fault in one exchange ending the node.
+        except Exception as error:  # Guards against a fault in one exchange that would end the node.
             self.counters.add("server_tasks_faulty")
             self.log.event("exchange_failed", level="error", error=repr(error))
         finally:
--- a/merlinbay/http/routes.py
+++ b/merlinbay/http/routes.py
@@ -1,4 +1,4 @@
-"""One listener for several fronts, told apart by the first parts of the path."""
+"""Routes the requests of one listener to several fronts, by the beginning of the path."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Routes:
-    """Hands a request to the handler with the first prefix that fits."""
+    """Gives a request to the handler of the first prefix that fits; 404 if none does."""
 
     def __init__(self, handlers: list[tuple[str, Handler]]) -> None:
         self.handlers = handlers
         self.prefixes = [(prefix, prefix.rstrip("/") + "/", handler) for prefix, handler in handlers]
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Hand the request on."""
+        """Give the request to its handler."""
         path = request.target.partition("?")[0]
         for prefix, below, handler in self.prefixes:
             if path.startswith(below) or path == prefix:
@@ -21,6 +21,6 @@
         return Response(404)
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Tell all; the one whose request it was knows it by the connection's context."""
+        """Notify all handlers: the one whose request it was knows it by the connection's context."""
         for _, handler in self.handlers:
             handler.client_disconnected(connection)
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -1,4 +1,4 @@
-"""The listener: accepts connections, so many at the most, and ends those that others need or nobody uses."""
+"""The listener: accepts connections up to a limit, and closes those that expire or whose place is needed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-# The client's connection was at fault, and is gone: the next one is accepted at once.
-GONE_BEFORE_ACCEPT = (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH)
+# The client's connection has failed before its accept: the next one is accepted at once.
+FAILED_BEFORE_ACCEPT = (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH)
 
 
 async def bind_socket(host: str, port: int, backlog: int) -> trio.socket.SocketType:
-    """Return a socket that listens at an address."""
+    """Return a socket that listens at an address. Raises ``OSError``."""
     sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)  # accepted ones inherit it
@@ -28,20 +28,20 @@
 
 
 class Listener:
-    """Accepts connections, so many at the most."""
+    """Accepts connections, up to a limit, and serves each in a task."""
 
     def __init__(self, handler: Handler, limits: ResourceLimits, counters: Counters, log: Log) -> None:
         self.handler, self.limits, self.counters, self.log = handler, limits, counters, log
         self.connections: set[Connection] = set()
-        self.prepare: Prepare | None = None  # what makes TLS of what is accepted
-        self.is_draining = False  # no new connection is to be expected, but the kept ones serve on
-        self.closes_after_response = False
-        self.give_away: GiveAway | None = None  # takes connections over; no new ones are accepted then
+        self.prepare: Prepare | None = None  # makes TLS of accepted connections
+        self.is_draining = False  # no new connection is expected, but those there are served on
+        self.closes_after_response = False  # connections, those to come included
+        self.give_away: GiveAway | None = None  # gives connections to another process; none are accepted then
         self.accept_scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None  # of the connections, while it serves
 
     async def bind(self, host: str, port: int) -> trio.socket.SocketType:
-        """Return a socket that listens, be it the one that the platform keeps."""
+        """Return a socket that listens; the one that the platform keeps, if there is one."""
         if self.limits.accept_fd >= 0:
             kept = socket.socket(fileno=self.limits.accept_fd)
             kept.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -60,7 +60,7 @@
             task_status.started()
             while self.give_away is None:
                 if len(self.connections) >= self.limits.edge_connections and not self._make_room():
-                    # Guards against losing a request: one that is accepted and closed may have been written.
+                    # Guards against a lost request: a client may write it before its connection is closed.
                     self.counters.add("accepts_put_off")
                     await trio.sleep(self.limits.accept_pause)
                     continue
@@ -69,12 +69,12 @@
                     with trio.CancelScope() as self.accept_scope:
                         accepted, _ = await sock.accept()
                 except OSError as error:
-                    # Guards against running out of descriptors: the listener must outlive it.
+                    # Guards against a lack of descriptors that would end the listener.
                     self.counters.add("accepts_failed")
                     if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                         self._make_room()
-                    if error.errno not in GONE_BEFORE_ACCEPT:
-                        # Guards against a loop that takes the whole core while the cause lasts.
+                    if error.errno not in FAILED_BEFORE_ACCEPT:
+                        # Guards against a loop that takes a whole processor while the cause lasts.
                         await trio.sleep(self.limits.accept_pause)
                     continue
                 if accepted is not None:
@@ -82,84 +82,96 @@
                     self.adopt(accepted)
             sock.close()
 
-    def adopt(self, sock: trio.socket.SocketType, proven: bool = False, calls_back: bool = False) -> None:
-        """Serve a connection that was accepted, here or by the process before."""
+    def adopt(
+        self,
+        sock: trio.socket.SocketType,
+        has_served_request: bool = False,
+        carries_callbacks: bool = False,
+    ) -> None:
+        """Serve a connection that this process has accepted, or the one that it replaces."""
         if self.nursery is None:
             sock.close()
             return
         try:
-            # Guards against small writes that the system holds back: a reset would take them with it.
+            # Guards against small writes that the system delays: a reset would drop them.
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-        except OSError:  # Guards against one connection that has ended already, and would end the listener.
+        except OSError:  # Guards against a connection that has ended already, and would end the listener.
             self.counters.add("accepts_failed")
             sock.close()
             return
         sock, plain = split_plain_socket(sock)
         connection = Connection(sock, self.limits, self.handler, self.nursery, self.prepare, plain)
         connection.closes_after_response, connection.give_away = self.closes_after_response, self.give_away
-        connection.has_served_request, connection.carries_callbacks = proven, calls_back
-        if proven:
-            connection.expires_at = connection.idle_since + self.limits.edge_idle
+        connection.has_served_request = has_served_request
+        connection.carries_callbacks = carries_callbacks
+        if has_served_request:
+            connection.lifetime.extend_idle(is_worth_keeping=True)
         self.connections.add(connection)
         self.nursery.start_soon(self._serve, connection)
 
-    def hand_over(self, give: GiveAway) -> None:
-        """Accept no more, and have each connection given away once no request is under way on it."""
-        self.give_away = give
+    def hand_over(self, give_away: GiveAway) -> None:
+        """Accept no more, and have each connection given away once no request is in progress on it."""
+        self.give_away = give_away
         self.accept_scope.cancel()
         for connection in list(self.connections):
-            connection.hand_over(give)
+            connection.hand_over(give_away)
 
     async def _serve(self, connection: Connection) -> None:
         try:
             await connection.serve()
-        except Exception as error:  # Guards against a fault in one connection ending the others.
+        except Exception as error:  # Guards against a fault in one connection that would end the others.
             self.counters.add("edge_connections_faulty")
             self.log.event("connection_failed", level="error", error=repr(error))
         finally:
             self.connections.discard(connection)
 
     async def _sweep(self) -> None:
-        """End connections that have stood idle, dribbled or been stuck for too long."""
+        """End connections whose client was idle, or too slow, for too long."""
         while True:
             await trio.sleep(self.limits.sweep)
             now = trio.current_time()
             for connection in list(self.connections):
-                if connection.expires_at < now:
+                if connection.lifetime.has_expired(now):
                     self.counters.add("edge_connections_expired")
                     connection.expire()
 
     def _make_room(self) -> bool:
-        """Close connections that have stood idle the longest; tell whether there were any."""
-        idle = [connection for connection in self.connections if connection.is_idle]
-        fresh = [connection for connection in idle if not connection.has_served_request]
-        # Guards against silent clients that crowd out usual ones: those never served go first, several at
-        # a time since the look at all of them costs, and where they hold a third of all, a kept connection
-        # stays and what comes next waits for one of them.
-        before = trio.current_time() - self.limits.evict_after
-        ripe = [connection for connection in fresh if connection.idle_since < before]
-        most = self.limits.evict_at_once
-        slow = (
-            [] if ripe else [connection for connection in self.connections if connection.is_receiving_request]
-        )
-        if len(slow) > self.limits.edge_connections * 3 // 4:
-            # Guards against clients that send a part and stay: call-backs and usual clients, whose requests
-            # come whole, find a quarter of the places. Who writes slowly keeps his while there are few.
-            ripe = [connection for connection in slow if connection.idle_since < before]
-        elif not ripe and len(fresh) <= self.limits.edge_connections // 3:
-            ripe, most = [connection for connection in idle if connection.idle_since < before], 1
+        """Close connections that have been idle the longest; tell whether there were any."""
+        candidates, limit = self._eviction_candidates()
         closed = 0
-        for connection in sorted(ripe, key=lambda connection: connection.idle_since):
-            if closed < most and connection.close_if_unused():
+        for connection in sorted(candidates, key=lambda connection: connection.lifetime.idle_since):
+            if closed < limit and connection.close_if_unused():
                 self.connections.discard(connection)
                 closed += 1
         return closed > 0
 
+    def _eviction_candidates(self) -> tuple[list[Connection], int]:
+        """Return the connections that may be closed for others, and how many of them at once."""
+        idle = [connection for connection in self.connections if connection.is_idle]
+        unserved = [connection for connection in idle if not connection.has_served_request]
+        # Guards against silent clients that crowd out usual ones: those never served go first, several at
+        # a time since finding them costs, and where they hold a third of all, a kept connection stays and
+        # what comes next waits for one of them.
+        if long_idle := self._idle_for_long(unserved):
+            return long_idle, self.limits.evict_at_once
+        receiving = [connection for connection in self.connections if connection.is_receiving_request]
+        if len(receiving) > self.limits.edge_connections * 3 // 4:
+            # Guards against clients that send a part and stay: call-backs and usual clients, whose requests
+            # come whole, find a quarter of the places. Slow writers keep theirs while there are few.
+            return self._idle_for_long(receiving), self.limits.evict_at_once
+        if len(unserved) <= self.limits.edge_connections // 3:
+            return self._idle_for_long(idle), 1
+        return [], 0
+
+    def _idle_for_long(self, connections: list[Connection]) -> list[Connection]:
+        before = trio.current_time() - self.limits.evict_after
+        return [connection for connection in connections if connection.lifetime.idle_since < before]
+
     async def close_all(self, seconds: float) -> None:
         """End every connection in good order, within so many seconds: the process ends after this."""
         with trio.move_on_after(seconds):
             while self.connections:
-                self.close_idle(calls_back=True)
+                self.close_idle(including_callbacks=True)
                 await trio.sleep(self.limits.hand_look)
 
     def is_short_of_idle_connections(self) -> bool:
@@ -169,19 +181,20 @@
         free = sum(connection.has_served_request and connection.is_idle for connection in self.connections)
         return free < self.limits.spare_connections
 
-    def set_closes_after_response(self, closing: bool) -> None:
-        """Have connections close after their next answer, those to come included, or no longer."""
-        self.closes_after_response = closing
+    def set_closes_after_response(self, closes_after_response: bool) -> None:
+        """Have all connections close after their next response, or no longer."""
+        self.closes_after_response = closes_after_response
         for connection in self.connections:
-            connection.closes_after_response = closing
+            connection.closes_after_response = closes_after_response
 
-    def close_idle(self, quiet: float = 0.0, calls_back: bool = False) -> None:
-        """Close connections idle for so many seconds, the others after their answer. Goes on accepting.
+    def close_idle(self, idle_for_s: float = 0.0, including_callbacks: bool = False) -> None:
+        """Close connections idle for so long, and the others after their response. Goes on accepting.
 
-        Those of real servers stay unless ``calls_back`` is set: what ends a job still has to come in on them.
+        Those that carry call-backs stay unless they are included: what ends requests still comes in on them.
         """
         self.set_closes_after_response(True)
-        before = trio.current_time() - quiet
+        before = trio.current_time() - idle_for_s
         for connection in self.connections:
-            if connection.idle_since <= before and (calls_back or not connection.carries_callbacks):
+            is_spared = connection.carries_callbacks and not including_callbacks
+            if connection.lifetime.idle_since <= before and not is_spared:
                 connection.close_if_idle()
--- a/merlinbay/http/sockets.py
+++ b/merlinbay/http/sockets.py
@@ -1,4 +1,4 @@
-"""What connections need of sockets, and looks at them that read nothing."""
+"""What connections need of sockets, and checks of sockets that read nothing."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class StreamSocket(Protocol):
-    """What a connection needs of a socket."""
+    """What a connection needs of a socket, or of a TLS stream over one."""
 
     def recv(self, most: int, /) -> Awaitable[bytes]:
-        """Read some; nothing at the end."""
+        """Read some bytes; none at the end of the stream."""
 
     def send(self, data: bytes | memoryview, /) -> Awaitable[int]:
-        """Write some; return how much."""
+        """Write some bytes; return how many."""
 
     def shutdown(self, how: int, /) -> None:
-        """Write no more."""
+        """Shut a direction down."""
 
     def fileno(self) -> int:
         """Return the descriptor."""
 
 
 async def send_all(sock: StreamSocket, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
-    """Write all of it, and call ``on_progress`` after each part that leaves more to write."""
+    """Write all bytes; call ``on_progress`` before each part after the first."""
     sent = await sock.send(data)
     if sent == len(data):
         return
@@ -39,8 +39,8 @@
 
 
 def is_readable(sock: StreamSocket) -> bool:
-    """Tell whether there is something to read, be it the end."""
-    # Guards against closing on a request that is written but not yet read: it would be lost.
+    """Tell whether there is something to read, even if it is the end of the stream."""
+    # Guards against a close over a request that is written but not yet read: it would be lost.
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -49,7 +49,7 @@
 
 
 def has_hung_up(sock: StreamSocket) -> bool:
-    """Tell whether the other side sends no more, whatever of it is still unread."""
+    """Tell whether the other side sends no more, whatever is still unread."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
@@ -69,8 +69,8 @@
 def split_plain_socket(
     sock: trio.socket.SocketType,
 ) -> tuple[trio.socket.SocketType, socket.socket | None]:
-    """Return trio's socket and the plain one beneath it; None beneath sockets that are not trio's own."""
-    if type(sock) is not TRIO_SOCKET:  # such a one would be passed by, and does something of its own
+    """Return trio's socket and the plain one beneath it; None if the socket is not trio's own."""
+    if type(sock) is not TRIO_SOCKET:  # a replacement may do more on a read, which is not to be bypassed
         return sock, None
     plain = socket.socket(sock.family, sock.type, sock.proto, sock.detach())
     return trio.socket.from_stdlib_socket(plain), plain
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -150,7 +150,9 @@
     def _arrived_us(self, request: Request) -> int:
         """Return when a request's last byte had come."""
         # Guards against a deadline that is too long by the time that a request was read ahead of its turn.
-        return self.clock.now_us() if request.received is None else self.clock.from_trio(request.received)
+        return (
+            self.clock.now_us() if request.received_at is None else self.clock.from_trio(request.received_at)
+        )
 
     def client_disconnected(self, connection: Connection) -> None:
         """Withdraw the request of a client that hung up."""
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -11,7 +11,7 @@
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Headers, Reply
 from merlinbay.http.pool import ConnectionPool, OutgoingRequest
-from merlinbay.http.servers import PooledServerTransport, check_may_begin
+from merlinbay.http.pooled_transport import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages, replies
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -66,7 +66,9 @@
 
 def unread(connection: Connection) -> int:
     """Return how many bytes of a connection nobody has read yet."""
-    return int.from_bytes(fcntl.ioctl(connection.raw.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
+    return int.from_bytes(
+        fcntl.ioctl(connection.stream.raw.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder
+    )
 
 
 def reset(client: trio.socket.SocketType) -> None:
@@ -110,9 +112,9 @@
 
 def interpose(connection: Connection) -> InterposedSocket:
     """Put such a socket under a connection."""
-    interposed = InterposedSocket(connection.raw)
-    connection.raw = connection.sock = interposed  # type: ignore[assignment]
-    connection.plain_socket = None
+    interposed = InterposedSocket(connection.stream.raw)
+    connection.stream.raw = connection.stream.sock = interposed  # type: ignore[assignment]
+    connection.stream.plain_socket = None
     return interposed
 
 
@@ -258,7 +260,7 @@
             at.connection.respond(Response(200))
             await at.client.recv(1000)
             await until(lambda: at.connection.is_idle)
-            at.connection.expires_at = trio.current_time() + 0.1  # it has rested for long
+            at.connection.lifetime.expires_at = trio.current_time() + 0.1  # it has rested for long
             await at.client.send(ASK[:10])
             await trio.sleep(0.25)
             await at.client.send(ASK[10:])
@@ -443,7 +445,7 @@
     def wait_until_left(self) -> None:
         """Wait until the system has told of the client's end: no task runs in between."""
         connection = next(iter(self.listener.connections))
-        wait_for_system(lambda: has_hung_up(connection.raw))
+        wait_for_system(lambda: has_hung_up(connection.stream.raw))
 
     @property
     def started(self) -> list[ServerAttempt]:
@@ -660,7 +662,7 @@
             before = node.clock.now_us()
             await client.send(b"i")
             connection = next(iter(node.listener.connections))
-            await until(lambda: connection.h11.trailing_data[0] == job("b", timeout_ms=900))
+            await until(lambda: connection.stream.h11.trailing_data[0] == job("b", timeout_ms=900))
             read_by = node.clock.now_us()
             await client.send(job("c")[:20])  # more behind it, later, is not its last byte
             await trio.sleep(0.2)
@@ -685,7 +687,9 @@
                 await client.send(bytes([byte]))
                 await trio.testing.wait_all_tasks_blocked()
             await trio.sleep(0.1)
-            assert len(next(iter(node.listener.connections)).arrivals) <= 1  # not one for each read
+            assert (
+                len(next(iter(node.listener.connections)).stream.reader.reads) <= 1
+            )  # not one for each read
             before = node.clock.now_us()
             await client.send(b"i")
             await node.arrived()
@@ -951,7 +955,7 @@
         classes = {"keyed", "other"}
         adapter = ClientAdapter(send, Clock(), LIMITS, Counters(), classes, Log(9), frozenset({"keyed"}))
         asked = Request("POST", "/keyed", {"x-request-id": "a", "x-timeout-ms": "900", **headers}, b"")
-        response = await adapter.request(Mock(proven=False), asked)
+        response = await adapter.request(Mock(has_served_request=False), asked)
         assert (response.status if response is not None else None) == status
         assert inbox.statistics().current_buffer_used == (status is None)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -142,7 +142,7 @@
             await at.client.send(ASK)
             await at.heard.wait()
             await at.client.send(ASK)
-            await until(lambda: bool(at.connection.h11.trailing_data[0]))
+            await until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
             assert len(at.asked) == 1
             at.connection.respond(Response(200, b"one"))
             await until(lambda: len(at.asked) == 2)
@@ -163,11 +163,11 @@
             if how == "end_idle":
                 assert at.connection.close_if_idle()
             else:
-                at.connection.expires_at = 0.0
+                at.connection.lifetime.expires_at = 0.0
                 at.connection.expire()
             at.client._sock.send(ASK[:10])  # type: ignore[attr-defined]  # no task runs in between
-            await until(lambda: at.connection.h11.trailing_data[0] == ASK[:10])
-            assert at.connection.expires_at > trio.current_time()  # it has its own time from now on
+            await until(lambda: at.connection.stream.h11.trailing_data[0] == ASK[:10])
+            assert at.connection.lifetime.expires_at > trio.current_time()  # it has its own time from now on
             await at.client.send(ASK[10:])
             await at.heard.wait()
             at.connection.closes_after_response = True
@@ -222,9 +222,9 @@
             await at.heard.wait()
             at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"x" * 20_000_000))  # more than the system takes at once
-            await until(lambda: at.connection.is_writing)
+            await until(lambda: at.connection.stream.is_writing)
             await at.client.send(b"x" * 1000)
-            await until(lambda: bool(at.connection.h11.trailing_data[0]))
+            await until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
             assert len(await at.answered()) > 20_000_000
 
     play(scene)
@@ -241,7 +241,7 @@
             at.connection.respond(Response(200))
             await at.client.recv(1000)
             await until(lambda: at.connection.is_idle)
-            assert at.connection.close_if_unused() and at.connection.raw.fileno() < 0
+            assert at.connection.close_if_unused() and at.connection.stream.raw.fileno() < 0
             await until(lambda: not at.listener.connections)
 
     play(scene)
@@ -341,7 +341,7 @@
 
     async def scene() -> None:
         async with door() as at:
-            assert at.connection.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            assert at.connection.stream.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     play(scene)
 
@@ -374,7 +374,7 @@
             at.listener.close_idle()
             assert at.connection.is_closing == (not calls_back)
             if calls_back:
-                at.listener.close_idle(calls_back=True)
+                at.listener.close_idle(including_callbacks=True)
                 assert at.connection.is_closing
 
     play(scene)
