--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -11,9 +11,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from merlinbay.core import dispatcher
+from merlinbay.core import attempt_lifecycle
+from merlinbay.core.attempt_lifecycle import AttemptLifecycle
 from merlinbay.core.attempts import ServerAttempt
-from merlinbay.core.dispatcher import Dispatcher
 from merlinbay.core.messages import AttemptProgress
 from merlinbay.core.requests import RequestTable
 from merlinbay.decision import outcomes, rules
@@ -21,8 +21,8 @@
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.decision.records import Attempt, Endpoint, Job
 from merlinbay.http.client import ClientConnection, Reply
-from merlinbay.http.pool import ConnectionPool, RealServer
-from merlinbay.http.servers import PooledServers
+from merlinbay.http.pool import ConnectionPool, PooledServer
+from merlinbay.http.pooled_transport import PooledServerTransport
 from merlinbay.platform import replies
 from merlinbay.platform.replies import JobReply
 
@@ -46,7 +46,7 @@
 _may_repeat = Eligibility._may_repeat
 _may_begin = Eligibility.may_begin
 _keep = ConnectionPool._keep
-_exchange = PooledServers.exchange
+_exchange = PooledServerTransport.exchange
 _classify = replies.classify
 
 
@@ -87,7 +87,7 @@
 
 def looks_for_the_client_only(self: ServerAttempt) -> bool:
     """Ask before the first byte whether the client is still there, and nothing else."""
-    return not self.ended and (self.responder is None or not self.responder.left())
+    return not self.has_ended and (self.responder is None or not self.responder.has_disconnected())
 
 
 def looks_at_the_old_time(self: Eligibility, job_id: int, number: int, now: int) -> bool:
@@ -97,8 +97,12 @@
     return _may_begin(self, job_id, number, decided)
 
 
-def keeps_without_rest(
-    self: ConnectionPool, name: str, server: RealServer, connection: ClientConnection, rests_until: float
+def keeps_without_quarantine(
+    self: ConnectionPool,
+    name: str,
+    server: PooledServer,
+    connection: ClientConnection,
+    quarantined_until: float,
 ) -> None:
     """Use a connection again at once."""
     _keep(self, name, server, connection, 0.0)
@@ -123,7 +127,7 @@
     """Keep nothing of the moment of the send."""
 
 
-async def broken_is_unsent(self: PooledServers, *args: Any, **named: Any) -> Reply | Outcome:
+async def broken_is_unsent(self: PooledServerTransport, *args: Any, **named: Any) -> Reply | Outcome:
     """Take a connection that broke before the 202 for one that never came up."""
     result = await _exchange(self, *args, **named)
     return Outcome.CONNECT_FAILED if result is Outcome.RESET else result
@@ -140,7 +144,7 @@
     return JobReply.FAILED if found is JobReply.UNKNOWN else found
 
 
-def progress_goes_unheard(self: Dispatcher, message: AttemptProgress) -> None:
+def progress_goes_unheard(self: AttemptLifecycle, message: AttemptProgress) -> None:
     """Take no notice of progress, from which it follows that the job has started."""
 
 
@@ -152,7 +156,7 @@
 def never_ran_too(outcome: Outcome) -> tuple[tuple[Any, str, Any], ...]:
     """Count another outcome as proof that an attempt never ran, wherever that is asked."""
     wrong = NEVER_RAN | {outcome}
-    return ((outcomes, "NEVER_RAN", wrong), (dispatcher, "NEVER_RAN", wrong))
+    return ((outcomes, "NEVER_RAN", wrong), (attempt_lifecycle, "NEVER_RAN", wrong))
 
 
 MUTANTS = (
@@ -165,15 +169,19 @@
     Mutant("outcome: an error never ran", never_ran_too(Outcome.ERROR)),
     Mutant(
         "outcome: returned after a start never ran",
-        ((rules, "never_ran", never_ran_after_all), (dispatcher, "never_ran", never_ran_after_all)),
+        ((rules, "never_ran", never_ran_after_all), (attempt_lifecycle, "never_ran", never_ran_after_all)),
+    ),
+    Mutant("outcome: progress is no start", ((AttemptLifecycle, "_on_progress", progress_goes_unheard),)),
+    Mutant(
+        "outcome: broken before the 202 is unsent", ((PooledServerTransport, "exchange", broken_is_unsent),)
     ),
-    Mutant("outcome: progress is no start", ((Dispatcher, "_on_attempt_progress", progress_goes_unheard),)),
-    Mutant("outcome: broken before the 202 is unsent", ((PooledServers, "exchange", broken_is_unsent),)),
     Mutant("answer: a bare 503 is a refusal", ((replies, "classify", bare_503_refuses),)),
     Mutant("answer: an unnamed status is an end", ((replies, "classify", unnamed_status_fails),)),
     Mutant("last look: for the client only", ((ServerAttempt, "may_begin", looks_for_the_client_only),)),
     Mutant("last look: not at the window", ((Eligibility, "may_begin", looks_at_the_old_time),)),
-    Mutant("stray answer: connections do not rest", ((ConnectionPool, "_keep", keeps_without_rest),)),
+    Mutant(
+        "stray answer: connections have no quarantine", ((ConnectionPool, "_keep", keeps_without_quarantine),)
+    ),
     Mutant("refusal: of a job that may have run", ((Eligibility, "may_refuse", refuses_anything),)),
     Mutant(
         "cell and zone: of now, not of the send",
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -11,7 +11,7 @@
 from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -40,7 +40,7 @@
         """Tell of a job."""
         addr, _, path = notify.removeprefix("http://").partition("/")
         if addr not in self.pool.servers:
-            self.pool.entries_changed("changes", [ServiceEntry(addr, addr)])
+            self.pool.update_endpoints("changes", [ServiceEntry(addr, addr)])
         for state in ("RUNNING", "DONE"):
             note = {
                 "event": "NEW_STATE",
@@ -50,9 +50,11 @@
                 "jobId": job_id,
                 "jobInfo": {"jobId": job_id, "jobState": state, "exitStatus": 0},
             }
-            await self.pool.exchange(addr, "POST", f"/{path}", [], json.dumps(note).encode())
+            await self.pool.exchange(
+                addr, OutgoingRequest("POST", f"/{path}", body=json.dumps(note).encode())
+            )
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
@@ -68,7 +70,7 @@
             await trio.sleep(1)
         return Response(200, json.dumps({"version": 1, "full": True, "servers": self.rows}).encode())
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing."""
 
 
--- a/merlinbay/control_service/operator_calls.py
+++ b/merlinbay/control_service/operator_calls.py
@@ -78,5 +78,5 @@
         location = f"http://{operator}{request.target}".encode()
         return Response(307, b"", [(b"location", location)])
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Do nothing when the caller disconnects: a proposed change is decided all the same."""
--- a/merlinbay/drmaa/templates.py
+++ b/merlinbay/drmaa/templates.py
@@ -139,17 +139,17 @@
     return RequestSpec(
         name=job.id if job.offer == 1 else f"{job.id}~{job.offer}",
         job_class=what.job_class,
-        arrived_us=now_us,
-        budget_us=max(budget_us, 1000),
+        arrived_at_us=now_us,
+        time_budget_us=max(budget_us, 1000),
         target=f"/{what.job_class}",
         body=body,
         body_type=TEMPLATE_TYPE,
-        repeat_key=job.id,
+        idempotency_key=job.id,
         tenant=what.account,
         slots=what.slots,
         memory=memory,
-        only=machines,
-        room_only=job.session.backlog is not None and job.session.backlog.room_only,
+        allowed_servers=machines,
+        needs_free_slot=job.session.backlog is not None and job.session.backlog.room_only,
     )
 
 
@@ -177,6 +177,6 @@
         template = JobTemplate(remoteCommand=spec.target, payload=spec.body)
     template.jobCategory, template.jobName = spec.job_class, spec.name
     template.deadlineTime = when(deadline_us)
-    if spec.repeat_key:
-        template.jobEnvironment = {**template.jobEnvironment, "DRMAA2_REPEAT_KEY": spec.repeat_key}
+    if spec.idempotency_key:
+        template.jobEnvironment = {**template.jobEnvironment, "DRMAA2_REPEAT_KEY": spec.idempotency_key}
     return template
--- a/merlinbay/executor/server.py
+++ b/merlinbay/executor/server.py
@@ -18,7 +18,7 @@
 from merlinbay.executor.slots import Job, Slots
 from merlinbay.http.client import ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.pool import ConnectionPool
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
@@ -71,10 +71,10 @@
                     raise unsupported(f"{request.method} {request.target[:100]}")
         except DrmaaError as error:
             return failure(error)
-        connection.proven = True
+        connection.has_served_request = True
         return response
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Owe nothing to a node that hangs up."""
 
     def _run_job(self, body: bytes) -> Response:
@@ -175,13 +175,12 @@
 
     async def _notify(self, job: Job) -> None:
         addr, _, path = job.notify.removeprefix("http://").partition("/")
-        self.pool.entries_changed("changes", [ServiceEntry(addr, addr)])
+        self.pool.update_endpoints("changes", [ServiceEntry(addr, addr)])
         waiting, tries = self.notes[job], 0
         while waiting:
             try:
-                reply = await self.pool.exchange(
-                    addr, "POST", f"/{path}", [("content-type", "application/json")], waiting[0]
-                )
+                heads = [("content-type", "application/json")]
+                reply = await self.pool.exchange(addr, OutgoingRequest("POST", f"/{path}", heads, waiting[0]))
                 done = reply.status < 300 or reply.status == 400
             except (RequestNotSentError, ConnectionBrokenError):
                 done = False
--- a/merlinbay/fleet/control.py
+++ b/merlinbay/fleet/control.py
@@ -141,5 +141,5 @@
         ]
         return _json({"next": first + len(events), "missed": max(first - wanted, 0), "events": events})
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Do nothing: no state is held for a caller."""
--- a/merlinbay/handover/predecessor.py
+++ b/merlinbay/handover/predecessor.py
@@ -94,7 +94,9 @@
             # Called by the core: bans from now on are relayed after the state.
             version, entries = endpoint_list()
             now_us = self._clock.now_us()
-            for message in messages.state_messages(version, entries, snapshot, self._steering.away, now_us):
+            for message in messages.state_messages(
+                version, entries, snapshot, self._steering.is_draining, now_us
+            ):
                 link.post(message)
             self.successor = link
 
@@ -124,9 +126,9 @@
         if self.successor is None:
             return False
         try:
-            descriptor = os.dup(connection.raw.fileno())
+            descriptor = os.dup(connection.stream.raw.fileno())
         except OSError:
             return False
         self._counters.add("edge_connections_given")
-        transfer = messages.ConnectionTransfer(connection.proven, connection.calls_back)
+        transfer = messages.ConnectionTransfer(connection.has_served_request, connection.carries_callbacks)
         return self.successor.post(transfer, descriptor)
--- a/merlinbay/handover/relayed_messages.py
+++ b/merlinbay/handover/relayed_messages.py
@@ -41,7 +41,7 @@
             case messages.MaintenanceForward(server, is_disabled):
                 await self._inbox.send(MaintenanceRequested(server, is_disabled, None))
             case messages.StandbyForward(is_standby):
-                self._steering.turn(is_standby, relayed=True)
+                self._steering.set_draining(is_standby, relayed=True)
 
     def _adopt(self, transfer: messages.ConnectionTransfer, descriptor: int) -> None:
         self._counters.add("edge_connections_taken_over")
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -42,13 +42,13 @@
         self.as_predecessor = PredecessorSide(
             path, inbox, listener, steering, relayed, limits, counters, log, clock
         )
-        steering.told = self._relay_standby
+        steering.on_operator_request = self._relay_standby
 
-    def unclaimed(self, message: Callback) -> bool:
+    def relay_callback(self, message: Callback) -> bool:
         """Relay a call-back for an unknown request; tell whether there is another process."""
         return self._relay(messages.CallbackForward(message))
 
-    def maintained(self, server: str, on: bool) -> None:
+    def relay_maintenance(self, server: str, on: bool) -> None:
         """Relay that a server was disabled for maintenance, or enabled again."""
         self._relay(messages.MaintenanceForward(server, on))
 
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to named real servers, shared by every real-server side."""
+"""A pool of connections to servers, shared by all server transports."""
 
 from __future__ import annotations
 
@@ -20,38 +20,57 @@
 )
 from merlinbay.limits import ResourceLimits
 
-LastLook = Callable[[], Headers]
-"""Called right before the first byte.
+PreSendCheck = Callable[[], Headers]
+"""Called right before the first byte of a request.
 
-Returns the headers that tell of that moment; raises ``AttemptWithheldError``.
+Returns headers whose values depend on that moment. Raises ``AttemptWithheldError``.
 """
 
 
+def may_always_keep(reply: Reply) -> bool:
+    """Keep the connection after any answer."""
+    return True
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingRequest:
+    """A request for a pooled connection. Dispatching an attempt needs a ``pre_send_check``."""
+
+    method: str
+    target: str
+    headers: Headers = field(default_factory=list)
+    body: bytes = b""
+    pre_send_check: PreSendCheck | None = None  # also requires that the server is still listed and serving
+    may_keep: Callable[[Reply], bool] = may_always_keep  # whether the connection stays open after an answer
+    may_reuse_in_quarantine: bool = False  # its answer proves nothing, so a stray earlier one does no harm
+
+
 @dataclass(slots=True, eq=False)
-class RealServer:
-    """A real server as the pool knows it."""
+class PooledServer:
+    """A server and its idle connections."""
 
-    addr: str
-    started_us: int = 0
-    idle: list[ClientConnection] = field(default_factory=list)  # oldest first
+    address: str
+    started_at_us: int = 0  # its latest start; 0: long ago
+    idle_connections: list[ClientConnection] = field(default_factory=list)  # oldest first
 
 
 class ConnectionPool:
-    """Connections by real server, newest used first, so many over all."""
+    """Connections by server, the latest used first, up to a limit over all. Moments are by trio's clock."""
 
     def __init__(
         self,
         limits: ResourceLimits,
         counters: Counters,
-        serves: Callable[[str], bool] = lambda name: True,
+        is_serving: Callable[[str], bool] = lambda name: True,
     ) -> None:
         self.limits, self.counters = limits, counters
-        self.serves = serves  # whether a real server is up by the newest list, heard but not yet taken in
-        self.servers: dict[str, RealServer] = {}
-        self.connections = 0
+        # Whether a server is up by the latest list, which the decision module may not know yet.
+        self.is_serving = is_serving
+        self.servers: dict[str, PooledServer] = {}
+        self.open_connections = 0  # idle or in use, of all servers
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Learn addresses. Connections to an earlier process of a server are of no use."""
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
+        """Take addresses; close idle connections to earlier processes of servers."""
         if scope in ("all", "remembered"):
             named = {entry.server for entry in entries}
             for name in [name for name in self.servers if name not in named]:
@@ -59,90 +78,92 @@
         for entry in entries:
             known = self.servers.get(entry.server)
             if known is not None and (
-                entry.state == "removed" or known.addr != entry.addr or known.started_us != entry.started_us
+                entry.state == "removed"
+                or known.address != entry.address
+                or known.started_at_us != entry.started_at_us
             ):
                 self._drop_idle(self.servers.pop(entry.server))
                 known = None
             if known is None and entry.state != "removed":
-                self.servers[entry.server] = RealServer(entry.addr, entry.started_us)
+                self.servers[entry.server] = PooledServer(entry.address, entry.started_at_us)
 
-    async def exchange(
-        self,
-        name: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: LastLook | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply:
-        """Have one exchange, and keep the connection if it can carry another.
-
-        One that places a job has a ``last_look``: it goes to no server that has left since it was chosen,
-        and not if the look raises ``AttemptWithheldError``. The connection ends after an answer that
-        ``keeps_after``
-        does not accept. One whose answer proves nothing needs no ``rested`` connection.
+    async def exchange(self, name: str, request: OutgoingRequest) -> Reply:
+        """Send a request to a server, return its answer, and keep the connection if it can carry another.
+
+        Raises ``RequestNotSentError`` or ``ConnectionBrokenError``.
         """
         server = self.servers.get(name)
         if server is None:
             raise RequestNotSentError("not listed")
-        connection = await self._connection(server, rested)
-        if last_look is not None:
+        connection = await self._connection(server, request.may_reuse_in_quarantine)
+        headers = request.headers
+        if request.pre_send_check is not None:
             try:
-                headers = headers + self._look(name, server, last_look)
+                headers = headers + self._check_before_sending(name, server, request.pre_send_check)
             except AttemptWithheldError:
                 self.counters.add("sends_withheld")
-                self._keep(name, server, connection, connection.rests_until)
+                self._keep(name, server, connection, connection.quarantined_until)
                 raise
         try:
-            reply = await connection.exchange(method, target, headers, body)
+            reply = await connection.exchange(request.method, request.target, headers, request.body)
         except BaseException:
             self._close(connection)
             raise
-        if keeps_after(reply):
-            # Guards against an answer that comes twice, the second time some milliseconds late: it would pass
-            # for the answer to the next request, be it that a job which was taken never ran.
-            self._keep(name, server, connection, trio.current_time() + self.limits.pool_reuse_pause_s)
+        if request.may_keep(reply):
+            # Guards against a response that comes twice, the second time some milliseconds late: it would be
+            # taken for the response to the next request, which may never have run.
+            quarantined_until = trio.current_time() + self.limits.pool_reuse_pause_s
+            self._keep(name, server, connection, quarantined_until)
         else:
             self._close(connection)
         return reply
 
     async def sweep(self) -> None:
-        """Close connections before the server's keep-alive does."""
+        """Close idle connections before the keep-alive of their servers does."""
         while True:
             await trio.sleep(self.limits.pool_idle_timeout_s / 8)
-            before = trio.current_time() - self.limits.pool_idle_timeout_s
+            now = trio.current_time()
             for server in self.servers.values():
-                while server.idle and server.idle[0].idle_since < before:
-                    self._close(server.idle.pop(0))
+                while server.idle_connections and self._has_expired(server.idle_connections[0], now):
+                    self._close(server.idle_connections.pop(0))
 
-    def _look(self, name: str, server: RealServer, last_look: LastLook) -> Headers:
-        """Look at the server, then at the request. Raises ``AttemptWithheldError``."""
-        # Guards against a drain told between placing and the first byte: a dial, or a long turn, lay between.
-        if not self.serves(name) or self.servers.get(name) is not server:
+    def _check_before_sending(self, name: str, server: PooledServer, check: PreSendCheck) -> Headers:
+        """Check the server, then the request. Raises ``AttemptWithheldError``."""
+        # Guards against a drain notified between dispatch and the first byte, during a dial or a long batch.
+        if not self.is_serving(name) or self.servers.get(name) is not server:
             raise AttemptWithheldError("its server has left since it was chosen")
-        return last_look()
+        return check()
 
-    async def _connection(self, server: RealServer, rested: bool) -> ClientConnection:
-        """Return the connection that was used last, and has ``rested`` if it must have, or a new one."""
+    async def _connection(self, server: PooledServer, may_reuse_in_quarantine: bool) -> ClientConnection:
+        """Return the available connection that was used last, or a new one."""
         now = trio.current_time()
-        for connection in [kept for kept in reversed(server.idle) if not rested or kept.rests_until <= now]:
-            server.idle.remove(connection)
-            fresh = now - connection.idle_since < self.limits.pool_idle_timeout_s
-            if fresh and connection.usable():
+        for connection in [
+            kept
+            for kept in reversed(server.idle_connections)
+            if may_reuse_in_quarantine or kept.quarantined_until <= now
+        ]:
+            server.idle_connections.remove(connection)
+            if not self._has_expired(connection, now) and connection.is_available():
                 return connection
-            # Guards against a write that crosses the server's keep-alive: it would end as a reset.
+            # Guards against a write that crosses the end of the server's keep-alive, and ends as a reset.
             self._close(connection)
-        if self.connections >= self.limits.server_connections:
+        return await self._connect(server)
+
+    def _has_expired(self, connection: ClientConnection, now: float) -> bool:
+        """Tell whether the server may close an idle connection soon."""
+        return now - connection.idle_since >= self.limits.pool_idle_timeout_s
+
+    async def _connect(self, server: PooledServer) -> ClientConnection:
+        """Open a connection, if need be in the place of an idle one. Raises ``RequestNotSentError``."""
+        if self.open_connections >= self.limits.server_connections:
             self._make_room()
-        if self.connections >= self.limits.server_connections:
-            raise LocalResourceError("no descriptor left for real servers")
-        self.connections += 1
+        if self.open_connections >= self.limits.server_connections:
+            raise LocalResourceError("no descriptor left for servers")
+        self.open_connections += 1
         try:
-            connection = await ClientConnection.dial(server.addr, self.limits)
+            connection = await ClientConnection.connect(server.address, self.limits)
         except BaseException as error:
-            self.connections -= 1
+            self.open_connections -= 1
             if isinstance(error, LocalResourceError):
                 self.counters.add("dials_short")
             elif isinstance(error, RequestNotSentError):
@@ -153,23 +174,26 @@
         self.counters.add("server_connections")
         return connection
 
-    def _keep(self, name: str, server: RealServer, connection: ClientConnection, rests_until: float) -> None:
-        connection.idle_since, connection.rests_until = trio.current_time(), rests_until
-        if connection.reusable and self.servers.get(name) is server:
-            server.idle.append(connection)
+    def _keep(
+        self, name: str, server: PooledServer, connection: ClientConnection, quarantined_until: float
+    ) -> None:
+        connection.idle_since, connection.quarantined_until = trio.current_time(), quarantined_until
+        if connection.can_be_reused and self.servers.get(name) is server:
+            server.idle_connections.append(connection)
         else:
             self._close(connection)
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        self.connections -= 1
+        self.open_connections -= 1
 
     def _make_room(self) -> None:
-        """Close the connection that has stood idle the longest, of all real servers."""
-        waiting = [server for server in self.servers.values() if server.idle]
-        if waiting:
-            self._close(min(waiting, key=lambda server: server.idle[0].idle_since).idle.pop(0))
-
-    def _drop_idle(self, server: RealServer) -> None:
-        while server.idle:
-            self._close(server.idle.pop())
+        """Close the connection of all servers that has been idle the longest."""
+        candidates = [server for server in self.servers.values() if server.idle_connections]
+        if candidates:
+            longest = min(candidates, key=lambda server: server.idle_connections[0].idle_since)
+            self._close(longest.idle_connections.pop(0))
+
+    def _drop_idle(self, server: PooledServer) -> None:
+        while server.idle_connections:
+            self._close(server.idle_connections.pop())
--- a/merlinbay/http/servers.py
+++ b/merlinbay/http/pooled_transport.py
@@ -1,4 +1,4 @@
-"""What every real-server side over the connection pool has in common."""
+"""What all server transports over the connection pool have in common."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     RequestNotSentError,
     UnreadableResponseError,
 )
-from merlinbay.http.pool import ConnectionPool, LastLook
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-UNREADABLE = 0  # the status of an answer that is no HTTP, or larger than is taken
+UNREADABLE = 0  # the status of a response that is no HTTP, or too large
 
 
 def check_may_begin(attempt: ServerAttempt) -> Headers:
-    """Look at an attempt right before its first byte, as a pool's last look.
+    """Check an attempt right before its first byte, as a ``PreSendCheck``.
 
     Raises ``AttemptWithheldError``.
     """
@@ -38,8 +38,8 @@
     return []
 
 
-class PooledServers:
-    """Tasks of one nursery, so many at the most, that have exchanges and post what came of them."""
+class PooledServerTransport:
+    """Exchanges with servers in tasks, up to a limit, whose results are posted to the dispatcher's inbox."""
 
     def __init__(
         self,
@@ -53,43 +53,33 @@
     ) -> None:
         self.nursery, self.pool, self.inbox = nursery, pool, inbox
         self.clock, self.limits, self.counters = clock, limits, counters
-        self.log, self.tasks = log, 0
+        self.log = log
+        self.task_count = 0  # exchanges in progress
 
-    def entries_changed(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Learn addresses."""
-        self.pool.entries_changed(scope, entries)
+    def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
+        """Take addresses."""
+        self.pool.update_endpoints(scope, entries)
 
     def spawn(self, task: Callable[..., Awaitable[None]], *args: object) -> bool:
-        """Start a task, unless there are too many."""
-        if self.tasks >= self.limits.server_tasks:
+        """Start a task, unless there are too many; tell whether it starts."""
+        if self.task_count >= self.limits.server_tasks:
             self.counters.add("server_tasks_missing")
             return False
-        self.tasks += 1
+        self.task_count += 1
         self.nursery.start_soon(self._counted, task, args)
         return True
 
-    def not_sent(self, attempt: ServerAttempt) -> None:
-        """Tell that an attempt never went out. The owner's own task must not wait for its inbox."""
-        self.nursery.start_soon(self.ended, attempt, Outcome.CONNECT_FAILED)
+    def report_not_sent(self, attempt: ServerAttempt) -> None:
+        """Report that an attempt was not sent."""
+        # Guards against a deadlock: the dispatcher's task calls this, and must not wait for its own inbox.
+        self.nursery.start_soon(self.report_ended, attempt, Outcome.CONNECT_FAILED)
 
-    async def exchange(
-        self,
-        server: str,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes = b"",
-        last_look: LastLook | None = None,
-        keeps_after: Callable[[Reply], bool] = lambda reply: True,
-        rested: bool = True,
-    ) -> Reply | Outcome:
-        """Have one exchange; return its answer, be it an unreadable one, or the outcome where none came."""
+    async def exchange(self, server: str, request: OutgoingRequest) -> Reply | Outcome:
+        """Send a request; return the response, even an unreadable one, or the outcome if none came."""
         try:
-            return await self.pool.exchange(
-                server, method, target, headers, body, last_look, keeps_after, rested
-            )
+            return await self.pool.exchange(server, request)
         except (AttemptWithheldError, LocalResourceError):
-            # Guards against servers that are left out as failing for what this machine lacks.
+            # Guards against servers that are ejected as failing for what this machine lacks.
             return Outcome.MOOT
         except RequestNotSentError:
             return Outcome.CONNECT_FAILED
@@ -98,28 +88,28 @@
         except ConnectionBrokenError:
             return Outcome.RESET
 
-    async def ended(
+    async def report_ended(
         self,
         attempt: ServerAttempt,
         outcome: Outcome,
         report: dict[str, float] | None = None,
         unfit: bool = False,
     ) -> None:
-        """Tell how an attempt ended."""
+        """Report how an attempt ended."""
         await self.post(AttemptFinished(attempt.spec.name, attempt.server, outcome, b"", report, unfit))
 
     async def post(self, message: Message) -> None:
-        """Put a message into the owner's inbox."""
+        """Put a message into the dispatcher's inbox."""
         try:
             await self.inbox.send(message)
-        except trio.BrokenResourceError:  # the owner has ended, and with it every request
+        except trio.BrokenResourceError:  # the dispatcher has ended, and with it every request
             pass
 
     async def _counted(self, task: Callable[..., Awaitable[None]], args: tuple[object, ...]) -> None:
         try:
             await task(*args)
-        except Exception as error:  # Guards against a fault in one exchange ending the node.
+        except Exception as error:  # Guards against a fault in one exchange that would end the node.
             self.counters.add("server_tasks_faulty")
             self.log.event("exchange_failed", level="error", error=repr(error))
         finally:
-            self.tasks -= 1
+            self.task_count -= 1
--- a/merlinbay/http/sockets.py
+++ b/merlinbay/http/sockets.py
@@ -1,4 +1,4 @@
-"""What connections need of sockets, and looks at them that read nothing."""
+"""What connections need of sockets, and checks of sockets that read nothing."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 import trio
 
 
-class Sock(Protocol):
-    """What a connection needs of a socket."""
+class StreamSocket(Protocol):
+    """What a connection needs of a socket, or of a TLS stream over one."""
 
     def recv(self, most: int, /) -> Awaitable[bytes]:
-        """Read some; nothing at the end."""
+        """Read some bytes; none at the end of the stream."""
 
     def send(self, data: bytes | memoryview, /) -> Awaitable[int]:
-        """Write some; return how much."""
+        """Write some bytes; return how many."""
 
     def shutdown(self, how: int, /) -> None:
-        """Write no more."""
+        """Shut a direction down."""
 
     def fileno(self) -> int:
         """Return the descriptor."""
 
 
-async def send_all(sock: Sock, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
-    """Write all of it, and call ``on_progress`` after each part that leaves more to write."""
+async def send_all(sock: StreamSocket, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
+    """Write all bytes; call ``on_progress`` before each part after the first."""
     sent = await sock.send(data)
     if sent == len(data):
         return
@@ -38,9 +38,9 @@
         sent += await sock.send(rest[sent:])
 
 
-def readable(sock: Sock) -> bool:
-    """Tell whether there is something to read, be it the end."""
-    # Guards against closing on a request that is written but not yet read: it would be lost.
+def is_readable(sock: StreamSocket) -> bool:
+    """Tell whether there is something to read, even if it is the end of the stream."""
+    # Guards against a close over a request that is written but not yet read: it would be lost.
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -48,8 +48,8 @@
     return bool(poll.poll(0))
 
 
-def hung_up(sock: Sock) -> bool:
-    """Tell whether the other side sends no more, whatever of it is still unread."""
+def has_hung_up(sock: StreamSocket) -> bool:
+    """Tell whether the other side sends no more, whatever is still unread."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
@@ -66,11 +66,11 @@
 TRIO_SOCKET = _trio_socket_type()
 
 
-def with_plain_socket(
+def split_plain_socket(
     sock: trio.socket.SocketType,
 ) -> tuple[trio.socket.SocketType, socket.socket | None]:
-    """Return trio's socket and the plain one beneath it; None beneath sockets that are not trio's own."""
-    if type(sock) is not TRIO_SOCKET:  # such a one would be passed by, and does something of its own
+    """Return trio's socket and the plain one beneath it; None if the socket is not trio's own."""
+    if type(sock) is not TRIO_SOCKET:  # a replacement may do more on a read, which is not to be bypassed
         return sock, None
     plain = socket.socket(sock.family, sock.type, sock.proto, sock.detach())
     return trio.socket.from_stdlib_socket(plain), plain
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -22,7 +22,7 @@
 from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
-from merlinbay.http.server import Listener, bound
+from merlinbay.http.server import Listener, bind_socket
 from merlinbay.log import Log
 from merlinbay.node_components import make_discovery, make_optional_components, open_log
 from merlinbay.node_signals import SignalHandler, pending_sigterms
@@ -59,8 +59,8 @@
         self.steering = ClientSteering(self.listener, limits)
         self.admin = AdminListener(self.inbox, self.steering, limits, counters, self.log)
         if config.settings.balancers == 1:  # with more nodes, a new connection leads to another one
-            self.client_adapter.is_short_of_connections = self.listener.scarce
-        self.client_adapter.accepts_clients = self.steering.wanted
+            self.client_adapter.is_short_of_connections = self.listener.is_short_of_idle_connections
+        self.client_adapter.accepts_clients = self.steering.accepts_clients
 
     async def run(self) -> None:
         """Run until the node is told to stop and its last request is answered."""
@@ -68,7 +68,7 @@
         client_socket = await bind(self.listener.bind(*config.listen), config.listen)
         admin_socket = None
         if config.admin is not None:
-            admin_socket = await bind(bound(*config.admin, config.limits.accept_backlog), config.admin)
+            admin_socket = await bind(bind_socket(*config.admin, config.limits.accept_backlog), config.admin)
         inherited = await self._inherit()
         discovery = make_discovery(config, inherited, self.inbox, self.clock, self.counters, self.log)
         async with trio.open_nursery() as nursery:
@@ -94,7 +94,7 @@
             self.log.event("serves", at=f"{config.listen[0]}:{config.listen[1]}", node=config.name)
             await dispatcher.run(self.received)
             self.client_adapter.end()
-            await self.listener.finish(config.limits.stop_close_timeout_s)
+            await self.listener.close_all(config.limits.stop_close_timeout_s)
             nursery.cancel_scope.cancel()
 
     async def _inherit(self) -> Inherited | None:
@@ -133,20 +133,20 @@
             balancer, self.clock, config.limits, self.counters, self.log, servers, discovery
         )
         if drmaa is not None and drmaa.front is not None and drmaa.front.reserving is not None:
-            dispatcher.watch_entries(drmaa.front.reserving)
+            dispatcher.add_endpoint_observer(drmaa.front.reserving)
         nursery.start_soon(pool.sweep)
         nursery.start_soon(discovery.run)
-        dispatcher.know_other_process(self.optional.takeover)
+        dispatcher.set_peer_process(self.optional.takeover)
         if self.optional.fleet is not None:
             self.optional.fleet.gauges = dispatcher.gauges
         if inherited is None:
-            dispatcher.turn([EndpointListReceived("remembered", messages.entries(config.initial_list))])
+            dispatcher.run_batch([EndpointListReceived("remembered", messages.entries(config.initial_list))])
             return dispatcher
         notified_in_us = config.limits.handover_notified_in_us
         if isinstance(discovery, Discovery):
             discovery.confirm_after(notified_in_us)
-        self.steering.turn(inherited.is_standby, relayed=True)
-        dispatcher.turn(
+        self.steering.set_draining(inherited.is_standby, relayed=True)
+        dispatcher.run_batch(
             [EndpointListReceived("remembered", inherited.entries), DiscoveryReloaded(notified_in_us)]
         )
         adopt(balancer, balancer.classes, inherited.snapshot)
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -88,7 +88,7 @@
             await self.inbox.send(ShutdownRequested())
             return
         await trio.sleep(limits.stop_arrivals_for_s)
-        self.listener.leaving = True
+        self.listener.is_draining = True
         if self.config.settings.balancers > 1:
             # Guards against rejecting clients that another node could serve: their connections are closed
             # before rejection begins, and their new connections reach another node.
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -109,11 +109,11 @@
         return "" if self.is_serving else "not yet"
 
     async def _standby(self, _: str) -> str:
-        self.steering.turn(True)
+        self.steering.set_draining(True)
         return ""
 
     async def _active(self, _: str) -> str:
-        self.steering.turn(False)
+        self.steering.set_draining(False)
         return ""
 
     async def _maint_on(self, server: str) -> str:
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -21,7 +21,7 @@
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.connection import Connection, Request, Response
-from merlinbay.http.sockets import hung_up
+from merlinbay.http.sockets import has_hung_up
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages
@@ -61,18 +61,18 @@
         self.entering.cancel()
         self.unanswered.discard(self)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has disconnected, as its connection looks now."""
-        return self.withdrawn or hung_up(self.connection.sock)
+        return self.withdrawn or has_hung_up(self.connection.sock)
 
     def answer(self, answer: Answer) -> None:
         """Write the answer to the client's connection."""
         self.connection.context = None
         self.unanswered.discard(self)
-        if answer.verdict is AnswerStatus.SERVED:
-            self.connection.proven = True
+        if answer.status is AnswerStatus.SERVED:
+            self.connection.has_served_request = True
             self.connection.respond(Response(200, answer.result))
-        elif answer.verdict is AnswerStatus.REFUSED:
+        elif answer.status is AnswerStatus.REJECTED:
             self.connection.respond(rejection(answer.retry_after_us))
         else:
             self.connection.respond(Response(500, b"failed\n"))
@@ -106,7 +106,7 @@
         # dispatcher ends when all that it has taken is answered.
         for client_request in list(self.unanswered):
             client_request.answer(
-                Answer(AnswerStatus.REFUSED, retry_after_us=self.limits.stop_retry_after_us)
+                Answer(AnswerStatus.REJECTED, retry_after_us=self.limits.stop_retry_after_us)
             )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
@@ -116,7 +116,7 @@
             # Guards against requests that cross the exit: they are answered, and not begun.
             return RECEIVED if path == CALL_BACKS else rejection(self.limits.stop_retry_after_us)
         if path == CALL_BACKS:
-            connection.calls_back = True
+            connection.carries_callbacks = True
             return await self._call_back(request)
         if path == READINESS:
             if request.method not in ("GET", "HEAD"):
@@ -138,10 +138,10 @@
             self.counters.add("requests_bad")
             self.log.event("request_bad", level="warning", cause=str(error))
             return Response(400, f"bad request: {error}\n".encode())
-        if spec.job_class in self.by_key_classes and not spec.repeat_key:
+        if spec.job_class in self.by_key_classes and not spec.idempotency_key:
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
-        if connection.proven and self.is_short_of_connections():
+        if connection.has_served_request and self.is_short_of_connections():
             # Guards against using the last proven connection: a client without one, which gets no new one
             # from a node that shuts down, gives up the node though it still serves.
             self.counters.add("jobs_spared")
@@ -163,9 +163,11 @@
     def _arrived_us(self, request: Request) -> int:
         """Return when a request's last byte had been received."""
         # Guards against a deadline that is late by the time for which a request read ahead has waited.
-        return self.clock.now_us() if request.received is None else self.clock.from_trio(request.received)
+        return (
+            self.clock.now_us() if request.received_at is None else self.clock.from_trio(request.received_at)
+        )
 
-    def gone(self, connection: Connection) -> None:
+    def client_disconnected(self, connection: Connection) -> None:
         """Withdraw the request of a client that has disconnected."""
         client_request = connection.context
         if isinstance(client_request, ClientRequest):
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -199,7 +199,7 @@
                     wait_s = self._next_wait_s()
                     timeout_s = wait_s + self.limits.watch_slack_s
                     was_malformed = False
-                if not connection.reusable:
+                if not connection.can_be_reused:
                     connection.close()
                     connection = await self._connect()
         finally:
@@ -207,7 +207,7 @@
 
     async def _connect(self) -> ClientConnection:
         limits = self.limits
-        return await ClientConnection.dial(
+        return await ClientConnection.connect(
             self.addr, limits, limits.endpoint_list_bytes, limits.watch_connect_timeout_s
         )
 
@@ -246,7 +246,9 @@
             self.reports_next = False
             self.confirm_at_s = [at_s for at_s in self.confirm_at_s if at_s > now_s]
             scope = "all" if listing.full else "changes"
-            await self.inbox.send(EndpointListReceived(scope, entries, former=self.is_at_previous))
+            await self.inbox.send(
+                EndpointListReceived(scope, entries, is_from_former_discovery=self.is_at_previous)
+            )
         self.has_list.set()
 
     def _apply_to_list(self, listing: messages.Listing, entries: list[ServiceEntry]) -> None:
--- a/merlinbay/platform/messages.py
+++ b/merlinbay/platform/messages.py
@@ -146,17 +146,17 @@
     return RequestSpec(
         name=name,
         job_class=request_class,
-        arrived_us=arrived_us,
-        budget_us=budget_ms * 1000,
+        arrived_at_us=arrived_us,
+        time_budget_us=budget_ms * 1000,
         target=target,
         body=body,
-        repeat_key=headers.get("idempotency-key", ""),
-        key=headers.get("x-route-key", ""),
+        idempotency_key=headers.get("idempotency-key", ""),
+        affinity_key=headers.get("x-route-key", ""),
         tenant=headers.get("x-tenant-id", ""),
         slots=slots,
         memory=memory,
-        hint_us=hint_us,
-        retried=headers.get("x-retried") == "1",
+        duration_hint_us=hint_us,
+        is_retry=headers.get("x-retried") == "1",
     )
 
 
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -10,15 +10,15 @@
 from merlinbay.counters import Counters
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import Headers, Reply
-from merlinbay.http.pool import ConnectionPool
-from merlinbay.http.servers import PooledServers, check_may_begin
+from merlinbay.http.pool import ConnectionPool, OutgoingRequest
+from merlinbay.http.pooled_transport import PooledServerTransport, check_may_begin
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.platform import messages, replies
 from merlinbay.platform.replies import JobReply
 
 
-class PlatformServers(PooledServers):
+class PlatformServers(PooledServerTransport):
     """Sends attempts to the platform's servers."""
 
     def __init__(
@@ -39,12 +39,12 @@
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
         scope = trio.CancelScope(
-            deadline=self.clock.to_trio(attempt.deadline_us) + self.limits.late_answer_timeout_s
+            deadline=self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer_timeout_s
         )
         if self.spawn(self._send, attempt, scope):
             self.sending[attempt] = scope
         else:
-            self.not_sent(attempt)
+            self.report_not_sent(attempt)
 
     def give_up(self, attempt: ServerAttempt) -> None:
         """Close the connection before the 202; delete the job after it."""
@@ -74,15 +74,15 @@
             ),
         )
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         """Check a server's health, and read its load report where there is one."""
         self.spawn(self._probe, server)
 
     async def _send(self, attempt: ServerAttempt, scope: trio.CancelScope) -> None:
         spec = attempt.spec
         headers = [("x-request-id", spec.name)]
-        if spec.repeat_key:
-            headers.append(("idempotency-key", spec.repeat_key))
+        if spec.idempotency_key:
+            headers.append(("idempotency-key", spec.idempotency_key))
         reply: Reply | Outcome | None = None
         has_begun = False
 
@@ -93,23 +93,24 @@
             return [("x-timeout-ms", str(self._remaining_ms(attempt)))]
 
         with scope:
-            reply = await self.exchange(
-                attempt.server, "POST", spec.target, headers, spec.body, before_send, replies.is_conclusive
+            request = OutgoingRequest(
+                "POST", spec.target, headers, spec.body, before_send, replies.is_conclusive
             )
+            reply = await self.exchange(attempt.server, request)
         is_cancelled = self.sending.pop(attempt, None) is None
         if is_cancelled:
             if has_begun and may_hold_job(reply):
                 # Guards against a 202 that crosses the close: the job was taken, and would run on.
                 await self._delete(attempt)
         elif isinstance(reply, Outcome):
-            await self.ended(attempt, reply)
+            await self.report_ended(attempt, reply)
         elif reply is not None:
             await self._handle_reply(attempt, reply)
 
     def _remaining_ms(self, attempt: ServerAttempt) -> int:
         """Return how long the attempt may still take."""
         # Guards against a timeout at the server that does not count the time that connecting took.
-        return max((attempt.deadline_us - self.clock.now_us()) // 1000, 1)
+        return max((attempt.deadline_at_us - self.clock.now_us()) // 1000, 1)
 
     async def _handle_reply(self, attempt: ServerAttempt, reply: Reply) -> None:
         """Report what a reply proves about its attempt."""
@@ -124,7 +125,7 @@
             # the DELETE, and without that it is waited for like one that was taken.
             if not await self._delete(attempt):
                 return
-        await self.ended(attempt, replies.OUTCOMES[kind], report, unfit=kind is JobReply.REJECTED)
+        await self.report_ended(attempt, replies.OUTCOMES[kind], report, unfit=kind is JobReply.REJECTED)
 
     async def _give_up_taken(self, attempt: ServerAttempt) -> None:
         await self._delete(attempt)
@@ -133,8 +134,8 @@
         """Delete an attempt's job at its server; return whether the server has answered."""
         reply: Reply | Outcome | None = None
         with trio.move_on_after(self.limits.cancel_timeout_s):
-            target = f"/jobs/{attempt.spec.name}"
-            reply = await self.exchange(attempt.server, "DELETE", target, [], rested=False)
+            request = OutgoingRequest("DELETE", f"/jobs/{attempt.spec.name}", may_reuse_in_quarantine=True)
+            reply = await self.exchange(attempt.server, request)
             self.counters.add("deletes" if isinstance(reply, Reply) else "deletes_failed")
         return isinstance(reply, Reply)
 
@@ -142,7 +143,8 @@
         began_us = self.clock.now_us()
         reply: Reply | Outcome = Outcome.TIMEOUT
         with trio.move_on_after(self.limits.health_check_timeout_s):
-            reply = await self.exchange(name, "GET", "/-/load" if self.reports_load else "/-/healthy", [])
+            request = OutgoingRequest("GET", "/-/load" if self.reports_load else "/-/healthy")
+            reply = await self.exchange(name, request)
         outcome, report = reply if isinstance(reply, Outcome) else Outcome.ERROR, None
         if isinstance(reply, Reply):
             outcome = Outcome.OK if reply.status == 200 else Outcome.ERROR
--- a/merlinbay/platform/start_times.py
+++ b/merlinbay/platform/start_times.py
@@ -23,7 +23,7 @@
         self.clock = clock
         self.offsets_us = [0]  # of the wall clock to the node's clock
         self.translated = {  # by server: the start as listed, and on the node's clock
-            entry.server: (entry.started_us, entry.started_us) for entry in entries
+            entry.server: (entry.started_at_us, entry.started_at_us) for entry in entries
         }
 
     def translate(self, entries: list[ServiceEntry]) -> list[ServiceEntry]:
@@ -31,14 +31,14 @@
         offset_us = self.clock.wall_offset_us()
         if abs(offset_us - self.offsets_us[-1]) >= STEP_US:
             self.offsets_us = [*self.offsets_us, offset_us][-MAX_OFFSETS:]
-        return [self._translated(entry) if entry.started_us else entry for entry in entries]
+        return [self._translated(entry) if entry.started_at_us else entry for entry in entries]
 
     def _translated(self, entry: ServiceEntry) -> ServiceEntry:
         listed_us, started_us = self.translated.get(entry.server, (0, 0))
-        if listed_us != entry.started_us:
-            started_us = self._latest(entry.started_us)
-            self.translated[entry.server] = entry.started_us, started_us
-        return msgspec.structs.replace(entry, started_us=started_us)
+        if listed_us != entry.started_at_us:
+            started_us = self._latest(entry.started_at_us)
+            self.translated[entry.server] = entry.started_at_us, started_us
+        return msgspec.structs.replace(entry, started_at_us=started_us)
 
     def _latest(self, listed_us: int) -> int:
         """Return the latest moment up to now at which the server may have started."""
--- a/tests/test_handover_versions.py
+++ b/tests/test_handover_versions.py
@@ -107,7 +107,7 @@
     def __init__(self, folder: Path) -> None:
         self.path = folder / "meeting.sock"
         inbox, self.received = trio.open_memory_channel[Message](9)
-        self.listener, self.steering, clock = Mock(connections=set()), Mock(away=True), Mock()
+        self.listener, self.steering, clock = Mock(connections=set()), Mock(is_draining=True), Mock()
         clock.now_us.return_value = NOW_US
         self.takeover = Takeover(
             self.path, inbox, self.listener, self.steering, LIMITS, Counters(), Log(9), clock
@@ -181,7 +181,7 @@
         assert msgspec.to_builtins(inherited.entries) == [ENTRY]
         assert msgspec.to_builtins(to_encoded(inherited.snapshot)) == {**LEARNED, "workers": [WORKER]}
         await new.relays_to_core()
-        new.steering.turn.assert_called_once_with(True, relayed=True)
+        new.steering.set_draining.assert_called_once_with(True, relayed=True)
         ((sock, is_proven, calls_back),) = (call.args for call in new.listener.adopt.call_args_list)
         assert (is_proven, calls_back) == (True, True)
         assert os.fstat(sock.fileno()).st_ino == os.fstat(client.fileno()).st_ino
@@ -209,7 +209,7 @@
             await sock.send(PACKETS["hello"])
             request = await new.received.receive()
             assert isinstance(request, SnapshotRequested)
-            request.told(from_encoded(learned))
+            request.reply(from_encoded(learned))
             assert await read(sock) == {"type": "Part", "entries": [ENTRY], "workers": []}
             assert await read(sock) == {"type": "Part", "entries": [], "workers": [WORKER]}
             bare = {**LEARNED, "workers": []}
@@ -220,10 +220,10 @@
                 await sock.send(PACKETS[name])
             await new.relays_to_core()
             await trio.testing.wait_all_tasks_blocked()
-            new.steering.turn.assert_called_once_with(True, relayed=True)
-            assert new.takeover.unclaimed(AttemptStarted("text-1", "text-2"))
-            new.takeover.maintained("text-1", True)
-            new.steering.told(True)
+            new.steering.set_draining.assert_called_once_with(True, relayed=True)
+            assert new.takeover.relay_callback(AttemptStarted("text-1", "text-2"))
+            new.takeover.relay_maintenance("text-1", True)
+            new.steering.on_operator_request(True)
             assert [await read(sock) for _ in range(3)] == [UNCLAIMED, BANNED, AWAY]
             assert await predecessor.hand_over() is True
             (give,) = new.listener.hand_over.call_args.args
