--- a/tests/test_words.py
+++ b/tests/test_wire_and_configuration.py
@@ -1,4 +1,4 @@
-"""Tables for what the platform's wire, the configuration and the limits are read into."""
+"""What is read from the platform's wire, the configuration, the operator's file and the resource limits."""
 
 from __future__ import annotations
 
@@ -149,7 +149,7 @@
         ({}, "up", []),
     ],
 )
-def test_an_odd_entry_is_named(row: dict[str, str], state: str, named: list[str]) -> None:
+def test_a_malformed_entry_is_named(row: dict[str, str], state: str, named: list[str]) -> None:
     """An unknown state or a missing address costs the one entry, not the list; what is gone needs none."""
     listing = messages.read_listing(
         msgspec.json.encode(
