--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -127,5 +127,5 @@
         """Return the requests not yet answered, and the slots of servers that they hold."""
         return {
             "jobs": float(sum(not request.is_answered for request in self.requests)),
-            "slots": round(self.balancer.own_held, 1),
+            "slots": round(self.balancer.in_flight_slots, 1),
         }
--- a/merlinbay/core/endpoint_messages.py
+++ b/merlinbay/core/endpoint_messages.py
@@ -30,7 +30,6 @@
     MaintenanceChanged,
     SlotsReserved,
 )
-from merlinbay.decision.learned import learned
 
 
 class EndpointMessages:
@@ -99,7 +98,7 @@
         self.batch.add(SlotsReserved(message.server, message.slots, message.total_slots))
 
     def _on_views_requested(self, message: EndpointViewsRequested) -> None:
-        message.reply([EndpointView(**view) for view in self.balancer.beliefs(self.batch.now_us)])
+        message.reply([EndpointView(**view) for view in self.balancer.endpoint_views(self.batch.now_us)])
 
     def _on_maintenance_requested(self, message: MaintenanceRequested) -> None:
         is_known = self.balancer.knows(message.server)
@@ -112,4 +111,4 @@
             self.peer.relay_maintenance(message.server, message.is_disabled)
 
     def _on_snapshot_requested(self, message: SnapshotRequested) -> None:
-        message.reply(learned(self.balancer, self.balancer.classes))
+        message.reply(self.balancer.take_snapshot())
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -17,7 +17,6 @@
 from merlinbay.core.messages import DiscoveryReloaded, EndpointListReceived, Message
 from merlinbay.counters import Counters
 from merlinbay.decision import Balancer
-from merlinbay.decision.learned import adopt
 from merlinbay.errors import ConfigurationError
 from merlinbay.http.client_steering import ClientSteering
 from merlinbay.http.connection import Handler
@@ -149,7 +148,7 @@
         dispatcher.run_batch(
             [EndpointListReceived("remembered", inherited.entries), DiscoveryReloaded(notified_in_us)]
         )
-        adopt(balancer, balancer.classes, inherited.snapshot)
+        balancer.restore_snapshot(inherited.snapshot)
         return dispatcher
 
     def _make_servers(self, nursery: trio.Nursery, pool: ConnectionPool) -> ServerTransport:
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -25,6 +25,7 @@
     SetTimer,
     WatchEndpoints,
 )
+from merlinbay.decision.balancer import Balancer
 from merlinbay.decision.events import (
     AttemptEnded,
     CallFailure,
@@ -39,7 +40,6 @@
     StreamStarted,
     TimerFired,
 )
-from merlinbay.decision.rules import Balancer
 from merlinbay.site_settings import as_float, as_int, as_text, settings_from
 
 # Values of ``attrs`` and ``kind``.
