--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -69,8 +69,9 @@
         self.durable, self._make_random = durable, make_random
         self.voter = self._build()
         self.peers = VoterPeers(local_peer, address_of, make_random())
-        self.watches = WatchService(self.voter.keyspace, generation, watch_settings, make_random(), others)
-        self.watches.wake = self._awaken
+        self.watches = WatchService(
+            self.voter.keyspace, generation, watch_settings, make_random(), others, self._awaken
+        )
         self.storage_failures = 0
         self.advanced = trio.Event()  # set at each new revision, and replaced
         self._role = self.voter.role
--- a/merlinbay/control_service/watch_service.py
+++ b/merlinbay/control_service/watch_service.py
@@ -59,12 +59,14 @@
         settings: WatchServerSettings,
         random: Random,
         others: Iterable[str],
+        wake: Callable[[], None],
     ) -> None:
+        """``wake`` is called when an input waits; ``turn`` has to follow."""
         self.store = ServedKeyspace(keyspace)
         now = trio.current_time()
         self.server = WatchServer(self.store, generation, settings, random, now, others)
         self.streams = DownstreamStreams(self)
-        self.wake: Callable[[], None] = lambda: None
+        self._wake = wake
         self._inputs: deque[Callable[[float], None]] = deque()
         self._served_revision = keyspace.revision
 
@@ -114,7 +116,7 @@
 
     def _put(self, item: Callable[[float], None]) -> None:
         self._inputs.append(item)
-        self.wake()
+        self._wake()
 
     def opened(self, connection: int) -> None:
         """Take a new stream."""
