--- a/tests/test_handover_versions.py
+++ b/tests/test_handover_versions.py
@@ -228,7 +228,7 @@
             assert await predecessor.hand_over() is True
             (give,) = new.listener.hand_over.call_args.args
             client, _ = pair = socket.socketpair()
-            assert give(Mock(raw=client, proven=True, calls_back=True))
+            assert give(Mock(stream=Mock(raw=client), has_served_request=True, carries_callbacks=True))
             data, extra, _, _ = await sock.recvmsg(LIMITS.handover_packet_bytes, socket.CMSG_SPACE(4))
             assert msgspec.msgpack.decode(data) == EDGE_GIVEN
             given = array.array("i", extra[0][2][:4])[0]
