--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -18,10 +18,10 @@
 
 import trio
 
-from merlinbay.batch.engine import Engine
-from merlinbay.batch.jobs import Backlog, Session, Submission
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds, Offer
+from merlinbay.batch.engine import BatchEngine
+from merlinbay.batch.jobs import Backlog, JobSession, Submission
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import BatchLimits, OfferJob
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
 from merlinbay.decision import Balancer
@@ -66,11 +66,11 @@
     return [resident_bytes() - before]
 
 
-def sessions_of(teams: int) -> tuple[Engine, list[Session]]:
+def sessions_of(teams: int) -> tuple[BatchEngine, list[JobSession]]:
     """Return an engine with a session, and so a quota and a place among the turns, for each team."""
     numbers = itertools.count(1)
-    engine = Engine(Bounds(sessions=teams), lambda: f"job-{next(numbers)}")
-    allowance = Allowance(jobs=10**6, size=1 << 40)
+    engine = BatchEngine(BatchLimits(sessions=teams), lambda: f"job-{next(numbers)}")
+    allowance = SessionLimits(jobs=10**6, size=1 << 40)
     return engine, [engine.create(f"team-{n}", "", allowance, Backlog(), NOW_US) for n in range(teams)]
 
 
@@ -94,7 +94,7 @@
     while engine.jobs:
         now_us += 1000
         for effect in engine.take(now_us):
-            if isinstance(effect, Offer):
+            if isinstance(effect, OfferJob):
                 engine.placed(effect.job, "s", now_us)
                 engine.started(effect.job, "s", now_us)
                 engine.finished(effect.job, b"", now_us)
--- a/bench/control_mutants.py
+++ b/bench/control_mutants.py
@@ -31,7 +31,7 @@
 from merlinbay.control.effects import Persist, VoterEffect
 from merlinbay.control.entries import Change, ChangeResult
 from merlinbay.control.keyspace import Keyspace
-from merlinbay.control.simulation.scenario import Scenario, draw
+from merlinbay.control.simulation.scenario import ControlScenario, draw
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
     overwritten_majority,
@@ -48,7 +48,7 @@
 
     name: str
     patches: tuple[tuple[Any, str, Any], ...]
-    draw: Callable[[int], Scenario] = draw  # some rules matter in rare sequences of events only
+    draw: Callable[[int], ControlScenario] = draw  # some rules matter in rare sequences of events only
     one_entry_a_message: bool = False
 
     @contextmanager
--- a/bench/duplicate_mutants.py
+++ b/bench/duplicate_mutants.py
@@ -20,7 +20,7 @@
 from merlinbay.decision.eligibility import Eligibility
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 from merlinbay.decision.settings import Idempotency
 from merlinbay.http.client import ClientConnection, Reply
 from merlinbay.http.pool import ConnectionPool, PooledServer
@@ -52,33 +52,37 @@
 _classify = replies.classify
 
 
-def repeats_at_any_time(self: Eligibility, request: Request, others: list[Attempt], now_us: int) -> bool:
+def repeats_at_any_time(
+    self: Eligibility, request: TrackedRequest, others: list[Attempt], now_us: int
+) -> bool:
     """Take no notice of the window, neither at the decision nor at the last look."""
     return _may_repeat(self, request, others, min([now_us, *(other.dispatched_at_us for other in others)]))
 
 
-def counts_from_the_latest(self: Eligibility, request: Request, others: list[Attempt], now_us: int) -> bool:
+def counts_from_the_latest(
+    self: Eligibility, request: TrackedRequest, others: list[Attempt], now_us: int
+) -> bool:
     """Have the window begin anew with each attempt."""
     return _may_repeat(self, request, others[::-1], now_us)
 
 
-def any_group(self: Eligibility, request: Request, unresolved: Attempt, zone: str, cell: int) -> bool:
+def any_group(self: Eligibility, request: TrackedRequest, unresolved: Attempt, zone: str, cell: int) -> bool:
     """Take every endpoint for one that drops repeats."""
     return True
 
 
-def no_group(self: Eligibility, request: Request) -> list[Endpoint] | None:
+def no_group(self: Eligibility, request: TrackedRequest) -> list[Endpoint] | None:
     """Look for endpoints everywhere."""
     return None
 
 
-def once_is_repeatable(self: Request) -> Idempotency:
+def once_is_repeatable(self: TrackedRequest) -> Idempotency:
     """Take jobs that must run once for repeatable ones."""
     declared = self.class_state.spec.idempotency
     return Idempotency.ALWAYS if declared is Idempotency.NONE else declared
 
 
-def key_goes_unread(self: Request) -> Idempotency:
+def key_goes_unread(self: TrackedRequest) -> Idempotency:
     """Go by the class alone, whether or not the job carries a key."""
     return self.class_state.spec.idempotency
 
@@ -112,7 +116,7 @@
     _keep(self, name, server, connection, 0.0)
 
 
-def refuses_anything(self: Eligibility, request: Request, wait_us: int = 0) -> bool:
+def refuses_anything(self: Eligibility, request: TrackedRequest, wait_us: int = 0) -> bool:
     """Refuse jobs that may have run."""
     return True
 
@@ -169,8 +173,11 @@
     Mutant(
         "group: any", ((Eligibility, "_is_in_scope", any_group), (Eligibility, "scope_of_repeat", no_group))
     ),
-    Mutant("effect: once is repeatable", ((Request, "idempotency", property(once_is_repeatable)),)),
-    Mutant("effect: a job without its key is keyed", ((Request, "idempotency", property(key_goes_unread)),)),
+    Mutant("effect: once is repeatable", ((TrackedRequest, "idempotency", property(once_is_repeatable)),)),
+    Mutant(
+        "effect: a job without its key is keyed",
+        ((TrackedRequest, "idempotency", property(key_goes_unread)),),
+    ),
     Mutant("outcome: a reset never ran", never_ran_too(Outcome.RESET)),
     Mutant("outcome: an error never ran", never_ran_too(Outcome.ERROR)),
     Mutant(
--- a/bench/emulator.py
+++ b/bench/emulator.py
@@ -14,13 +14,13 @@
 
 from merlinbay.emulator import spec, theory
 from merlinbay.emulator.loop import Order
-from merlinbay.emulator.play import Day, play
-from merlinbay.emulator.servers import Server, Work
+from merlinbay.emulator.servers import EmulatedAttempt, EmulatedServer
+from merlinbay.emulator.simulation import DaySimulation, play
 
 RUN_S = 0.01  # mean run time of the theory's runs
 
 
-def simple(servers: int, slots: int, share: float, seconds: float, policy: str, seed: int) -> Day:
+def simple(servers: int, slots: int, share: float, seconds: float, policy: str, seed: int) -> DaySimulation:
     """Return a day of exponential run times at servers that are all alike, with nothing else."""
     kind = {"name": "k", "slots": slots, "memory": 1e9}
     value: dict[str, Any] = {
@@ -46,7 +46,7 @@
         "net": {"delay_ms": 0.001, "jitter": 0.0},
         "callers": {"retries": 0.0},
     }
-    return Day(spec.read_value(value, "theory"), seed, policy)
+    return DaySimulation(spec.read_value(value, "theory"), seed, policy)
 
 
 def waits_of(slots: int, share: float, jobs: int, seed: int) -> np.ndarray:
@@ -54,7 +54,7 @@
     day = simple(1, slots, share, jobs * RUN_S / (share * slots), "random", seed)
     waits: list[int] = []
 
-    def ran(work: Work, server: Server) -> None:
+    def ran(work: EmulatedAttempt, server: EmulatedServer) -> None:
         waits.append(day.loop.now - work.arrived_us)
 
     day.checker.ran = ran  # type: ignore[method-assign]
@@ -106,7 +106,7 @@
 def check_speed() -> Iterator[str]:
     """Print jobs a second of CPU, and how much faster than the clock a day is."""
     for name in ("random", "module"):
-        day = Day(spec.load("monday"), 1, name)
+        day = DaySimulation(spec.load("monday"), 1, name)
         began = time.process_time()
         result = day.play()
         took = time.process_time() - began
@@ -126,7 +126,7 @@
             "load": {"share": 0.6},
         }
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-        day = Day(spec.read_value(value, "scale"), 1, "module")
+        day = DaySimulation(spec.read_value(value, "scale"), 1, "module")
         began = time.process_time()
         result = day.play()
         took = time.process_time() - began
--- a/bench/events.py
+++ b/bench/events.py
@@ -20,30 +20,30 @@
 
 from merlinbay.access import tokens
 from merlinbay.access.grants import Scope
-from merlinbay.access.tls import Files, Handshakes
-from merlinbay.batch.engine import Engine
+from merlinbay.access.tls import CertificateFiles, Handshakes
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.jobs import Backlog, Submission
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds
-from merlinbay.batch.timers import Timers
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import BatchLimits
+from merlinbay.batch.timers import TimerQueue
 from merlinbay.clock import Clock
 from merlinbay.core.messages import Message
 from merlinbay.counters import Counters
 from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import listening
 from merlinbay.drmaa.front import DrmaaFront
-from merlinbay.drmaa.settings import Drmaa, NamedSession
+from merlinbay.drmaa.settings import DrmaaSettings, NamedSession
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.monitor import filters, view
-from merlinbay.notify.hub import Hub, wanted_of
-from merlinbay.notify.journal import Journal, News
-from merlinbay.notify.listeners import Batch
-from merlinbay.notify.listeners import Bounds as ListenerBounds
-from merlinbay.notify.sender import Sender
-from merlinbay.notify.targets import Allowed
+from merlinbay.notify.hub import EventHub, wanted_of
+from merlinbay.notify.journal import EventJournal, JobEventKind
+from merlinbay.notify.listeners import CallbackBatch
+from merlinbay.notify.listeners import ListenerLimits as ListenerBounds
+from merlinbay.notify.sender import CallbackSender
+from merlinbay.notify.targets import AllowedTargets
 
 SECONDS = 3.0
 
@@ -68,22 +68,22 @@
     """Offer events at a rate; say what was delivered, how late, what was missed, and the memory."""
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     limits, counters, log, clock, sink = ResourceLimits(), Counters(), Log(5), Clock(), Sink()
-    hub = Hub(
-        Journal(20_000, 1 << 30, lambda: "s"),
+    hub = EventHub(
+        EventJournal(20_000, 1 << 30, lambda: "s"),
         ListenerBounds(),
         10,
-        Allowed.read(["127.0.0.0/8"], ()),
-        Timers(),
+        AllowedTargets.read(["127.0.0.0/8"], ()),
+        TimerQueue(),
         lambda: os.urandom(4).hex(),
         Random(1),
     )
 
     def flush(now: int) -> None:
         for found in hub.take(now):
-            if isinstance(found, Batch):
+            if isinstance(found, CallbackBatch):
                 sender.send(found)
 
-    sender = Sender(hub.listeners, listening.write_batch, flush, clock, limits, counters, log, 5.0)
+    sender = CallbackSender(hub.listeners, listening.write_batch, flush, clock, limits, counters, log, 5.0)
     listener = Listener(sink, limits, counters, log)
     sock = await listener.bind("127.0.0.1", 0)
     port = sock.getsockname()[1]
@@ -96,7 +96,7 @@
         began, told = trio.current_time(), 0
         while (past := trio.current_time() - began) < SECONDS:
             while told < past * rate:
-                hub.tell("q", News.NEW_STATE, f"{time.time():.6f}", "RUNNING", "a", clock.now_us())
+                hub.tell("q", JobEventKind.NEW_STATE, f"{time.time():.6f}", "RUNNING", "a", clock.now_us())
                 told += 1
             flush(clock.now_us())
             await trio.sleep(0.005)
@@ -115,7 +115,7 @@
 def front_of(gate: tokens.TokenGate | None) -> DrmaaFront:
     """Return a front with a backlog, whose core takes nothing."""
     send, _ = trio.open_memory_channel[Message](1)
-    settings = Drmaa(front=True, session=[NamedSession(name="q", backlog=True)])
+    settings = DrmaaSettings(front=True, session=[NamedSession(name="q", backlog=True)])
     return DrmaaFront(
         send,
         Clock(),
@@ -155,12 +155,12 @@
 async def access() -> None:
     """Print CPU a job without, with tokens, and over TLS, in slices that take turns."""
     limits, counters, log, ca = ResourceLimits(), Counters(), Log(5), trustme.CA()
-    ring = tokens.Ring([tokens.new_key()])
+    ring = tokens.KeyRing([tokens.new_key()])
     token = tokens.issue(ring, "a", list(Scope), 999, int(time.time())).encode()
     made = ca.issue_cert("127.0.0.1")
     with tempfile.TemporaryDirectory() as folder:
         made.private_key_and_cert_chain_pem.write_to_path(f"{folder}/all.pem")
-        shake = Handshakes(Files(f"{folder}/all.pem", f"{folder}/all.pem"), 16, 2.0, counters)
+        shake = Handshakes(CertificateFiles(f"{folder}/all.pem", f"{folder}/all.pem"), 16, 2.0, counters)
     context = ssl.create_default_context()
     ca.configure_trust(context)
     costs: dict[str, list[float]] = {"plain": [], "tokens": [], "tokens and TLS": []}
@@ -194,8 +194,8 @@
 
 def pages() -> None:
     """Print what a page of the monitoring session takes at 100,000 jobs."""
-    engine = Engine(Bounds(), lambda: os.urandom(8).hex())
-    session = engine.create("q", "", Allowance(jobs=10**6, size=1 << 40), Backlog(), 0)
+    engine = BatchEngine(BatchLimits(), lambda: os.urandom(8).hex())
+    session = engine.create("q", "", SessionLimits(jobs=10**6, size=1 << 40), Backlog(), 0)
     for number in range(100_000):
         engine.submit(session, Submission(b"", "print", account=f"a{number % 1000}", held=True), 0)
     test = filters.compiled('accountingId in ("a1", "a2") and jobState != "DONE"', view.KINDS)
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -26,7 +26,7 @@
 from merlinbay.client.transport import Door
 from merlinbay.conformance import report
 from merlinbay.conformance.clauses import CLAUSES
-from merlinbay.conformance.probe import Probe
+from merlinbay.conformance.probe import ConformanceProbe
 
 Before = Callable[[str, str, Any], "tuple[str, str, Any] | None"]  # None: not passed on, but answered 200
 After = Callable[[str, str, int, Any], "tuple[int, Any]"]
@@ -194,7 +194,7 @@
         server = ThreadingHTTPServer(("127.0.0.1", 0), partial(Proxy, mutant, http))
         thread = threading.Thread(target=server.serve_forever, daemon=True)
         thread.start()
-        probe = Probe(Door(f"http://127.0.0.1:{server.server_address[1]}"), patience=patience)
+        probe = ConformanceProbe(Door(f"http://127.0.0.1:{server.server_address[1]}"), patience=patience)
         try:
             results = report.play(probe, CLAUSES, lambda result: None)
         finally:
--- a/bench/reservations.py
+++ b/bench/reservations.py
@@ -9,17 +9,17 @@
 import numpy as np
 
 from merlinbay.batch.errors import DrmaaError
-from merlinbay.batch.timers import Timers
-from merlinbay.reserve.book import Bounds, Reservation, SlotBook, Wish
+from merlinbay.batch.timers import TimerQueue
+from merlinbay.reserve.calendar import Reservation, ReservationCalendar, ReservationLimits, ReservationSpec
 
 SERVERS, SLOTS, MOST, S = 200, 64, 100_000, 1_000_000
 
 
 def main() -> None:
     """Fill the book, then time each kind of call on the full one."""
-    rng, timers, count = random.Random(3), Timers(), iter(range(10**9))
-    book = SlotBook(
-        Bounds(most=10**6, share=1.0, ahead_us=10**15, length_us=10**13),
+    rng, timers, count = random.Random(3), TimerQueue(), iter(range(10**9))
+    book = ReservationCalendar(
+        ReservationLimits(most=10**6, share=1.0, ahead_us=10**15, length_us=10**13),
         timers,
         lambda: f"r{next(count)}",
         lambda found, what: None,
@@ -34,7 +34,9 @@
         start, length = rng.randrange(1, span), rng.randrange(60, 3600)
         began = time.perf_counter()
         try:
-            made.append(book.reserve(Wish(rng.randrange(1, 9), 9, start * S, 0, length * S), None, "d", 0))
+            made.append(
+                book.reserve(ReservationSpec(rng.randrange(1, 9), 9, start * S, 0, length * S), None, "d", 0)
+            )
         except DrmaaError:
             refused += 1
         took.append(time.perf_counter() - began)
@@ -50,7 +52,7 @@
     slides, extends, ends = [], [], []
     for found in rng.sample(made, 1000):
         began = time.perf_counter()
-        book.reserve(Wish(4, 4, found.start_us, found.start_us + 7200 * S, 600 * S), None, "d", 0)
+        book.reserve(ReservationSpec(4, 4, found.start_us, found.start_us + 7200 * S, 600 * S), None, "d", 0)
         slides.append(time.perf_counter() - began)
         began = time.perf_counter()
         try:
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -17,7 +17,7 @@
 from merlinbay.decision import Balancer
 from merlinbay.emulator import spec
 from merlinbay.emulator.loop import Order
-from merlinbay.emulator.play import Day
+from merlinbay.emulator.simulation import DaySimulation
 
 SIZES, NODES, SHARES = (12, 120, 1200), (1, 10, 100), (0.6, 0.85)
 JOBS = 20_000  # of one day, at the most: larger halls are played for less time
@@ -52,7 +52,7 @@
         "callers": {"retries": 0.5},
     }
     script = spec.read_value(value, "scale")
-    day = Day(script, 1, "module")
+    day = DaySimulation(script, 1, "module")
     off: list[float] = []
     apart: list[float] = []
 
@@ -73,7 +73,10 @@
     result = day.play()
     # The oracle looks at every server for every job: at 1,200 of them that takes minutes.
     names = ["random", "oracle"] if servers < 1000 else ["random"]
-    others = {"oracle": float("nan"), **{name: Day(script, 1, name).play().in_time for name in names}}
+    others = {
+        "oracle": float("nan"),
+        **{name: DaySimulation(script, 1, name).play().in_time for name in names},
+    }
     return Row(
         servers,
         nodes,
--- a/bench/view.py
+++ b/bench/view.py
@@ -216,7 +216,7 @@
     from merlinbay.fleet.members import Member
     from merlinbay.fleet.settings import FleetSettings
 
-    sim = simulation.Simulation(seed, members, FleetSettings(name="sim", listen="x", keys="x"))
+    sim = simulation.FleetSimulation(seed, members, FleetSettings(name="sim", listen="x", keys="x"))
     states = {}
     for node in sim.nodes.values():
         node.start()
--- a/merlinbay/access/settings.py
+++ b/merlinbay/access/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Access(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class AccessSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Who may call the front, and how."""
 
     open: bool = False  # everybody may do everything: for a closed network
--- a/merlinbay/access/tls.py
+++ b/merlinbay/access/tls.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Files:
+class CertificateFiles:
     """Where the certificates are."""
 
     certificate: str
@@ -76,7 +76,7 @@
 class Handshakes:
     """Makes TLS of accepted connections."""
 
-    def __init__(self, files: Files, most: int, seconds: float, counters: Counters) -> None:
+    def __init__(self, files: CertificateFiles, most: int, seconds: float, counters: Counters) -> None:
         self.files, self.most, self.seconds, self.counters = files, most, seconds, counters
         self.context = files.context()
         self.under_way: OrderedDict[int, trio.CancelScope] = OrderedDict()
--- a/merlinbay/access/tokens.py
+++ b/merlinbay/access/tokens.py
@@ -30,7 +30,7 @@
     """The ring cannot be used; the text is one line."""
 
 
-class Key(msgspec.Struct, forbid_unknown_fields=True):
+class SigningKey(msgspec.Struct, forbid_unknown_fields=True):
     """One key as the file has it."""
 
     kid: str
@@ -48,10 +48,10 @@
         return found
 
 
-class Ring(msgspec.Struct, forbid_unknown_fields=True):
+class KeyRing(msgspec.Struct, forbid_unknown_fields=True):
     """The keys, the newest first."""
 
-    keys: list[Key]
+    keys: list[SigningKey]
 
     def check(self) -> None:
         """Raise ``KeyRingError`` if it cannot be used."""
@@ -63,7 +63,7 @@
             key.raw()
 
 
-def load(path: Path) -> Ring:
+def load(path: Path) -> KeyRing:
     """Read a ring. Raises ``KeyRingError``."""
     try:
         with path.open("rb") as file:
@@ -71,7 +71,7 @@
             data = file.read(1 << 20)
         if mode & (stat.S_IRWXG | stat.S_IRWXO):
             raise KeyRingError(f"{path}: others may read it (mode {stat.S_IMODE(mode):04o}); chmod 600")
-        ring = msgspec.json.decode(data, type=Ring)
+        ring = msgspec.json.decode(data, type=KeyRing)
         ring.check()
     except OSError as error:
         raise KeyRingError(f"{path}: {error.strerror}") from None
@@ -82,7 +82,7 @@
     return ring
 
 
-def save(path: Path, ring: Ring) -> None:
+def save(path: Path, ring: KeyRing) -> None:
     """Write a ring in one step: a reader finds the old one or the new one, whole."""
     ring.check()
     beside = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
@@ -97,18 +97,18 @@
         raise
 
 
-def new_key() -> Key:
+def new_key() -> SigningKey:
     """Make a key."""
-    return Key(secrets.token_hex(4), base64.b64encode(secrets.token_bytes(LEAST)).decode())
+    return SigningKey(secrets.token_hex(4), base64.b64encode(secrets.token_bytes(LEAST)).decode())
 
 
-def rotated(ring: Ring, overlap_s: int, now_s: int) -> Ring:
+def rotated(ring: KeyRing, overlap_s: int, now_s: int) -> KeyRing:
     """Put a new key first. The old first one ends after the overlap; those before it go."""
     old = msgspec.structs.replace(ring.keys[0], until=now_s + overlap_s)
-    return Ring([new_key(), old])
+    return KeyRing([new_key(), old])
 
 
-def issue(ring: Ring, account: str, scopes: Iterable[Scope], life_s: int, now_s: int) -> str:
+def issue(ring: KeyRing, account: str, scopes: Iterable[Scope], life_s: int, now_s: int) -> str:
     """Make a token with the first key."""
     key = ring.keys[0]
     claims = {
@@ -126,10 +126,10 @@
 class TokenGate:
     """Checks bearer tokens against a ring."""
 
-    ring: Ring
-    cache: OrderedDict[str, tuple[Key, Grant]] = field(default_factory=OrderedDict)
+    ring: KeyRing
+    cache: OrderedDict[str, tuple[SigningKey, Grant]] = field(default_factory=OrderedDict)
 
-    def use(self, ring: Ring) -> None:
+    def use(self, ring: KeyRing) -> None:
         """Check against another ring from now on."""
         self.ring = ring
         self.cache.clear()
@@ -156,7 +156,7 @@
             min(grant.until_us, key.until * 1_000_000) if key.until else grant.until_us,
         )
 
-    def _read(self, token: str) -> tuple[Key, Grant]:
+    def _read(self, token: str) -> tuple[SigningKey, Grant]:
         bad = denied("the token is not valid")
         if len(token) > TOKEN_MOST:
             raise bad
--- a/merlinbay/batch/engine.py
+++ b/merlinbay/batch/engine.py
@@ -6,7 +6,7 @@
     client's calls  ->  submit, submit_array, hold, release, control, terminate, reap, wait; on_array
     the core's news ->  placed, started, suspended, unplaced, lost_sight, found_queued, finished, refused,
                         failed, recalled, controlled
-    effects         ->  Offer, Withdraw, Recall, Control, Reply
+    effects         ->  Offer, WithdrawJob, RecallJob, ControlJob, Reply
 
 News may only be told of a job that is with the core: the caller drops what belongs to an earlier offer.
 """
@@ -17,25 +17,34 @@
 from collections.abc import Callable
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, invalid_state, try_later, unsupported
-from merlinbay.batch.jobs import Job, JobArray, Session, Stage, Submission, indices
+from merlinbay.batch.jobs import Job, JobArray, JobSession, JobStage, Submission, indices
 from merlinbay.batch.queue import JobQueue
-from merlinbay.batch.registry import NO_BACKLOG, ROOM, Bounds, Change, Control, Gathered, Recall, Withdraw
-from merlinbay.batch.states import Event, State
+from merlinbay.batch.registry import (
+    NO_BACKLOG,
+    ROOM,
+    ArrayCall,
+    BatchLimits,
+    ControlJob,
+    JobChange,
+    RecallJob,
+    WithdrawJob,
+)
+from merlinbay.batch.states import JobState, JobTransition
 
 STOP_RETRY_US = 1_000_000  # when a client of a node that stops may try another, or this one again
 
 
-class Engine(JobQueue):
+class BatchEngine(JobQueue):
     """Sessions, jobs, arrays and waits of one front."""
 
-    def __init__(self, bounds: Bounds, new_id: Callable[[], str]) -> None:
+    def __init__(self, bounds: BatchLimits, new_id: Callable[[], str]) -> None:
         super().__init__(bounds, new_id)
         self.waiting, self.ends = Counter(), Counter()
         self.stopping = False
 
     # Submission.
 
-    def submit(self, session: Session, what: Submission, now_us: int, call: object = None) -> Job:
+    def submit(self, session: JobSession, what: Submission, now_us: int, call: object = None) -> Job:
         """Take a job. Without a backlog it is offered at once, and ``call`` answered when that is settled."""
         if session.backlog is None:
             for name, wanted in (
@@ -52,9 +61,9 @@
         job = Job(self.new_id(), session, what, self.orders, self._rank(session, what, now_us), now_us)
         session.jobs[job.id] = job
         if what.held:
-            job.state = State.QUEUED_HELD
+            job.state = JobState.QUEUED_HELD
         if self.watcher is not None:
-            self.watcher.changed(Change.STATE, job)
+            self.watcher.changed(JobChange.STATE, job)
         if session.backlog is None:
             job.submit_call = call
             self._send(job)
@@ -66,7 +75,7 @@
 
     def submit_array(
         self,
-        session: Session,
+        session: JobSession,
         what: Submission,
         begin: int,
         end: int,
@@ -96,7 +105,7 @@
         self._feed(array, now_us)
         return array
 
-    def _admit(self, session: Session, jobs: int, what: Submission, now_us: int) -> None:
+    def _admit(self, session: JobSession, jobs: int, what: Submission, now_us: int) -> None:
         if self.stopping:
             raise try_later("the node stops", STOP_RETRY_US)
         if self.jobs + jobs > self.bounds.jobs:
@@ -120,7 +129,7 @@
             raise try_later(text, wait_us) if wait_us else DrmaaError(ROOM, text)
         self.jobs += jobs
 
-    def _rank(self, session: Session, what: Submission, now_us: int) -> int:
+    def _rank(self, session: JobSession, what: Submission, now_us: int) -> int:
         step = session.backlog.priority_us if session.backlog is not None else 0
         return max(now_us, what.start_us) - what.priority * step
 
@@ -143,13 +152,13 @@
             for array in list(session.arrays.values()):
                 self._end_unmade(array, "the node stops", now_us)
             for job in list(session.jobs.values()):
-                if job.stage in (Stage.PARKED, Stage.WAITING):
+                if job.stage in (JobStage.PARKED, JobStage.WAITING):
                     self._give_up(job, now_us)
 
     def _give_up(self, job: Job, now_us: int) -> None:
-        self._end(job, Event.FAIL, now_us, "TryLaterException", "the node stops", STOP_RETRY_US)
+        self._end(job, JobTransition.FAIL, now_us, "TryLaterException", "the node stops", STOP_RETRY_US)
 
-    def destroy(self, session: Session, now_us: int) -> None:
+    def destroy(self, session: JobSession, now_us: int) -> None:
         """Destroy a session: what has not been placed ends; what is placed goes on, with nobody to ask."""
         session.is_open, session.destroyed = False, True
         why = "the session was destroyed"
@@ -158,7 +167,7 @@
         for job in list(session.jobs.values()):
             if job.ended:
                 self._drop(job)
-            elif job.stage in (Stage.PARKED, Stage.WAITING):
+            elif job.stage in (JobStage.PARKED, JobStage.WAITING):
                 self.terminate(job, now_us, why)
             else:
                 for call in self._calls(job):
@@ -169,19 +178,19 @@
 
     def hold(self, job: Job, now_us: int, call: object = None) -> None:
         """Keep it from starting."""
-        self._allowed(job, Event.HOLD)
-        if job.stage in (Stage.OFFERED, Stage.PLACED):
+        self._allowed(job, JobTransition.HOLD)
+        if job.stage in (JobStage.OFFERED, JobStage.PLACED):
             if job.session.backlog is None:
                 raise unsupported(f"session {job.session.name!r} {NO_BACKLOG}, which held jobs wait in")
             # Guards against a hold that crosses the placement: the placement is settled first.
             if job.hold_calls is None:
                 job.hold_calls = []
-                if job.stage is Stage.PLACED:
-                    self.effects.append(Recall(job))
+                if job.stage is JobStage.PLACED:
+                    self.effects.append(RecallJob(job))
             job.hold_calls.append(call)
             return
         self._unqueue(job)
-        self._move(job, Event.HOLD)
+        self._move(job, JobTransition.HOLD)
         self._arm(job)
         self.reply(call, job)
         if job.array is not None:
@@ -189,31 +198,31 @@
 
     def release(self, job: Job, now_us: int, call: object = None) -> None:
         """Let a held job go on."""
-        self._allowed(job, Event.RELEASE)
+        self._allowed(job, JobTransition.RELEASE)
         if self._is_late(job, now_us):
             # Guards against a release that comes with the deadline: the job ends, and that is what is said.
             self._late(job, now_us)
             raise invalid_state(f"the job is {job.state.value}: {job.annotation}")
-        self._move(job, Event.RELEASE)
+        self._move(job, JobTransition.RELEASE)
         self._ready(job, now_us)
         self.reply(call, job)
 
     def control(self, job: Job, action: str, now_us: int, call: object = None) -> None:
         """Have its server ``suspend`` or ``resume`` it."""
-        self._allowed(job, Event.SUSPEND if action == "suspend" else Event.RESUME)
-        if job.stage is not Stage.PLACED or job.state is State.UNDETERMINED:
+        self._allowed(job, JobTransition.SUSPEND if action == "suspend" else JobTransition.RESUME)
+        if job.stage is not JobStage.PLACED or job.state is JobState.UNDETERMINED:
             raise invalid_state("no server can be asked about the job at present")
         if job.control is not None:
             raise invalid_state(f"a {job.control[0]} is under way")
         job.control = (action, call)
-        self.effects.append(Control(job, action))
+        self.effects.append(ControlJob(job, action))
 
     def terminate(self, job: Job, now_us: int, why: str = "terminated") -> None:
         """End it, wherever it is."""
-        self._allowed(job, Event.FAIL)
-        if job.stage in (Stage.OFFERED, Stage.PLACED):
-            self.effects.append(Withdraw(job))
-        self._end(job, Event.FAIL, now_us, annotation=why)
+        self._allowed(job, JobTransition.FAIL)
+        if job.stage in (JobStage.OFFERED, JobStage.PLACED):
+            self.effects.append(WithdrawJob(job))
+        self._end(job, JobTransition.FAIL, now_us, annotation=why)
 
     def reap(self, job: Job) -> None:
         """Drop the record of a job that has ended."""
@@ -223,7 +232,7 @@
 
     # Calls on an array.
 
-    def job(self, session: Session, job_id: str) -> Job:
+    def job(self, session: JobSession, job_id: str) -> Job:
         """Return a job by its id, a member of an array included. Raises ``DrmaaError``."""
         job = session.jobs.get(job_id)
         if job is None:
@@ -234,7 +243,7 @@
             raise invalid_argument(f"no job {job_id!r}", missing=True)
         return job
 
-    def array(self, session: Session, array_id: str) -> JobArray:
+    def array(self, session: JobSession, array_id: str) -> JobArray:
         """Return an array by its id. Raises ``DrmaaError``."""
         array = session.arrays.get(array_id)
         if array is None:
@@ -246,7 +255,7 @@
 
         Where it allows it for none, the call is answered with why.
         """
-        gathered = Gathered(call, left=1)  # one for the array itself, so that it is answered last
+        gathered = ArrayCall(call, left=1)  # one for the array itself, so that it is answered last
         error: DrmaaError | None = invalid_state(f"no member can {action}")
         if action == "terminate" and self._end_unmade(array, "terminated", now_us):
             error = None
@@ -293,62 +302,62 @@
         """Note that a real server was chosen; again for a copy or a repeat."""
         job.server, job.servers = server, (*job.servers, server)
         if self.watcher is not None:
-            self.watcher.changed(Change.ATTRIBUTE, job)  # allocatedMachines
-        if job.stage is not Stage.OFFERED:
+            self.watcher.changed(JobChange.ATTRIBUTE, job)  # allocatedMachines
+        if job.stage is not JobStage.OFFERED:
             return
-        job.stage = Stage.PLACED
+        job.stage = JobStage.PLACED
         if job.timer is not None:
             self.timers.cancel(job.timer)
             job.timer = None
         if job.session.backlog is not None:
             self.pace.took(job.job_class)
         if job.hold_calls:
-            self.effects.append(Recall(job))
+            self.effects.append(RecallJob(job))
         call, job.submit_call = job.submit_call, None
         self.reply(call, job)
 
     def started(self, job: Job, server: str, now_us: int) -> None:
         """Note that a real server started it, or went on with it."""
-        if job.state is State.RUNNING:
+        if job.state is JobState.RUNNING:
             return
         job.server, job.ran = server or job.server, True
         job.running_us = job.running_us or now_us
         job.started_us = job.started_us or now_us
         moved, job.machine = job.machine not in ("", job.server), job.server
-        self._move(job, Event.RESUME if job.state is State.SUSPENDED else Event.START)
+        self._move(job, JobTransition.RESUME if job.state is JobState.SUSPENDED else JobTransition.START)
         if moved and self.watcher is not None:
-            self.watcher.changed(Change.MACHINE, job)
+            self.watcher.changed(JobChange.MACHINE, job)
 
     def suspended(self, job: Job, now_us: int) -> None:
         """Note that its server suspended it."""
-        if job.state in (State.RUNNING, State.UNDETERMINED):
-            self._move(job, Event.SUSPEND)
+        if job.state in (JobState.RUNNING, JobState.UNDETERMINED):
+            self._move(job, JobTransition.SUSPEND)
 
     def unplaced(self, job: Job, now_us: int) -> None:
         """Note that no server has it any more; the core decides anew."""
         job.running_us = 0
-        if job.state in (State.RUNNING, State.SUSPENDED):
-            self._move(job, Event.REQUEUE)
-        elif job.state is State.UNDETERMINED:
-            self._move(job, Event.REQUEUE if job.ran else Event.FIND_QUEUED)
+        if job.state in (JobState.RUNNING, JobState.SUSPENDED):
+            self._move(job, JobTransition.REQUEUE)
+        elif job.state is JobState.UNDETERMINED:
+            self._move(job, JobTransition.REQUEUE if job.ran else JobTransition.FIND_QUEUED)
         if job.control is not None:
             call, job.control = job.control[1], None
             self.reply(call, error=invalid_state(f"the job is {job.state.value}"))
 
     def lost_sight(self, job: Job, now_us: int) -> None:
         """Note that its server cannot be asked."""
-        if job.state in (State.QUEUED, State.RUNNING, State.SUSPENDED, State.REQUEUED):
-            self._move(job, Event.LOSE_SIGHT)
+        if job.state in (JobState.QUEUED, JobState.RUNNING, JobState.SUSPENDED, JobState.REQUEUED):
+            self._move(job, JobTransition.LOSE_SIGHT)
 
     def found_queued(self, job: Job, now_us: int) -> None:
         """Note that its server says that it waits there."""
-        if job.state is State.UNDETERMINED:
-            self._move(job, Event.REQUEUE if job.ran else Event.FIND_QUEUED)
+        if job.state is JobState.UNDETERMINED:
+            self._move(job, JobTransition.REQUEUE if job.ran else JobTransition.FIND_QUEUED)
 
     def finished(self, job: Job, output: bytes, now_us: int, exit_status: int = 0, cpu_us: int = 0) -> None:
         """End it as done."""
         job.exit_status, job.cpu_us = exit_status, cpu_us
-        self._end(job, Event.FINISH, now_us, output=output)
+        self._end(job, JobTransition.FINISH, now_us, output=output)
 
     def failed(
         self,
@@ -362,15 +371,15 @@
     ) -> None:
         """End it as failed; it may have run."""
         job.exit_status, job.signal = exit_status, signal
-        self._end(job, Event.FAIL, now_us, exception, annotation, output=output)
+        self._end(job, JobTransition.FAIL, now_us, exception, annotation, output=output)
 
     def refused(self, job: Job, retry_after_us: int, now_us: int) -> None:
         """Let it wait again: nothing was done, or nothing that a repeat would harm."""
         if job.session.backlog is None or job.session.destroyed:
             text = "refused unsent or handed back"
-            self._end(job, Event.FAIL, now_us, "TryLaterException", text, retry_after_us)
+            self._end(job, JobTransition.FAIL, now_us, "TryLaterException", text, retry_after_us)
             return
-        if job.stage is Stage.PLACED:
+        if job.stage is JobStage.PLACED:
             self.unplaced(job, now_us)
         self._take_back(job)
         self.pace.refused(job.shape, job.job_class, retry_after_us, now_us)
@@ -393,10 +402,10 @@
                     error=invalid_state(f"its server does not give it back; the job is {job.state.value}"),
                 )
         elif job.session.destroyed:
-            self._end(job, Event.FAIL, now_us, annotation="the session was destroyed")
-        elif job.state not in (State.QUEUED, State.REQUEUED):
+            self._end(job, JobTransition.FAIL, now_us, annotation="the session was destroyed")
+        elif job.state not in (JobState.QUEUED, JobState.REQUEUED):
             # Guards against a server that tells of a start and then gives the job back: it may have run.
-            self._end(job, Event.FAIL, now_us, "InternalException", "given back; it may have run")
+            self._end(job, JobTransition.FAIL, now_us, "InternalException", "given back; it may have run")
         else:
             self._take_back(job)
             self._now_held(job, now_us)
@@ -408,13 +417,13 @@
         if job.control is None or job.control[0] != action:
             return
         call, job.control = job.control[1], None
-        if error is None and job.state is (State.RUNNING if action == "suspend" else State.SUSPENDED):
-            self._move(job, Event.SUSPEND if action == "suspend" else Event.RESUME)
+        if error is None and job.state is (JobState.RUNNING if action == "suspend" else JobState.SUSPENDED):
+            self._move(job, JobTransition.SUSPEND if action == "suspend" else JobTransition.RESUME)
         self.reply(call, job, error)
 
     def _now_held(self, job: Job, now_us: int) -> None:
         calls, job.hold_calls = job.hold_calls or [], None
-        self._move(job, Event.HOLD)
+        self._move(job, JobTransition.HOLD)
         self._arm(job)
         for call in calls:
             self.reply(call, job)
--- a/merlinbay/batch/fair_share.py
+++ b/merlinbay/batch/fair_share.py
@@ -18,7 +18,7 @@
 from sortedcontainers import SortedList
 
 
-class Entry(Protocol):
+class QueuedJob(Protocol):
     """What waits in an account's lane. None of it changes while it waits."""
 
     rank: int  # the moment it became due, less its head start; microseconds
@@ -32,10 +32,10 @@
 May = Callable[[Hashable], bool]  # whether jobs of a shape may go now
 
 
-class Node:
+class FairShareNode:
     """A place in the tree."""
 
-    def __init__(self, parent: Branch | None, weight: float = 1.0) -> None:
+    def __init__(self, parent: FairShareBranch | None, weight: float = 1.0) -> None:
         self.parent, self.weight = parent, weight
         self.tag = 0.0  # work served, divided by the weight
         self.turn = 0  # when it was served last, by its parent's count: of two alike, longer ago first
@@ -45,7 +45,7 @@
             parent.children += 1
             self.number = parent.children
 
-    def first(self, may: May) -> tuple[Lane, Entry] | None:
+    def first(self, may: May) -> tuple[AccountQueue, QueuedJob] | None:
         """Return what comes next of the shapes that may go; None if there is nothing."""
         raise NotImplementedError
 
@@ -80,17 +80,17 @@
         parent.charge(work)
 
 
-class Branch(Node):
+class FairShareBranch(FairShareNode):
     """A node whose children take turns."""
 
-    def __init__(self, parent: Branch | None = None, weight: float = 1.0) -> None:
+    def __init__(self, parent: FairShareBranch | None = None, weight: float = 1.0) -> None:
         super().__init__(parent, weight)
         self.children = 0  # made so far
         self.turns = 0  # of all children
-        self.places: SortedList[tuple[float, int, int, Node]] = SortedList()  # where something waits
+        self.places: SortedList[tuple[float, int, int, FairShareNode]] = SortedList()  # where something waits
         self.served = 0.0  # the highest tag at which a child was served
 
-    def first(self, may: May) -> tuple[Lane, Entry] | None:
+    def first(self, may: May) -> tuple[AccountQueue, QueuedJob] | None:
         """Return what the child that was served least would give."""
         for *_, child in self.places:
             if (found := child.first(may)) is not None:
@@ -98,19 +98,19 @@
         return None
 
 
-class Lane(Node):
+class AccountQueue(FairShareNode):
     """The jobs of one account, by shape."""
 
-    def __init__(self, parent: Branch, weight: float = 1.0) -> None:
+    def __init__(self, parent: FairShareBranch, weight: float = 1.0) -> None:
         super().__init__(parent, weight)
-        self.queues: dict[Hashable, SortedList[tuple[int, int, Entry]]] = {}
+        self.queues: dict[Hashable, SortedList[tuple[int, int, QueuedJob]]] = {}
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: QueuedJob) -> None:
         """Let a job wait."""
         self.queues.setdefault(entry.shape, SortedList()).add((entry.rank, entry.order, entry))
         self.count(1)
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueuedJob) -> None:
         """Let it wait no more: it goes on, is held or has ended."""
         queue = self.queues[entry.shape]
         queue.remove((entry.rank, entry.order, entry))
@@ -118,7 +118,7 @@
             del self.queues[entry.shape]
         self.count(-1)
 
-    def first(self, may: May) -> tuple[Lane, Entry] | None:
+    def first(self, may: May) -> tuple[AccountQueue, QueuedJob] | None:
         """Return the job that has been due longest, of the shapes that may go."""
         heads = [queue[0] for shape, queue in self.queues.items() if may(shape)]
         return (self, min(heads)[2]) if heads else None
--- a/merlinbay/batch/jobs.py
+++ b/merlinbay/batch/jobs.py
@@ -13,16 +13,16 @@
 import msgspec
 
 from merlinbay.batch.errors import invalid_argument
-from merlinbay.batch.fair_share import Branch, Lane
-from merlinbay.batch.quota import Quota
-from merlinbay.batch.states import ENDED, State
+from merlinbay.batch.fair_share import AccountQueue, FairShareBranch
+from merlinbay.batch.quota import SessionQuota
+from merlinbay.batch.states import ENDED, JobState
 from merlinbay.batch.timers import Timer
 
-CODES = list(State)  # the first, UNDETERMINED, is never final: 0 stands for a member that has not ended
+CODES = list(JobState)  # the first, UNDETERMINED, is never final: 0 stands for a member that has not ended
 CODE = {state: number for number, state in enumerate(CODES)}
 
 
-class Stage(Enum):
+class JobStage(Enum):
     """Where a job is in the front. The client sees its state; this decides what may be done with it."""
 
     PARKED = "parked"  # held, not yet due, or a member of an array that waits for its turn
@@ -65,15 +65,15 @@
 
 
 @dataclass(slots=True, eq=False, repr=False)
-class Session:
+class JobSession:
     """A job session."""
 
     name: str
-    quota: Quota
+    quota: SessionQuota
     contact: str = ""
     backlog: Backlog | None = None
-    branch: Branch | None = None  # its place among the sessions, with a backlog,
-    lanes: dict[str, Lane] = field(default_factory=dict)  # and those of its accounts below it
+    branch: FairShareBranch | None = None  # its place among the sessions, with a backlog,
+    lanes: dict[str, AccountQueue] = field(default_factory=dict)  # and those of its accounts below it
     jobs: dict[str, Job] = field(default_factory=dict)
     arrays: dict[str, JobArray] = field(default_factory=dict)
     owner: str | None = None  # the account whose it is; None: everybody's
@@ -90,13 +90,13 @@
     """A batch job, from its submission until its record is reaped or dropped."""
 
     id: str
-    session: Session
+    session: JobSession
     what: Submission
     order: int
     rank: int  # see ``shares``
     submitted_us: int
-    state: State = State.QUEUED
-    stage: Stage = Stage.PARKED
+    state: JobState = JobState.QUEUED
+    stage: JobStage = JobStage.PARKED
     array: JobArray | None = None
     index: int = 0  # in its array
     offer: int = 0  # how often it was offered to the core: tells apart what comes back
@@ -118,7 +118,7 @@
     submit_call: object = None  # the runJob call that waits for its placement, without a backlog
     hold_calls: list[object] | None = None  # hold calls that wait for the placement to be settled
     control: tuple[str, object] | None = None  # suspend or resume under way, and its call
-    waits: dict[Wait, None] | None = None  # in the order in which they came
+    waits: dict[PendingWait, None] | None = None  # in the order in which they came
     timer: Timer | None = None
 
     def __repr__(self) -> str:
@@ -147,25 +147,25 @@
     @property
     def substate(self) -> str:
         """Return what the state leaves open, in words."""
-        if self.stage is Stage.ENDED:
+        if self.stage is JobStage.ENDED:
             return ""
         if self.hold_calls:
             return "a hold is under way"
         if self.control is not None:
             return f"a {self.control[0]} is under way"
-        if self.stage is Stage.PLACED:
+        if self.stage is JobStage.PLACED:
             return f"at {self.server}"
-        if self.state in (State.QUEUED_HELD, State.REQUEUED_HELD):
+        if self.state in (JobState.QUEUED_HELD, JobState.REQUEUED_HELD):
             return "held in the front"
-        if self.stage is Stage.PARKED:
+        if self.stage is JobStage.PARKED:
             return (
                 "waits for its turn in its array" if self.array is not None else ("not before its start time")
             )
-        return "offered" if self.stage is Stage.OFFERED else "waits in the backlog"
+        return "offered" if self.stage is JobStage.OFFERED else "waits in the backlog"
 
 
 @dataclass(slots=True, eq=False)
-class Wait:
+class PendingWait:
     """A call that waits until one of several jobs has started, or has ended."""
 
     call: object
@@ -189,7 +189,7 @@
     """An array: which members there are, how many may be out at once, and whose turn it is."""
 
     id: str
-    session: Session
+    session: JobSession
     what: Submission
     range: range
     max_parallel: int  # members that may be with the core or a server at once; 0: any number
@@ -236,14 +236,14 @@
             index=index,
         )
         if code:
-            job.state, job.stage = CODES[code], Stage.ENDED
+            job.state, job.stage = CODES[code], JobStage.ENDED
             job.annotation = self.annotation or "its record is no longer kept"
             return job
-        job.state = State.QUEUED_HELD if self.held else State.QUEUED
+        job.state = JobState.QUEUED_HELD if self.held else JobState.QUEUED
         self.made[index] = self.session.jobs[job.id] = job
         return job
 
-    def note_end(self, index: int, state: State) -> None:
+    def note_end(self, index: int, state: JobState) -> None:
         """Keep how a member ended, beyond its record."""
         self.codes[self.position(index)] = CODE[state]
         self.left -= 1
--- a/merlinbay/batch/queue.py
+++ b/merlinbay/batch/queue.py
@@ -6,22 +6,22 @@
 from collections.abc import Hashable
 
 from merlinbay.batch.errors import DrmaaError, invalid_state
-from merlinbay.batch.fair_share import Lane
-from merlinbay.batch.jobs import Job, JobArray, Session, Stage, Submission
-from merlinbay.batch.registry import Change, Effect, Offer, Registry
-from merlinbay.batch.states import HELD, Event, State
+from merlinbay.batch.fair_share import AccountQueue
+from merlinbay.batch.jobs import Job, JobArray, JobSession, JobStage, Submission
+from merlinbay.batch.registry import Effect, JobChange, JobRegistry, OfferJob
+from merlinbay.batch.states import HELD, JobState, JobTransition
 
 
-class JobQueue(Registry):
+class JobQueue(JobRegistry):
     """Jobs on their way from their submission to the core, and from there to their end."""
 
     waiting: Counter[Hashable]  # in lanes, by shape
-    ends: Counter[State]  # how jobs ended,
+    ends: Counter[JobState]  # how jobs ended,
     ended = 0  # and how many
     look_us = 0  # when the backlog is looked at next, though nothing else happens
 
     def take(self, now_us: int) -> list[Effect]:
-        """Offer what may be offered now; return the effects so far, and forget them."""
+        """OfferJob what may be offered now; return the effects so far, and forget them."""
         if self.waiting:
             self._offer(now_us)
         effects, self.effects = self.effects, []
@@ -42,12 +42,12 @@
         if self._is_late(job, now_us):
             self._late(job, now_us)
             return
-        job.stage = Stage.PARKED
+        job.stage = JobStage.PARKED
         if job.what.start_us > now_us:
             self._arm(job, job.what.start_us)
             return
         self._arm(job)
-        job.stage = Stage.WAITING
+        job.stage = JobStage.WAITING
         self.pace.know(job.shape, job.job_class, now_us)
         self._lane(job).add(job)
         self.waiting[job.shape] += 1
@@ -65,24 +65,24 @@
         self._feed(job.array, now_us)
 
     def _unqueue(self, job: Job) -> None:
-        if job.stage is Stage.WAITING:
+        if job.stage is JobStage.WAITING:
             self._lane(job).remove(job)
             self.waiting[job.shape] -= 1
             if not self.waiting[job.shape]:
                 del self.waiting[job.shape]
             if job.array is not None:
                 job.array.queued -= 1
-            job.stage = Stage.PARKED
+            job.stage = JobStage.PARKED
 
-    def _lane(self, job: Job) -> Lane:
+    def _lane(self, job: Job) -> AccountQueue:
         session, account = job.session, job.what.account
         assert session.branch is not None
         lane = session.lanes.get(account)
         if lane is None:
-            lane = session.lanes[account] = Lane(session.branch)
+            lane = session.lanes[account] = AccountQueue(session.branch)
         return lane
 
-    def _forget_lanes(self, session: Session) -> None:
+    def _forget_lanes(self, session: JobSession) -> None:
         """Forget the accounts that have nothing waiting and no more served than the others."""
         branch = session.branch
         assert branch is not None
@@ -91,7 +91,7 @@
                 del session.lanes[account]
 
     def _offer(self, now_us: int) -> None:
-        """Offer what comes next, as far as the pace allows."""
+        """OfferJob what comes next, as far as the pace allows."""
         while may := self.pace.open(self.waiting, now_us):
             found = self.root.first(may.__contains__)
             assert found is not None
@@ -112,17 +112,17 @@
             self.timers.at(self.look_us, lambda now: None)
 
     def _send(self, job: Job) -> None:
-        job.stage, job.offer = Stage.OFFERED, job.offer + 1
-        self.effects.append(Offer(job))
+        job.stage, job.offer = JobStage.OFFERED, job.offer + 1
+        self.effects.append(OfferJob(job))
 
     def _take_back(self, job: Job) -> None:
         """Take it that neither the core nor a server has a job of the backlog, and it did no work."""
         self._lane(job).charge(-job.booked)
-        if job.stage is Stage.OFFERED:
+        if job.stage is JobStage.OFFERED:
             self.pace.settled(job.job_class)
         if job.array is not None:
             job.array.out -= 1
-        job.booked, job.stage = 0.0, Stage.PARKED
+        job.booked, job.stage = 0.0, JobStage.PARKED
 
     # Arrays.
 
@@ -142,7 +142,7 @@
                 job = self._member(array, index)
             else:
                 return
-            if job.stage is Stage.PARKED and job.state not in HELD:
+            if job.stage is JobStage.PARKED and job.state not in HELD:
                 self._queue(job, now_us)
 
     def _member(self, array: JobArray, index: int) -> Job:
@@ -150,21 +150,21 @@
         made = len(array.made)
         job = array.member(index, self.orders)
         if self.watcher is not None and len(array.made) > made:
-            self.watcher.changed(Change.STATE, job)
+            self.watcher.changed(JobChange.STATE, job)
         return job
 
     def _end_unmade(self, array: JobArray, why: str, now_us: int) -> int:
         """End the members that were never made; return how many there were."""
         number = 0
         for index in array.unmade():
-            array.note_end(index, State.FAILED)
+            array.note_end(index, JobState.FAILED)
             number += 1
         if number:
             array.annotation = why
             if self.watcher is not None:
                 self.watcher.unmade_ended(array, number)
             self.jobs -= number
-            self.ends[State.FAILED] += number
+            self.ends[JobState.FAILED] += number
             self.ended += number
             array.session.quota.give_back(
                 number, 0 if array.left else array.what.size, array.what.account, now_us
@@ -182,7 +182,7 @@
 
     # Time.
 
-    def give_up_us(self, session: Session, what: Submission, submitted_us: int) -> int:
+    def give_up_us(self, session: JobSession, what: Submission, submitted_us: int) -> int:
         """Return when a job that has not been placed is given up; 0: never."""
         backlog = session.backlog
         late = (
@@ -215,14 +215,20 @@
 
     def _late(self, job: Job, now_us: int) -> None:
         """Give up a job that was not placed in time, and say so at once."""
-        if job.ended or job.stage in (Stage.OFFERED, Stage.PLACED):
+        if job.ended or job.stage in (JobStage.OFFERED, JobStage.PLACED):
             return  # its request has a deadline of its own
         if 0 < job.what.deadline_us <= now_us:
-            self._end(job, Event.FAIL, now_us, "TimeoutException", "its deadline passed before it was placed")
+            self._end(
+                job,
+                JobTransition.FAIL,
+                now_us,
+                "TimeoutException",
+                "its deadline passed before it was placed",
+            )
         else:
             self._end(
                 job,
-                Event.FAIL,
+                JobTransition.FAIL,
                 now_us,
                 "TryLaterException",
                 "it has waited for as long as jobs may",
@@ -238,7 +244,7 @@
     def _end(
         self,
         job: Job,
-        event: Event,
+        event: JobTransition,
         now_us: int,
         exception: str = "",
         annotation: str = "",
@@ -248,7 +254,7 @@
         """Bring a job to its final state. The table has no transition from there, so this is done once."""
         self._stop_waiting(job)
         self._settle_offer(job, event, now_us)
-        job.booked, job.stage, job.finished_us = 0.0, Stage.ENDED, now_us
+        job.booked, job.stage, job.finished_us = 0.0, JobStage.ENDED, now_us
         job.output, job.exception, job.annotation = output, exception, annotation
         job.retry_after_us = retry_after_us
         calls, submit_call = self._calls(job), job.submit_call
@@ -277,15 +283,15 @@
             job.timer = None
         self._unqueue(job)
 
-    def _settle_offer(self, job: Job, event: Event, now_us: int) -> None:
+    def _settle_offer(self, job: Job, event: JobTransition, now_us: int) -> None:
         """Charge the work of a job of the backlog that was offered or placed, in place of what was booked."""
-        if job.stage not in (Stage.OFFERED, Stage.PLACED) or job.session.backlog is None:
+        if job.stage not in (JobStage.OFFERED, JobStage.PLACED) or job.session.backlog is None:
             return
         used_s = max(now_us - job.running_us, 0) / 1e6 if job.running_us else 0.0
-        if event is Event.FINISH and job.running_us:
+        if event is JobTransition.FINISH and job.running_us:
             self.pace.learn(job.job_class, used_s)
         self._lane(job).charge(used_s * job.what.slots - job.booked)
-        if job.stage is Stage.OFFERED:
+        if job.stage is JobStage.OFFERED:
             self.pace.settled(job.job_class)
         if job.array is not None:
             job.array.out -= 1
--- a/merlinbay/batch/quota.py
+++ b/merlinbay/batch/quota.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowance:
+class SessionLimits:
     """The bounds of one session."""
 
     jobs: int = 1000  # unfinished ones: waiting, held and running; half of them for one account
@@ -35,7 +35,7 @@
         return int((1 - self.tokens) / self.rate * 1e6) + 1
 
 
-class Drain:
+class CompletionRate:
     """How fast a session's jobs end: what tells a refused client when there may be room."""
 
     def __init__(self, now_us: int) -> None:
@@ -51,13 +51,13 @@
         return int(min(max(self.gap_us * number, LEAST_WAIT_US), MOST_WAIT_US))
 
 
-class Quota:
+class SessionQuota:
     """What a session has of its allowance."""
 
-    def __init__(self, allowance: Allowance, now_us: int) -> None:
+    def __init__(self, allowance: SessionLimits, now_us: int) -> None:
         self.allowance = allowance
         self.bucket = TokenBucket(allowance.rate, allowance.burst, now_us)
-        self.drain = Drain(now_us)
+        self.drain = CompletionRate(now_us)
         self.jobs = self.size = 0
         self.accounts: Counter[str] = Counter()  # the jobs of each
 
--- a/merlinbay/batch/registry.py
+++ b/merlinbay/batch/registry.py
@@ -10,19 +10,19 @@
 import msgspec
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, invalid_state, try_later
-from merlinbay.batch.fair_share import Branch
-from merlinbay.batch.jobs import Backlog, Job, JobArray, Session, Wait
+from merlinbay.batch.fair_share import FairShareBranch
+from merlinbay.batch.jobs import Backlog, Job, JobArray, JobSession, PendingWait
 from merlinbay.batch.pacing import Pacing
-from merlinbay.batch.quota import Allowance, Quota
-from merlinbay.batch.states import ENDED, STARTED, Event, InvalidStateError, State, after
-from merlinbay.batch.timers import Timers
+from merlinbay.batch.quota import SessionLimits, SessionQuota
+from merlinbay.batch.states import ENDED, STARTED, InvalidStateError, JobState, JobTransition, after
+from merlinbay.batch.timers import TimerQueue
 
 ROOM = "OutOfResourceException"
 NO_BACKLOG = "keeps no backlog"
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class BatchLimits:
     """What the front keeps at the most."""
 
     sessions: int = 256
@@ -36,7 +36,7 @@
     waits: int = 100
 
 
-class Change(Enum):
+class JobChange(Enum):
     """What changes of a job that is worth telling; the values are the standard's events."""
 
     STATE = "NEW_STATE"
@@ -44,42 +44,42 @@
     ATTRIBUTE = "ATTRIBUTE_CHANGE"
 
 
-class Watcher(Protocol):
+class JobObserver(Protocol):
     """Is told of changes as they happen, and of nothing else."""
 
-    def changed(self, change: Change, job: Job) -> None:
+    def changed(self, change: JobChange, job: Job) -> None:
         """Take it that a job has changed."""
 
     def unmade_ended(self, array: JobArray, number: int) -> None:
         """Take it that so many members of an array have ended that were never made."""
 
 
-class Offer(msgspec.Struct, frozen=True):
-    """Offer the job to the core."""
+class OfferJob(msgspec.Struct, frozen=True):
+    """OfferJob the job to the core."""
 
     job: Job
 
 
-class Withdraw(msgspec.Struct, frozen=True):
+class WithdrawJob(msgspec.Struct, frozen=True):
     """Take the job back from the core; its answer no longer matters."""
 
     job: Job
 
 
-class Recall(msgspec.Struct, frozen=True):
+class RecallJob(msgspec.Struct, frozen=True):
     """Take the job back from its server if it has not started; ``recalled`` tells."""
 
     job: Job
 
 
-class Control(msgspec.Struct, frozen=True):
+class ControlJob(msgspec.Struct, frozen=True):
     """Suspend or resume it at its server; ``controlled`` tells."""
 
     job: Job
     action: str
 
 
-class Reply(msgspec.Struct, frozen=True):
+class CallReply(msgspec.Struct, frozen=True):
     """Answer a call: with the job it asked for (None: an array was meant), or with why not."""
 
     call: object
@@ -87,11 +87,11 @@
     error: DrmaaError | None = None
 
 
-Effect = Offer | Withdraw | Recall | Control | Reply
+Effect = OfferJob | WithdrawJob | RecallJob | ControlJob | CallReply
 
 
 @dataclass(slots=True, eq=False)
-class Gathered:
+class ArrayCall:
     """A call on many jobs, answered once all of them have been: well, if it came to something for one."""
 
     call: object
@@ -100,37 +100,37 @@
     error: DrmaaError | None = None
 
 
-class Registry:
+class JobRegistry:
     """Sessions, records and waits."""
 
-    def __init__(self, bounds: Bounds, new_id: Callable[[], str]) -> None:
+    def __init__(self, bounds: BatchLimits, new_id: Callable[[], str]) -> None:
         self.bounds, self.new_id = bounds, new_id
-        self.sessions: dict[str, Session] = {}
+        self.sessions: dict[str, JobSession] = {}
         self.effects: list[Effect] = []
-        self.timers, self.pace, self.root = Timers(), Pacing(), Branch()
+        self.timers, self.pace, self.root = TimerQueue(), Pacing(), FairShareBranch()
         self.jobs = 0  # unfinished ones
-        self.waits: dict[object, Wait] = {}
+        self.waits: dict[object, PendingWait] = {}
         self.kept: dict[Job | JobArray, int] = {}  # finished ones and until when, the oldest first,
         self.kept_bytes = 0  # and the size of their outputs
         self.orders = 0
-        self.watcher: Watcher | None = None
+        self.watcher: JobObserver | None = None
 
     # Sessions.
 
     def create(
-        self, name: str, contact: str, allowance: Allowance, backlog: Backlog | None, now_us: int
-    ) -> Session:
+        self, name: str, contact: str, allowance: SessionLimits, backlog: Backlog | None, now_us: int
+    ) -> JobSession:
         """Create a session, and open it."""
         if name in self.sessions:
             raise invalid_argument(f"session {name!r} exists")
         if len(self.sessions) >= self.bounds.sessions:
             raise DrmaaError(ROOM, f"{self.bounds.sessions} sessions exist")
-        session = self.sessions[name] = Session(name, Quota(allowance, now_us), contact, backlog)
+        session = self.sessions[name] = JobSession(name, SessionQuota(allowance, now_us), contact, backlog)
         if backlog is not None:
-            session.branch = Branch(self.root, backlog.share)
+            session.branch = FairShareBranch(self.root, backlog.share)
         return session
 
-    def session(self, name: str, opened: bool = True) -> Session:
+    def session(self, name: str, opened: bool = True) -> JobSession:
         """Return a session; a closed one only where ``opened`` is false."""
         session = self.sessions.get(name)
         if session is None:
@@ -143,14 +143,14 @@
 
     def reply(self, call: object, job: Job | None = None, error: DrmaaError | None = None) -> None:
         """Answer a call; None is nobody's."""
-        if isinstance(call, Gathered):
+        if isinstance(call, ArrayCall):
             call.left -= 1
             call.done += error is None
             call.error = error or call.error
             if call.left == 0:
                 self.reply(call.call, None, None if call.done else call.error)
         elif call is not None:
-            self.effects.append(Reply(call, job, error))
+            self.effects.append(CallReply(call, job, error))
 
     def wait(self, call: object, jobs: Iterable[Job], started: bool, until_us: int, now_us: int) -> None:
         """Answer the call with the first of the jobs that has started (or ended), or with a time-out.
@@ -168,7 +168,7 @@
         # Guards against waits that hold every edge connection.
         if len(self.waits) >= self.bounds.waits:
             raise try_later("too many waits", 100_000)
-        wait = self.waits[call] = Wait(call, wanted, started)
+        wait = self.waits[call] = PendingWait(call, wanted, started)
         for job in wanted:
             if job.waits is None:
                 job.waits = {}
@@ -187,11 +187,11 @@
         if wait is not None:
             self._clear(wait)
 
-    def _end_wait(self, wait: Wait, job: Job | None = None, error: DrmaaError | None = None) -> None:
+    def _end_wait(self, wait: PendingWait, job: Job | None = None, error: DrmaaError | None = None) -> None:
         self._clear(wait)
         self.reply(wait.call, job, error)
 
-    def _clear(self, wait: Wait) -> None:
+    def _clear(self, wait: PendingWait) -> None:
         del self.waits[wait.call]
         self.timers.cancel(wait.timer)
         for other in wait.jobs:
@@ -202,17 +202,17 @@
 
     # States.
 
-    def _allowed(self, job: Job, event: Event) -> State:
+    def _allowed(self, job: Job, event: JobTransition) -> JobState:
         """Return the state that follows. Raises ``DrmaaError`` where the table has none."""
         try:
             return after(job.state, event)
         except InvalidStateError as error:
             raise invalid_state(str(error)) from None
 
-    def _move(self, job: Job, event: Event) -> None:
+    def _move(self, job: Job, event: JobTransition) -> None:
         job.state = after(job.state, event)
         if self.watcher is not None:
-            self.watcher.changed(Change.STATE, job)
+            self.watcher.changed(JobChange.STATE, job)
         if job.waits and job.state in STARTED:
             for wait in list(job.waits):
                 if wait.started or job.state in ENDED:
--- a/merlinbay/batch/states.py
+++ b/merlinbay/batch/states.py
@@ -5,7 +5,7 @@
 from enum import Enum, StrEnum
 
 
-class State(StrEnum):
+class JobState(StrEnum):
     """The standard's job states."""
 
     UNDETERMINED = "UNDETERMINED"  # its scheduler cannot be asked at present
@@ -19,7 +19,7 @@
     FAILED = "FAILED"
 
 
-class Event(Enum):
+class JobTransition(Enum):
     """What may happen to a job, at the client's wish or as its scheduler tells."""
 
     HOLD = "hold"
@@ -38,12 +38,12 @@
     """The job's state does not allow what was asked for; the state is unchanged."""
 
 
-S, E = State, Event
+S, E = JobState, JobTransition
 ENDED = frozenset({S.DONE, S.FAILED})
 HELD = frozenset({S.QUEUED_HELD, S.REQUEUED_HELD})
 STARTED = frozenset({S.RUNNING, S.SUSPENDED}) | ENDED  # what waitStarted waits for
 
-TABLE: dict[tuple[State, Event], State] = {
+TABLE: dict[tuple[JobState, JobTransition], JobState] = {
     (S.QUEUED, E.HOLD): S.QUEUED_HELD,
     (S.QUEUED, E.START): S.RUNNING,
     (S.QUEUED, E.LOSE_SIGHT): S.UNDETERMINED,
@@ -77,7 +77,7 @@
 }
 
 
-def after(state: State, event: Event) -> State:
+def after(state: JobState, event: JobTransition) -> JobState:
     """Return the state that follows. Raises ``InvalidStateError`` where the table has no such transition."""
     try:
         return TABLE[state, event]
--- a/merlinbay/batch/timers.py
+++ b/merlinbay/batch/timers.py
@@ -10,7 +10,7 @@
 Timer = tuple[int, int]  # when, and a number of its own
 
 
-class Timers:
+class TimerQueue:
     """What is due when. Taking one back leaves nothing behind, however far off it was."""
 
     def __init__(self) -> None:
--- a/merlinbay/capacity/needs.py
+++ b/merlinbay/capacity/needs.py
@@ -8,7 +8,7 @@
 
 from merlinbay.capacity.fit import Choice, Estimate, TooFewSizesError, choose
 from merlinbay.capacity.formula import evaluate, names
-from merlinbay.capacity.plan import Measure, Need, Plan
+from merlinbay.capacity.plan import CapacityPlan, Measure, RoleNeed
 from merlinbay.capacity.runs import MEMORY, Metric, RunFile, Series, series
 
 MOST_REACH = 10  # times the largest size measured: sizes over one decade do not tell a form over two
@@ -38,11 +38,11 @@
 
 
 @dataclass(frozen=True)
-class Row:
+class NeedRow:
     """A need of a role, worked out."""
 
     role: str
-    need: Need
+    need: RoleNeed
     basis: Basis
     formula: str  # the one that was used
     estimate: Estimate | None
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Result:
+class NeedResult:
     """What a row of needs, or a load of a failure, comes to with one set of inputs."""
 
     title: str
@@ -76,7 +76,7 @@
     value: float
     margin: float | None
 
-    def differs(self, other: Result) -> bool:
+    def differs(self, other: NeedResult) -> bool:
         """Say whether value or margin are noticeably different."""
         if abs(self.value - other.value) > NOTICEABLE * abs(self.value):
             return True
@@ -86,18 +86,18 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class Sensitivity:
     """How one result moves when one input is half or double."""
 
-    at_half: Result
-    taken: Result
-    at_double: Result
+    at_half: NeedResult
+    taken: NeedResult
+    at_double: NeedResult
 
 
-class Reckoner:
+class NeedsCalculator:
     """The plan's rows over a set of runs."""
 
-    def __init__(self, plan: Plan, files: Sequence[RunFile]) -> None:
+    def __init__(self, plan: CapacityPlan, files: Sequence[RunFile]) -> None:
         self.plan, self.files = plan, files
         self.series = {
             one.name: series(files, one.plan, one.role, Metric(one.metric, one.per))
@@ -111,7 +111,7 @@
         """Return each measure at its size."""
         return {one.name: self._predict(one, evaluate(one.at, inputs)) for one in self.plan.roles.measure}
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[NeedRow]:
         """Return all rows, in the order of the roles."""
         return [
             self._row(role.name, need, self.inputs, self.predictions)
@@ -123,18 +123,20 @@
         """Return the formula that has a result, what that rests on, and the result."""
         return _first(formula, otherwise, self.inputs, self.predictions)
 
-    def turns(self, name: str) -> list[Turn]:
+    def turns(self, name: str) -> list[Sensitivity]:
         """Return the results that turn on an input, at its half and its double."""
         taken = self._results(self.inputs)
         half, double = (
             self._results(self.plan.values({name: self.inputs[name] * factor})) for factor in (0.5, 2.0)
         )
-        turns = [Turn(half[key], taken[key], double[key]) for key in taken if key in half and key in double]
+        turns = [
+            Sensitivity(half[key], taken[key], double[key]) for key in taken if key in half and key in double
+        ]
         return [
             turn for turn in turns if any(turn.taken.differs(one) for one in (turn.at_half, turn.at_double))
         ]
 
-    def _results(self, inputs: Mapping[str, float]) -> dict[str, Result]:
+    def _results(self, inputs: Mapping[str, float]) -> dict[str, NeedResult]:
         """Return all that comes to a number, by its title."""
         predictions = self.predict(inputs)
         found = []
@@ -143,22 +145,22 @@
                 row = self._row(role.name, need, inputs, predictions)
                 if row.estimate is not None:
                     title = f"{role.name}: {need.resource}"
-                    found.append(Result(title, need.unit, row.estimate.value, row.margin))
+                    found.append(NeedResult(title, need.unit, row.estimate.value, row.margin))
         for failure in self.plan.failures:
             for one in failure.consequence:
                 estimate = _first(one.load, one.otherwise, inputs, predictions)[2]
                 if estimate is not None:
-                    found.append(Result(f"{failure.name}: {one.role}", one.unit, estimate.value, None))
+                    found.append(NeedResult(f"{failure.name}: {one.role}", one.unit, estimate.value, None))
         return {result.title: result for result in found}
 
     def _row(
-        self, role: str, need: Need, inputs: Mapping[str, float], predictions: Mapping[str, Prediction]
-    ) -> Row:
+        self, role: str, need: RoleNeed, inputs: Mapping[str, float], predictions: Mapping[str, Prediction]
+    ) -> NeedRow:
         formula, basis, estimate = _first(need.formula, need.otherwise, inputs, predictions)
         used = sorted(names(formula) & predictions.keys()) if formula else []
         runs = {run for name in used for run in predictions[name].series.runs}
         budget = evaluate(need.budget, inputs) if need.budget else None
-        return Row(role, need, basis, formula, estimate, budget, tuple(sorted(runs)))
+        return NeedRow(role, need, basis, formula, estimate, budget, tuple(sorted(runs)))
 
     def _predict(self, measure: Measure, size: float) -> Prediction:
         found, choice = self.series[measure.name], self.choices[measure.name]
--- a/merlinbay/capacity/page.py
+++ b/merlinbay/capacity/page.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from merlinbay.capacity.fit import Choice
-from merlinbay.capacity.needs import Basis, Prediction, Reckoner, Result, Row
+from merlinbay.capacity.needs import Basis, NeedResult, NeedRow, NeedsCalculator, Prediction
 from merlinbay.capacity.plan import NO_MODULE, Consequence, Mechanism
 from merlinbay.capacity.ranking import Rank, Standing, rank
 from merlinbay.capacity.words import filled, interval, number, quantity, table
@@ -19,7 +19,7 @@
     """A page without the markers of a table."""
 
 
-def write(page: str, reckoner: Reckoner) -> str:
+def write(page: str, reckoner: NeedsCalculator) -> str:
     """Return the page with all of its tables as the plan and the runs give them."""
     for name, made in TABLES.items():
         page = _replace(page, name, "\n".join(made(reckoner)))
@@ -34,7 +34,7 @@
     return pattern.sub(lambda _: f"{begin}\n\n{text}\n\n{end}", page)
 
 
-def summary_table(reckoner: Reckoner) -> list[str]:
+def summary_table(reckoner: NeedsCalculator) -> list[str]:
     """Return, for each role, on what its rows rest, how many are over budget, and the least margin."""
     lines, rows = [], reckoner.rows()
     for role in reckoner.plan.roles.role:
@@ -50,12 +50,12 @@
     return table(["role", *(basis.value for basis in Basis), "over budget", "least margin"], lines)
 
 
-def _superseded(reckoner: Reckoner, row: Row) -> bool:
+def _superseded(reckoner: NeedsCalculator, row: NeedRow) -> bool:
     """Say whether a row is of a mechanism that another one has replaced."""
     return reckoner.plan.replacement(reckoner.plan.mechanism(row.need.mechanism)) is not None
 
 
-def inputs_table(reckoner: Reckoner) -> list[str]:
+def inputs_table(reckoner: NeedsCalculator) -> list[str]:
     """Return each input, its value and where it comes from."""
     rows = []
     for one in reckoner.plan.inputs:
@@ -64,7 +64,7 @@
     return table(["input", "value", "source", "why"], rows)
 
 
-def sensitivity_table(reckoner: Reckoner) -> list[str]:
+def sensitivity_table(reckoner: NeedsCalculator) -> list[str]:
     """Return, for each input that the plan leaves open, what turns on it, at half and at double."""
     rows = []
     for one in reckoner.plan.inputs:
@@ -79,13 +79,13 @@
     return table(["input", "row", "at half of it", "as taken", "at double"], rows)
 
 
-def _result(result: Result) -> str:
+def _result(result: NeedResult) -> str:
     """Return a value, with its margin where there is a budget."""
     value = quantity(result.value, result.unit)
     return value if result.margin is None else f"{value}, margin {margin(result.margin)}"
 
 
-def runs_table(reckoner: Reckoner) -> list[str]:
+def runs_table(reckoner: NeedsCalculator) -> list[str]:
     """Return each run: what ran, when, under which conditions and load, and what was cut short."""
     rows = []
     for file in reckoner.files:
@@ -107,7 +107,7 @@
     return table(header, rows)
 
 
-def fits_table(reckoner: Reckoner) -> list[str]:
+def fits_table(reckoner: NeedsCalculator) -> list[str]:
     """Return each measure: form, slope, residuals, prediction, and the runs behind it."""
     header = [
         "measure",
@@ -174,7 +174,7 @@
     return f"{value:.3g}"
 
 
-def roles_table(reckoner: Reckoner) -> list[str]:
+def roles_table(reckoner: NeedsCalculator) -> list[str]:
     """Return each role with its state and messages, and a table of its needs."""
     lines: list[str] = []
     rows = reckoner.rows()
@@ -190,7 +190,7 @@
     return lines[:-1]
 
 
-def _need_row(reckoner: Reckoner, row: Row) -> list[str]:
+def _need_row(reckoner: NeedsCalculator, row: NeedRow) -> list[str]:
     need = interval(row.estimate, row.need.unit) if row.estimate else "not known"
     return [
         row.need.resource,
@@ -203,13 +203,13 @@
     ]
 
 
-def note(row: Row) -> str:
+def note(row: NeedRow) -> str:
     """Return a row's notes: that on the other formula only where it is used."""
     other = row.formula == row.need.otherwise and row.basis is not Basis.NOT_KNOWN
     return "; ".join(filter(None, (row.need.note, row.need.otherwise_note if other else "")))
 
 
-def basis(row: Row) -> str:
+def basis(row: NeedRow) -> str:
     """Return what a figure rests on: its runs, its formula, or nothing."""
     if row.basis is Basis.NOT_KNOWN:
         return "not known" + (f" (`{row.need.formula}`)" if row.need.formula else "")
@@ -219,7 +219,7 @@
     return text
 
 
-def _budget(row: Row) -> str:
+def _budget(row: NeedRow) -> str:
     if row.budget is None:
         return "none given"
     word = "at least " if row.need.budget_is == "least" else ""
@@ -233,7 +233,7 @@
     return number(value) if value >= 1 else f"**{number(value)}**"
 
 
-def margins(row: Row) -> str:
+def margins(row: NeedRow) -> str:
     """Return the margin, and that at the bad end of the interval where there is one."""
     if row.worst_margin == row.margin:
         return margin(row.margin)
@@ -245,7 +245,7 @@
     return f"{mechanism.title}: {'none' if path == NO_MODULE else f'`{path}`'}"
 
 
-def carrier(reckoner: Reckoner, name: str) -> str:
+def carrier(reckoner: NeedsCalculator, name: str) -> str:
     """Return a mechanism of today, and what has replaced it."""
     if not name:
         return "none needed"
@@ -255,7 +255,7 @@
     return module(mechanism, mechanism.module) + replaced
 
 
-def failures_table(reckoner: Reckoner) -> list[str]:
+def failures_table(reckoner: NeedsCalculator) -> list[str]:
     """Return, for each failure of the plan, what happens to each role."""
     lines: list[str] = []
     for failure in reckoner.plan.failures:
@@ -268,7 +268,7 @@
     return lines[:-1]
 
 
-def _load(reckoner: Reckoner, one: Consequence) -> str:
+def _load(reckoner: NeedsCalculator, one: Consequence) -> str:
     """Return what a failure's load comes to, with what it rests on."""
     formula, found, estimate = reckoner.worked_out(one.load, one.otherwise)
     if estimate is not None:
@@ -276,7 +276,7 @@
     return f"not known (`{formula}`)" if formula else ""
 
 
-def ranking_table(reckoner: Reckoner) -> list[str]:
+def ranking_table(reckoner: NeedsCalculator) -> list[str]:
     """Return the ranking of today and that at 9484f4e."""
     lines: list[str] = []
     for title, before in (("Today", False), ("At 9484f4e", True)):
@@ -299,7 +299,7 @@
     return [named, one.standing.value, f"{margin(one.least.margin)} ({one.least.basis.value})", row, resting]
 
 
-TABLES: dict[str, Callable[[Reckoner], list[str]]] = {
+TABLES: dict[str, Callable[[NeedsCalculator], list[str]]] = {
     "summary": summary_table,
     "inputs": inputs_table,
     "sensitivity": sensitivity_table,
--- a/merlinbay/capacity/plan.py
+++ b/merlinbay/capacity/plan.py
@@ -61,7 +61,7 @@
         return (self.module_before or self.module) if before else self.module
 
 
-class Need(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RoleNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One row: what a role needs of one resource. ``formula`` is over inputs and measures.
 
     ``otherwise`` is used while a measure of ``formula`` has no fit. Both empty: not known.
@@ -78,14 +78,14 @@
     otherwise_note: str = ""  # where ``otherwise`` is used
 
 
-class Role(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CapacityRole(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A role and its rows."""
 
     name: str
     members: str  # a formula over the inputs
     state: str
     messages: str
-    needs: tuple[Need, ...]
+    needs: tuple[RoleNeed, ...]
 
 
 class RolesFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -93,7 +93,7 @@
 
     measure: tuple[Measure, ...]
     mechanism: tuple[Mechanism, ...]
-    role: tuple[Role, ...]
+    role: tuple[CapacityRole, ...]
 
 
 class Consequence(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -130,7 +130,7 @@
     failure: tuple[Failure, ...]
 
 
-class Plan(msgspec.Struct, frozen=True):
+class CapacityPlan(msgspec.Struct, frozen=True):
     """The three files together, checked against each other."""
 
     inputs: tuple[Input, ...]
@@ -161,9 +161,9 @@
         return found if found.at(before) != NO_MODULE else None
 
 
-def read_plan(folder: Path) -> Plan:
+def read_plan(folder: Path) -> CapacityPlan:
     """Read the files and check that all names in them are there."""
-    plan = Plan(
+    plan = CapacityPlan(
         _read(folder / INPUTS_FILE, InputsFile).input,
         _read(folder / ROLES_FILE, RolesFile),
         _read(folder / FAILURES_FILE, FailuresFile).failure,
@@ -182,7 +182,7 @@
         raise CapacityPlanError(f"{path}: {error}") from error
 
 
-def _check(plan: Plan) -> None:
+def _check(plan: CapacityPlan) -> None:
     """Raise where a formula, a role or a mechanism names what is not there."""
     inputs = set(plan.values())
     measures = {one.name for one in plan.roles.measure}
@@ -205,7 +205,7 @@
         raise CapacityPlanError(f"{formula!r}: there is no value {name!r}")
 
 
-def _input_formulas(plan: Plan) -> Iterator[str]:
+def _input_formulas(plan: CapacityPlan) -> Iterator[str]:
     """Yield the formulas that measures may not be in."""
     for measure in plan.roles.measure:
         yield measure.at
@@ -216,7 +216,7 @@
         yield from (formula for formula, _ in words.placeholders(text))
 
 
-def _need_formulas(plan: Plan) -> Iterator[str]:
+def _need_formulas(plan: CapacityPlan) -> Iterator[str]:
     """Yield the formulas that measures may be in."""
     for role in plan.roles.role:
         for need in role.needs:
@@ -226,7 +226,7 @@
             yield from (formula for formula in (one.load, one.otherwise) if formula)
 
 
-def _texts(plan: Plan) -> Iterator[str]:
+def _texts(plan: CapacityPlan) -> Iterator[str]:
     """Yield the texts that placeholders may be in."""
     for role in plan.roles.role:
         yield from (role.state, role.messages, *(need.note for need in role.needs))
@@ -236,7 +236,7 @@
         yield from (one.what for one in failure.consequence)
 
 
-def _mechanisms_used(plan: Plan) -> Iterator[str]:
+def _mechanisms_used(plan: CapacityPlan) -> Iterator[str]:
     """Yield the name of each mechanism that something names."""
     for mechanism in plan.roles.mechanism:
         yield from mechanism.needs
--- a/merlinbay/capacity/ranking.py
+++ b/merlinbay/capacity/ranking.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from merlinbay.capacity.needs import Row
-from merlinbay.capacity.plan import NO_MODULE, Mechanism, Plan
+from merlinbay.capacity.needs import NeedRow
+from merlinbay.capacity.plan import NO_MODULE, CapacityPlan, Mechanism
 
 
 class Standing(Enum):
@@ -27,7 +27,7 @@
     mechanism: Mechanism
     module: str
     standing: Standing
-    least: Row | None  # the row with the least margin of those that it carries itself
+    least: NeedRow | None  # the row with the least margin of those that it carries itself
     own_rows: int
     resting_rows: int  # with the rows of the mechanisms that cannot do without it
 
@@ -40,7 +40,7 @@
         return math.inf if margin is None else margin
 
 
-def rank(plan: Plan, rows: Sequence[Row], before: bool = False) -> list[Rank]:
+def rank(plan: CapacityPlan, rows: Sequence[NeedRow], before: bool = False) -> list[Rank]:
     """Return all mechanisms in use, the least margin first, then the most rows; ``before``: at 9484f4e."""
     found = [
         _stand(plan, rows, one, before)
@@ -50,7 +50,7 @@
     return sorted(found, key=lambda one: (one.margin, -one.resting_rows, one.mechanism.name))
 
 
-def _stand(plan: Plan, rows: Sequence[Row], mechanism: Mechanism, before: bool) -> Rank:
+def _stand(plan: CapacityPlan, rows: Sequence[NeedRow], mechanism: Mechanism, before: bool) -> Rank:
     module = mechanism.at(before)
     own = [row for row in rows if row.need.mechanism == mechanism.name]
     known = [(row.margin, row) for row in own if row.margin is not None]
@@ -65,13 +65,13 @@
     return Rank(mechanism, module, standing, least, _rows_of(plan, rows, mechanism.name), resting)
 
 
-def _rows_of(plan: Plan, rows: Sequence[Row], name: str) -> int:
+def _rows_of(plan: CapacityPlan, rows: Sequence[NeedRow], name: str) -> int:
     """Return how many rows of the page, of needs and of failures, name a mechanism."""
     failures = sum(one.mechanism == name for failure in plan.failures for one in failure.consequence)
     return sum(row.need.mechanism == name for row in rows) + failures
 
 
-def _resting(plan: Plan, name: str) -> set[str]:
+def _resting(plan: CapacityPlan, name: str) -> set[str]:
     """Return a mechanism and all that cannot do without it, directly or not."""
     found, grown = {name}, True
     while grown:
--- a/merlinbay/cli/capacity.py
+++ b/merlinbay/cli/capacity.py
@@ -101,13 +101,13 @@
 def capacity(page: Path, plan_folder: Path, run_folder: Path, check: bool) -> None:
     """Write the tables of the capacity page from the plan's files and the runs."""
     from merlinbay.capacity import page as tables
-    from merlinbay.capacity.needs import Reckoner
+    from merlinbay.capacity.needs import NeedsCalculator
     from merlinbay.capacity.plan import CapacityPlanError, read_plan
     from merlinbay.capacity.runs import ScaleRunError, read_folder
 
     try:
         text = page.read_text()
-        written = tables.write(text, Reckoner(read_plan(plan_folder), read_folder(run_folder)))
+        written = tables.write(text, NeedsCalculator(read_plan(plan_folder), read_folder(run_folder)))
     except (OSError, CapacityPlanError, ScaleRunError, tables.CapacityPageError) as error:
         refuse(error)
     if written == text:
--- a/merlinbay/cli/conformance.py
+++ b/merlinbay/cli/conformance.py
@@ -31,7 +31,7 @@
     """Play every clause against the endpoint of --url; exits with 3 if one is missed."""
     from merlinbay.conformance import report
     from merlinbay.conformance.clauses import CLAUSES
-    from merlinbay.conformance.probe import ClauseNotMetError, Probe
+    from merlinbay.conformance.probe import ClauseNotMetError, ConformanceProbe
 
     if list_only:
         for found in CLAUSES:
@@ -41,7 +41,7 @@
     if unknown:
         raise click.BadParameter(f"no clause {', '.join(sorted(unknown))}", param_hint="--only")
     wanted = [found for found in CLAUSES if not only or found.name in (*only, "creates_sessions")]
-    probe = Probe(
+    probe = ConformanceProbe(
         Door(caller.url, caller.token, caller.ca, caller.certificate), category=category, patience=patience
     )
     try:
--- a/merlinbay/cli/jobs.py
+++ b/merlinbay/cli/jobs.py
@@ -12,12 +12,12 @@
 import click
 import msgspec
 
-from merlinbay.batch.states import State
+from merlinbay.batch.states import JobState
 from merlinbay.cli.caller import DONE, JOB_FAILED, Caller, table
 from merlinbay.client.policy import DrmaaRemoteError
 
 F = TypeVar("F", bound=Callable[..., Any])
-STATES = [state.value for state in State]
+STATES = [state.value for state in JobState]
 as_json = click.option("--json", "as_json", is_flag=True, help="Print the answer as it came.")
 
 
--- a/merlinbay/cli/keys.py
+++ b/merlinbay/cli/keys.py
@@ -11,7 +11,7 @@
 import click
 
 from merlinbay.access.grants import ANY, Scope
-from merlinbay.access.tokens import KeyRingError, Ring, issue, load, new_key, rotated, save
+from merlinbay.access.tokens import KeyRing, KeyRingError, issue, load, new_key, rotated, save
 from merlinbay.cli.caller import table
 
 PATH = click.Path(path_type=Path, dir_okay=False)
@@ -23,7 +23,7 @@
     sys.exit(2)
 
 
-def ring_of(path: Path) -> Ring:
+def ring_of(path: Path) -> KeyRing:
     """Read a ring, or end."""
     try:
         return load(path)
@@ -43,7 +43,7 @@
     if file.exists():
         stop(KeyRingError(f"{file}: exists; rotate it instead"))
     try:
-        save(file, Ring([new_key()]))
+        save(file, KeyRing([new_key()]))
     except OSError as error:
         stop(KeyRingError(f"{file}: {error.strerror}"))
     click.echo(f"{file}: 1 key")
--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -70,7 +70,7 @@
 """
 
 
-class Directory:
+class StaticDiscovery:
     """A discovery that always names the same executors."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
@@ -112,7 +112,7 @@
             )
             nursery.start_soon(executor.run)
             nursery.start_soon(listener.serve, sock)
-        directory = Listener(Directory(rows), limits, counters, log)
+        directory = Listener(StaticDiscovery(rows), limits, counters, log)
         nursery.start_soon(directory.serve, directory_sock)
         await run(config, counters)
         nursery.cancel_scope.cancel()
--- a/merlinbay/cli/simulate.py
+++ b/merlinbay/cli/simulate.py
@@ -14,8 +14,8 @@
 
 if TYPE_CHECKING:
     from merlinbay.emulator.gate import Played as PlayedDay
-    from merlinbay.emulator.play import Result
-    from merlinbay.emulator.spec import Script
+    from merlinbay.emulator.simulation import SimulationResult
+    from merlinbay.emulator.spec import Scenario
 
 HEADS = [
     "SCRIPT",
@@ -37,7 +37,7 @@
     sys.exit(2)
 
 
-def script_named(name: str) -> Script:
+def script_named(name: str) -> Scenario:
     """Read a script, or end."""
     from merlinbay.emulator import spec
 
@@ -47,7 +47,7 @@
         bad(error)
 
 
-def row(result: Result) -> list[object]:
+def row(result: SimulationResult) -> list[object]:
     """Return a day's line."""
     return [
         result.script,
@@ -63,7 +63,7 @@
     ]
 
 
-def told(results: list[Result], as_json: bool) -> None:
+def told(results: list[SimulationResult], as_json: bool) -> None:
     """Print days; end with 3 if a rule was broken on one."""
     if as_json:
         click.echo(json.dumps([{**asdict(result), "figure": result.figure} for result in results], indent=2))
@@ -83,7 +83,7 @@
         sys.exit(JOB_FAILED)
 
 
-def verdict(results: list[Result]) -> str:
+def verdict(results: list[SimulationResult]) -> str:
     """Say in a sentence how the module did beside chance and beside what sees everything."""
     by = {result.policy: result.in_time for result in results}
     span = by["oracle"] - by["random"]
@@ -100,7 +100,7 @@
     """Play a day in virtual time. Without a command: Monday, with a verdict."""
     if ctx.invoked_subcommand is not None:
         return
-    from merlinbay.emulator.play import play
+    from merlinbay.emulator.simulation import play
 
     script = script_named("monday")
     results = [play(script, 1, name) for name in ("module", "random", "oracle")]
@@ -229,19 +229,19 @@
 ) -> None:
     """Play scripts of the library, or files."""
     from merlinbay.emulator import policies
-    from merlinbay.emulator.play import Day
     from merlinbay.emulator.record import watch
+    from merlinbay.emulator.simulation import DaySimulation
 
     wanted = policies.NAMES if "all" in names_of else list(names_of)
     for name in wanted:
         if name not in policies.NAMES:
             raise click.BadParameter(f"one of {', '.join(policies.NAMES)}", param_hint="--policy")
-    results: list[Result] = []
+    results: list[SimulationResult] = []
     for name in names:
         script = script_named(name)
         for number in range(seed, seed + seeds):
             for policy in wanted:
-                day = Day(script, number, policy)
+                day = DaySimulation(script, number, policy)
                 record = watch(day) if report is not None and not results else None
                 results.append(day.play())
                 if record is not None and report is not None:
@@ -261,7 +261,7 @@
     The second takes as long as the day does. Nodes are processes of this program.
     """
     from merlinbay.emulator.live import play_live
-    from merlinbay.emulator.play import play
+    from merlinbay.emulator.simulation import play
 
     results = []
     for name in names:
@@ -276,7 +276,7 @@
 @click.option("--policy", default="module", show_default=True)
 def replay(name: str, seed: int, policy: str) -> None:
     """Play a day twice and say whether it was the same; a broken rule is shown with its seed and event."""
-    from merlinbay.emulator.play import play
+    from merlinbay.emulator.simulation import play
 
     script = script_named(name)
     one, two = play(script, seed, policy), play(script, seed, policy)
--- a/merlinbay/client/aio.py
+++ b/merlinbay/client/aio.py
@@ -9,7 +9,7 @@
 import httpx
 import trio
 
-from merlinbay.client.operations import POLL, Ask, Doing, EventPage, Failed, Operations, Reply
+from merlinbay.client.operations import POLL, Ask, ClientReply, Doing, EventPage, Failed, Operations
 from merlinbay.client.policy import Policy
 from merlinbay.client.transport import Door, failed, timeout_of
 from merlinbay.drmaa.schema import JobInfo, JobTemplate
@@ -49,7 +49,7 @@
 
     async def _do(self, doing: Doing[T]) -> T:
         """Carry an operation out."""
-        got: Reply | Failed | None = None
+        got: ClientReply | Failed | None = None
         while True:
             try:
                 step = doing.send(got)
@@ -62,10 +62,10 @@
                 got = None
                 await trio.sleep(step.seconds)
 
-    async def _exchange(self, ask: Ask) -> Reply | Failed:
+    async def _exchange(self, ask: Ask) -> ClientReply | Failed:
         try:
             answer = await self.http.request(ask.method, ask.path, content=ask.body, timeout=timeout_of(ask))
-            return Reply(answer.status_code, answer.content)
+            return ClientReply(answer.status_code, answer.content)
         except (httpx.HTTPError, httpx.InvalidURL) as error:
             return failed(error)
 
--- a/merlinbay/client/operations.py
+++ b/merlinbay/client/operations.py
@@ -1,6 +1,6 @@
 """The calls as generators: they yield what is to be exchanged or slept, and return what came of it. No I/O.
 
-A driver (``sync``, ``aio``) sends each ``Ask`` and gives back a ``Reply`` or a ``Failed``,
+A driver (``sync``, ``aio``) sends each ``Ask`` and gives back a ``ClientReply`` or a ``Failed``,
 and sleeps each ``Sleep``.
 """
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ClientReply:
     """What came back."""
 
     status: int
@@ -56,7 +56,7 @@
     text: str
 
 
-Doing = Generator[Ask | Sleep, Reply | Failed | None, T]
+Doing = Generator[Ask | Sleep, ClientReply | Failed | None, T]
 
 
 class Taken(msgspec.Struct):
--- a/merlinbay/client/sync.py
+++ b/merlinbay/client/sync.py
@@ -9,7 +9,7 @@
 
 import httpx
 
-from merlinbay.client.operations import POLL, Ask, Doing, EventPage, Failed, Operations, Reply
+from merlinbay.client.operations import POLL, Ask, ClientReply, Doing, EventPage, Failed, Operations
 from merlinbay.client.policy import Policy
 from merlinbay.client.transport import Door, failed, timeout_of
 from merlinbay.drmaa.schema import JobInfo, JobTemplate
@@ -47,7 +47,7 @@
 
     def _do(self, doing: Doing[T]) -> T:
         """Carry an operation out."""
-        got: Reply | Failed | None = None
+        got: ClientReply | Failed | None = None
         while True:
             try:
                 step = doing.send(got)
@@ -60,10 +60,10 @@
                 got = None
                 time.sleep(step.seconds)
 
-    def _exchange(self, ask: Ask) -> Reply | Failed:
+    def _exchange(self, ask: Ask) -> ClientReply | Failed:
         try:
             answer = self.http.request(ask.method, ask.path, content=ask.body, timeout=timeout_of(ask))
-            return Reply(answer.status_code, answer.content)
+            return ClientReply(answer.status_code, answer.content)
         except (httpx.HTTPError, httpx.InvalidURL) as error:
             return failed(error)
 
--- a/merlinbay/config.py
+++ b/merlinbay/config.py
@@ -19,7 +19,7 @@
 from merlinbay.site_settings import settings_from
 
 if TYPE_CHECKING:
-    from merlinbay.drmaa.settings import Drmaa
+    from merlinbay.drmaa.settings import DrmaaSettings
     from merlinbay.operator_file import Operator
 
 
@@ -111,7 +111,7 @@
     )
 
 
-def _share_with_front(limits: ResourceLimits, drmaa: Drmaa) -> ResourceLimits:
+def _share_with_front(limits: ResourceLimits, drmaa: DrmaaSettings) -> ResourceLimits:
     """Return the limits of a node that also runs the DRMAA front."""
     limits = replace(limits, body_bytes=max(limits.body_bytes, drmaa.body_kib * 1024))
     if not drmaa.access.tls:
--- a/merlinbay/conformance/array_clauses.py
+++ b/merlinbay/conformance/array_clauses.py
@@ -5,14 +5,14 @@
 from datetime import datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ClauseSkippedError, Probe, expect, output
+from merlinbay.conformance.probe import ClauseSkippedError, ConformanceProbe, expect, output
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
 
 
 @clause("JobSession, runBulkJobs")
-def runs_arrays(p: Probe) -> None:
+def runs_arrays(p: ConformanceProbe) -> None:
     """Members are those of begin, end and step, each with its index in DRMAA2_INDEX, and all run."""
     body = {
         "jobTemplate": p.template("sh", "-c", "echo $DRMAA2_INDEX"),
@@ -32,7 +32,7 @@
 
 
 @clause("JobSession, runBulkJobs, maxParallel")
-def keeps_max_parallel(p: Probe) -> None:
+def keeps_max_parallel(p: ConformanceProbe) -> None:
     """No more members than maxParallel are out at one time."""
     if not p.can("BULK_JOBS_MAXPARALLEL"):
         raise ClauseSkippedError("BULK_JOBS_MAXPARALLEL is not supported")
@@ -52,7 +52,7 @@
 
 
 @clause("JobArray, terminate and hold")
-def controls_arrays(p: Probe) -> None:
+def controls_arrays(p: ConformanceProbe) -> None:
     """A call on an array does what each member's state allows, and raises where it allows it for none."""
     array = p.good(
         "POST",
--- a/merlinbay/conformance/clause.py
+++ b/merlinbay/conformance/clause.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from merlinbay.conformance.probe import Probe
+from merlinbay.conformance.probe import ConformanceProbe
 
-Check = Callable[[Probe], None]
+Check = Callable[[ConformanceProbe], None]
 
 
 @dataclass(frozen=True)
--- a/merlinbay/conformance/job_clauses.py
+++ b/merlinbay/conformance/job_clauses.py
@@ -5,7 +5,7 @@
 import time
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ENDED, ClauseSkippedError, Probe, expect, with_longer_jobs
+from merlinbay.conformance.probe import ENDED, ClauseSkippedError, ConformanceProbe, expect, with_longer_jobs
 
 STATES = {
     "UNDETERMINED",
@@ -23,7 +23,7 @@
 
 
 @clause("Job, getState")
-def knows_its_states(p: Probe) -> None:
+def knows_its_states(p: ConformanceProbe) -> None:
     """The state is one of the standard's, a running job says RUNNING, and a final state stays."""
     job = p.run("sleep", "0.3")
     seen = p.info(job)["jobState"]
@@ -36,7 +36,7 @@
 
 
 @clause("Job, hold")
-def holds_only_what_waits(p: Probe) -> None:
+def holds_only_what_waits(p: ConformanceProbe) -> None:
     """Hold of a running job raises InvalidStateException, and the job runs on."""
 
     def check(seconds: float) -> None:
@@ -51,7 +51,7 @@
 
 
 @clause("Job, suspend and resume")
-def suspends_and_resumes(p: Probe) -> None:
+def suspends_and_resumes(p: ConformanceProbe) -> None:
     """A suspended job stands still until it is resumed; calls in a wrong state raise."""
 
     def check(seconds: float) -> None:
@@ -76,7 +76,7 @@
 
 
 @clause("Job, terminate")
-def terminates(p: Probe) -> None:
+def terminates(p: ConformanceProbe) -> None:
     """Terminate ends a job that runs and one that is held; of one that has ended it raises."""
     running, held = p.run("sleep", "60"), p.run("true", submitAsHold=True)
     p.until(running, "RUNNING")
@@ -88,7 +88,7 @@
 
 
 @clause("Job, reap")
-def reaps_only_what_has_ended(p: Probe) -> None:
+def reaps_only_what_has_ended(p: ConformanceProbe) -> None:
     """Reap of a job that has not ended raises InvalidStateException; a reaped one is not known."""
     job = p.run("true", submitAsHold=True)
     p.raises("InvalidStateException", "POST", p.at(f"/jobs/{job}/reap"))
@@ -100,7 +100,7 @@
 
 
 @clause("Job, waitStarted and waitTerminated")
-def waits_and_times_out(p: Probe) -> None:
+def waits_and_times_out(p: ConformanceProbe) -> None:
     """A wait that runs out raises TimeoutException, and not before its time."""
     job = p.run("true", submitAsHold=True)
     for verb in ("waitStarted", "waitTerminated"):
@@ -114,7 +114,7 @@
 
 
 @clause("JobSession, waitAnyStarted and waitAnyTerminated")
-def waits_for_any(p: Probe) -> None:
+def waits_for_any(p: ConformanceProbe) -> None:
     """WaitAny returns one of the jobs that has started, or ended, and TimeoutException if none has."""
     slow, held, quick = p.run("sleep", "30"), p.run("true", submitAsHold=True), p.run("true")
     body = {"jobIds": [slow, held, quick], "timeout": p.patience}
@@ -128,7 +128,7 @@
 
 
 @clause("JobSession, getJobs")
-def lists_jobs(p: Probe) -> None:
+def lists_jobs(p: ConformanceProbe) -> None:
     """GetJobs has every job of the session once, also in pages, and none of another state than asked for."""
     wanted = [p.run("true", submitAsHold=True) for _ in range(5)]
     found: list[str] = []
@@ -147,7 +147,7 @@
 
 
 @clause("JobSession, getJobs")
-def knows_no_stranger(p: Probe) -> None:
+def knows_no_stranger(p: ConformanceProbe) -> None:
     """Calls on a job or array that never was raise InvalidArgumentException."""
     for path in ("/jobs/no-such-job", "/jobs/no-such-job/waitStarted", "/arrays/no-such-array"):
         p.raises("InvalidArgumentException", "GET", p.at(path))
--- a/merlinbay/conformance/monitoring_clauses.py
+++ b/merlinbay/conformance/monitoring_clauses.py
@@ -6,14 +6,14 @@
 from datetime import UTC, datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ENDED, ClauseSkippedError, Probe, expect
+from merlinbay.conformance.probe import ENDED, ClauseSkippedError, ConformanceProbe, expect
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
 
 
 @clause("DrmaaCallback, DrmaaNotification")
-def tells_events(p: Probe) -> None:
+def tells_events(p: ConformanceProbe) -> None:
     """Where CALLBACK is supported, each state is told once, in order, and again for the same cursor."""
     if not p.can("CALLBACK"):
         raise ClauseSkippedError("CALLBACK is not supported")
@@ -35,7 +35,7 @@
 
 
 @clause("ReservationSession, requestReservation; Reservation, terminate")
-def reserves_slots(p: Probe) -> None:
+def reserves_slots(p: ConformanceProbe) -> None:
     """Where ADVANCE_RESERVATION is supported, a window is granted as asked for, told of, and given back."""
     if not p.can("ADVANCE_RESERVATION"):
         raise ClauseSkippedError("ADVANCE_RESERVATION is not supported")
@@ -71,7 +71,7 @@
 
 
 @clause("MonitoringSession, getAllJobs, getAllQueues, getAllMachines")
-def shows_the_whole(p: Probe) -> None:
+def shows_the_whole(p: ConformanceProbe) -> None:
     """The monitoring session lists jobs by filter, queues and machines; a bad filter raises."""
     from urllib.parse import quote
 
@@ -90,7 +90,7 @@
 
 
 @clause("Exceptions")
-def refuses_what_there_is_not(p: Probe) -> None:
+def refuses_what_there_is_not(p: ConformanceProbe) -> None:
     """A call that the binding does not have raises UnsupportedOperationException."""
     for method, path in (("GET", "/no-such-thing"), ("PUT", "/sessions"), ("POST", p.at("/jobs/x/dance"))):
         p.raises("UnsupportedOperationException", method, path)
--- a/merlinbay/conformance/probe.py
+++ b/merlinbay/conformance/probe.py
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Probe:
+class ConformanceProbe:
     """One endpoint, and a session of our own there."""
 
     door: Door
--- a/merlinbay/conformance/report.py
+++ b/merlinbay/conformance/report.py
@@ -10,13 +10,13 @@
 from xml.etree import ElementTree
 
 from merlinbay.conformance.clause import Clause
-from merlinbay.conformance.probe import ClauseNotMetError, ClauseSkippedError, Probe
+from merlinbay.conformance.probe import ClauseNotMetError, ClauseSkippedError, ConformanceProbe
 
 KEPT, MISSED, SKIPPED = "kept", "missed", "skipped"
 
 
 @dataclass(frozen=True)
-class Result:
+class ClauseResult:
     """How one clause went."""
 
     name: str
@@ -27,7 +27,9 @@
     seconds: float
 
 
-def play(probe: Probe, clauses: Iterable[Clause], told: Callable[[Result], None]) -> list[Result]:
+def play(
+    probe: ConformanceProbe, clauses: Iterable[Clause], told: Callable[[ClauseResult], None]
+) -> list[ClauseResult]:
     """Play all, in order. A clause that fails leaves the others to be played."""
     results = []
     for clause in clauses:
@@ -42,19 +44,21 @@
             # An answer without what the binding says is in it.
             verdict, why = MISSED, f"the answer is not as the binding says: {error!r}"
         results.append(
-            Result(clause.name, clause.section, clause.text, verdict, why, round(time.monotonic() - began, 3))
+            ClauseResult(
+                clause.name, clause.section, clause.text, verdict, why, round(time.monotonic() - began, 3)
+            )
         )
         told(results[-1])
     return results
 
 
-def line(result: Result) -> str:
+def line(result: ClauseResult) -> str:
     """Return one line for people."""
     why = f": {result.why[:300]}" if result.why else ""
     return f"{result.verdict:8}{result.section} -- {result.text}{why}"
 
 
-def table(results: list[Result]) -> str:
+def table(results: list[ClauseResult]) -> str:
     """Return the table at the end: by interface."""
     rows: dict[str, Counter[str]] = {}
     for result in results:
@@ -70,12 +74,12 @@
     )
 
 
-def as_json(url: str, results: list[Result]) -> str:
+def as_json(url: str, results: list[ClauseResult]) -> str:
     """Return the results as JSON."""
     return json.dumps({"url": url, "results": [asdict(result) for result in results]}, indent=2)
 
 
-def as_junit(url: str, results: list[Result]) -> str:
+def as_junit(url: str, results: list[ClauseResult]) -> str:
     """Return the results as JUnit XML."""
     counts = Counter(result.verdict for result in results)
     suite = ElementTree.Element(
--- a/merlinbay/conformance/session_clauses.py
+++ b/merlinbay/conformance/session_clauses.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import Probe, expect
+from merlinbay.conformance.probe import ConformanceProbe, expect
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
 
 
 @clause("SessionManager, drmsName and versions")
-def names_itself(p: Probe) -> None:
+def names_itself(p: ConformanceProbe) -> None:
     """The manager tells names and versions with major and minor parts."""
     found = p.good("GET", "")
     for name in ("drmsName", "drmaaName"):
@@ -20,7 +20,7 @@
 
 
 @clause("SessionManager, supports")
-def tells_capabilities(p: Probe) -> None:
+def tells_capabilities(p: ConformanceProbe) -> None:
     """Supports answers for every capability of the standard, and raises for one that is none."""
     for name in (
         "ADVANCE_RESERVATION",
@@ -42,7 +42,7 @@
 
 
 @clause("SessionManager, createJobSession")
-def creates_sessions(p: Probe) -> None:
+def creates_sessions(p: ConformanceProbe) -> None:
     """A created session is open, is listed, and its name cannot be taken again."""
     found = p.good("POST", "/sessions", {"sessionName": p.session, "settings": {"backlog": True}})
     expect(found.get("sessionName") == p.session, f"it is called {found.get('sessionName')}")
@@ -52,7 +52,7 @@
 
 
 @clause("SessionManager, openJobSession and closeJobSession")
-def closes_sessions(p: Probe) -> None:
+def closes_sessions(p: ConformanceProbe) -> None:
     """Calls on a closed session raise InvalidSessionException, its jobs go on, and it can be opened again."""
     job = p.run("true", submitAsHold=True)
     p.good("POST", f"/sessions/{p.session}/close")
@@ -65,7 +65,7 @@
 
 
 @clause("SessionManager, destroyJobSession")
-def destroys_sessions(p: Probe) -> None:
+def destroys_sessions(p: ConformanceProbe) -> None:
     """A destroyed session is gone from the list, and every call on it raises."""
     name = f"{p.session}-2"
     p.good("POST", "/sessions", {"sessionName": name, "settings": {"backlog": True}})
--- a/merlinbay/conformance/template_clauses.py
+++ b/merlinbay/conformance/template_clauses.py
@@ -6,14 +6,14 @@
 from datetime import UTC, datetime, timedelta
 
 from merlinbay.conformance.clause import ClauseList
-from merlinbay.conformance.probe import ClauseSkippedError, Probe, expect, output
+from merlinbay.conformance.probe import ClauseSkippedError, ConformanceProbe, expect, output
 
 CLAUSES = ClauseList()
 clause = CLAUSES.add
 
 
 @clause("JobSession, runJob; JobInfo, exitStatus")
-def runs_a_job(p: Probe) -> None:
+def runs_a_job(p: ConformanceProbe) -> None:
     """A job that exits with 0 is DONE and says so, with the times in order and the machine that ran it."""
     info = p.end(p.run("true"))
     expect(info["jobState"] == "DONE", f"it is {info['jobState']}")
@@ -26,7 +26,7 @@
 
 
 @clause("JobInfo, exitStatus")
-def tells_a_failure(p: Probe) -> None:
+def tells_a_failure(p: ConformanceProbe) -> None:
     """A job that exits with another status is FAILED, and the status is told."""
     info = p.end(p.run("sh", "-c", "exit 7"))
     expect(
@@ -36,7 +36,7 @@
 
 
 @clause("JobInfo, terminatingSignal")
-def tells_a_signal(p: Probe) -> None:
+def tells_a_signal(p: ConformanceProbe) -> None:
     """A job that a signal ends is FAILED, and the signal is named."""
     info = p.end(p.run("sh", "-c", "kill -KILL $$"))
     expect(
@@ -46,7 +46,7 @@
 
 
 @clause("JobTemplate, args and jobEnvironment")
-def passes_arguments(p: Probe) -> None:
+def passes_arguments(p: ConformanceProbe) -> None:
     """Arguments and environment reach the job as they were given."""
     odd = ["a b", "", "$HOME", "'\"\\", "ü\n*"]
     info = p.end(p.run("sh", "-c", 'printf "%s|" "$@" "$MARK"', "sh", *odd, jobEnvironment={"MARK": "x=y z"}))
@@ -54,7 +54,7 @@
 
 
 @clause("JobTemplate, remoteCommand and values")
-def refuses_bad_values(p: Probe) -> None:
+def refuses_bad_values(p: ConformanceProbe) -> None:
     """A missing command and values that cannot be meant raise InvalidArgumentException; no job then."""
     before = len(p.good("GET", p.at("/jobs?limit=1000"))["jobs"])
     past = (datetime.now(UTC) - timedelta(hours=1)).isoformat()
@@ -78,7 +78,7 @@
 
 
 @clause("JobTemplate, unsupported attributes")
-def refuses_what_it_does_not_carry(p: Probe) -> None:
+def refuses_what_it_does_not_carry(p: ConformanceProbe) -> None:
     """An attribute that is not supported raises UnsupportedAttributeException; it is never dropped."""
     wanted = {"JT_EMAIL": ("email", ["a@example.org"]), "JT_STAGING": ("stageInFiles", {"a": "b"})}
     asked = 0
@@ -102,7 +102,7 @@
 
 
 @clause("JobTemplate, submitAsHold; Job, release")
-def holds_at_submission(p: Probe) -> None:
+def holds_at_submission(p: ConformanceProbe) -> None:
     """A job submitted as held stays QUEUED_HELD until it is released, and then runs."""
     job = p.run("true", submitAsHold=True)
     time.sleep(0.3)
@@ -112,7 +112,7 @@
 
 
 @clause("JobTemplate, startTime")
-def starts_not_before(p: Probe) -> None:
+def starts_not_before(p: ConformanceProbe) -> None:
     """A job does not start before its startTime."""
     start = datetime.now(UTC) + timedelta(seconds=1.0)
     info = p.end(p.run("true", startTime=start.isoformat()))
@@ -128,7 +128,7 @@
 
 
 @clause("JobTemplate, deadlineTime")
-def ends_by_its_deadline(p: Probe) -> None:
+def ends_by_its_deadline(p: ConformanceProbe) -> None:
     """A job that runs past its deadlineTime is ended, and is FAILED."""
     if not p.can("JT_DEADLINE"):
         raise ClauseSkippedError("JT_DEADLINE is not supported")
--- a/merlinbay/control/consensus/settings.py
+++ b/merlinbay/control/consensus/settings.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placement:
+class VoterPlacement:
     """Where a voter stands."""
 
     region: str = ""
@@ -24,7 +24,7 @@
     """
 
     initial_voters: tuple[str, ...]  # names; read only until the first configuration is agreed
-    placements: dict[str, Placement] = field(default_factory=dict)
+    placements: dict[str, VoterPlacement] = field(default_factory=dict)
     election_timeout_s: float = 0.7  # the least; each wait is drawn between it and twice it
     heartbeat_interval_s: float = 0.2
     lease_s: float = 0.7  # a leader that no majority has confirmed for so long steps down
@@ -52,4 +52,4 @@
 
     def region(self, voter: str) -> str:
         """Return the region of a voter, empty where none is set."""
-        return self.placements.get(voter, Placement()).region
+        return self.placements.get(voter, VoterPlacement()).region
--- a/merlinbay/control/simulation/fault_injection.py
+++ b/merlinbay/control/simulation/fault_injection.py
@@ -19,7 +19,7 @@
 )
 from merlinbay.control.simulation.network import FaultyNetwork
 from merlinbay.control.simulation.process import SimulatedProcess
-from merlinbay.control.simulation.scenario import Scenario
+from merlinbay.control.simulation.scenario import ControlScenario
 from merlinbay.control.simulation.scheduler import Scheduler
 
 CUT_AFTER_TRANSFER_S = 0.005  # one sync, so that TimeoutNow has been sent
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        scenario: Scenario,
+        scenario: ControlScenario,
         scheduler: Scheduler,
         network: FaultyNetwork,
         hosts: dict[str, SimulatedProcess],
--- a/merlinbay/control/simulation/scenario.py
+++ b/merlinbay/control/simulation/scenario.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Scenario:
+class ControlScenario:
     """The input of a run beside the code under test."""
 
     seed: int
@@ -46,7 +46,7 @@
         return self.voters + self.spares
 
 
-def draw(seed: int) -> Scenario:
+def draw(seed: int) -> ControlScenario:
     """Draw the scenario of a seed."""
     random = Random(f"control scenario {seed}")
     count = random.choice((5, 5, 7))
@@ -60,7 +60,7 @@
         regions[place] = random.choice(REGIONS)
     machines = voters + spares
     duration = random.uniform(25.0, 45.0)
-    return Scenario(
+    return ControlScenario(
         seed=seed,
         duration=duration,
         quiet=QUIET_S,
@@ -77,14 +77,14 @@
     )
 
 
-def draw_partition(seed: int) -> Scenario:
+def draw_partition(seed: int) -> ControlScenario:
     """Draw a scenario in which a region is cut off for an hour; at even seeds, one with the majority."""
     random = Random(f"control partition {seed}")
     voters, regions = _voters(CROWDED if seed % 2 == 0 else SPREAD[5])
     clients = tuple(f"client-{region}" for region in REGIONS)
     followers = tuple(f"follower-{region}" for region in REGIONS)
     regions |= dict(zip(clients + followers, REGIONS * 2, strict=True))
-    return Scenario(
+    return ControlScenario(
         seed=seed,
         duration=CUT_OFF_AT_S + HOUR_S + 30.0,
         quiet=QUIET_S,
--- a/merlinbay/control/simulation/sequences.py
+++ b/merlinbay/control/simulation/sequences.py
@@ -7,13 +7,13 @@
 
 from merlinbay.control.simulation.fault_types import CrashLeaders, Cut, Fault, MoveLeadership, MoveVoter
 from merlinbay.control.simulation.network import NetworkSettings
-from merlinbay.control.simulation.scenario import Scenario, draw
+from merlinbay.control.simulation.scenario import ControlScenario, draw
 
 CYCLE = 14.0  # seconds from one sequence to the next
 CYCLES = 3
 
 
-def _steady(seed: int, faults: list[Fault], think_time: float) -> Scenario:
+def _steady(seed: int, faults: list[Fault], think_time: float) -> ControlScenario:
     """Return the scenario of a seed with a sound network and these faults only."""
     drawn = draw(seed)
     network = NetworkSettings(drawn.network.delays, 0.05, 0.0, 0.0, 0.0, 0.0)
@@ -21,7 +21,7 @@
     return replace(drawn, duration=duration, network=network, faults=tuple(faults), think_time=think_time)
 
 
-def overwritten_majority(seed: int) -> Scenario:
+def overwritten_majority(seed: int) -> ControlScenario:
     """Return figure 8 of the Raft paper: a majority stores an entry that a later leader overwrites.
 
     The leader goes on with one follower only; another one is elected, stores its first entry and crashes; the
@@ -44,13 +44,13 @@
     return _steady(seed, faults, think_time=0.1)
 
 
-def handover_and_cut(seed: int) -> Scenario:
+def handover_and_cut(seed: int) -> ControlScenario:
     """Return a leader that is cut from the others just after it handed its leadership over."""
     faults: list[Fault] = [MoveLeadership(3.0 + 4.0 * number, 2.0) for number in range(9)]
     return _steady(seed, faults, think_time=0.05)
 
 
-def voters_of_two_leaders(seed: int) -> Scenario:
+def voters_of_two_leaders(seed: int) -> ControlScenario:
     """Return chains of changes of voters at a leader that is cut off with half of the machines."""
     random = Random(f"voters of two leaders {seed}")
     drawn = draw(seed)
--- a/merlinbay/control/simulation/shrink.py
+++ b/merlinbay/control/simulation/shrink.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Iterator
 from dataclasses import replace
 
-from merlinbay.control.simulation.scenario import Scenario
+from merlinbay.control.simulation.scenario import ControlScenario
 from merlinbay.control.simulation.simulation import SimulationRun
 
 MAX_RUNS = 200
 
 
-def _smaller(scenario: Scenario) -> Iterator[Scenario]:
+def _smaller(scenario: ControlScenario) -> Iterator[ControlScenario]:
     """Yield scenarios with less in them: without half of the faults, then one, then with fewer clients."""
     faults = scenario.faults
     half = len(faults) // 2
@@ -27,7 +27,7 @@
 
 
 def shrink(
-    run: SimulationRun, play: Callable[[Scenario], SimulationRun], max_runs: int = MAX_RUNS
+    run: SimulationRun, play: Callable[[ControlScenario], SimulationRun], max_runs: int = MAX_RUNS
 ) -> SimulationRun:
     """Return the smallest run found that breaks the check that the given one broke first."""
     wanted = run.violations[0].check
--- a/merlinbay/control/simulation/simulation.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -21,7 +21,7 @@
 from merlinbay.control.simulation.observer import Observer
 from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort
 from merlinbay.control.simulation.process import SimulatedProcess
-from merlinbay.control.simulation.scenario import KEYS, Scenario
+from merlinbay.control.simulation.scenario import KEYS, ControlScenario
 from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
 FINAL = "final"  # the client that checks every key after the faults are over
@@ -34,7 +34,7 @@
 class SimulationRun:
     """The result of a run. ``fingerprint`` is equal for two runs that went the same way."""
 
-    scenario: Scenario
+    scenario: ControlScenario
     history: History
     violations: list[Violation]
     trace: list[str]
@@ -45,7 +45,7 @@
 class ControlSimulation:
     """The parts of one run."""
 
-    def __init__(self, scenario: Scenario, core: CoreUnderTest) -> None:
+    def __init__(self, scenario: ControlScenario, core: CoreUnderTest) -> None:
         """Create all parts; ``run`` plays the scenario."""
         self.scenario = scenario
         self.core = core
@@ -232,7 +232,7 @@
         self.lines.append(f"{self.scheduler.time:9.3f} {text}")
 
 
-def play(scenario: Scenario, core: CoreUnderTest) -> SimulationRun:
+def play(scenario: ControlScenario, core: CoreUnderTest) -> SimulationRun:
     """Play a scenario and check its history."""
     world = ControlSimulation(scenario, core)
     history = world.run()
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -26,12 +26,12 @@
 from merlinbay.control.consensus.raft_state import RaftState
 from merlinbay.control.consensus.records import CorruptRecordsError
 from merlinbay.control.consensus.roles import VoterRole
-from merlinbay.control.consensus.settings import Placement, VoterSettings
+from merlinbay.control.consensus.settings import VoterPlacement, VoterSettings
 from merlinbay.control.consensus.voter_view import VoterView
 from merlinbay.control.effects import ProposalDone, ReadDone, RevisionAdvanced, VoterEffect
 from merlinbay.control.entries import Change, ChangeRejected, ChangeResult
 
-__all__ = ["CorruptRecordsError", "Placement", "Voter", "VoterRole", "VoterSettings"]
+__all__ = ["CorruptRecordsError", "VoterPlacement", "Voter", "VoterRole", "VoterSettings"]
 
 
 class Voter(VoterView):
--- a/merlinbay/control_service/wiring.py
+++ b/merlinbay/control_service/wiring.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from merlinbay.control.consensus.settings import Placement, VoterSettings
+from merlinbay.control.consensus.settings import VoterPlacement, VoterSettings
 from merlinbay.control.fanout.messages import Generation
 from merlinbay.control.fanout.settings import FollowerSettings, RelaySettings, WatchServerSettings
 from merlinbay.control.fanout.topology import Location
@@ -50,7 +50,7 @@
     """Return the settings of the voter's core."""
     return VoterSettings(
         initial_voters=tuple(section.initial),
-        placements={name: Placement(one.region, one.zone) for name, one in file.machines.items()},
+        placements={name: VoterPlacement(one.region, one.zone) for name, one in file.machines.items()},
         election_timeout_s=section.election,
         heartbeat_interval_s=section.heartbeat,
         lease_s=section.election,
--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -72,7 +72,7 @@
         }
 
     def add_endpoint_observer(self, observer: EndpointObserver) -> None:
-        """Have an observer hear of changes of the endpoint list."""
+        """Notify an observer of changes of the endpoint list."""
         self.endpoints.observers.append(observer)
 
     def set_peer_process(self, peer: PeerProcess | None) -> None:
--- a/merlinbay/decision/admission.py
+++ b/merlinbay/decision/admission.py
@@ -9,8 +9,8 @@
 from merlinbay.decision.endpoint_state import Kind
 from merlinbay.decision.load_estimates import LoadEstimates
 from merlinbay.decision.offered_load import OfferedLoad
-from merlinbay.decision.request_state import Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.threshold import threshold
 
 MAX_PRIORITY_DENSITY = 4.0  # the most that the priority density counts
@@ -26,7 +26,7 @@
     def __init__(
         self,
         context: Context,
-        requests: RequestTable,
+        requests: TrackedRequests,
         offered: OfferedLoad,
         load: LoadEstimates,
         lease: EndpointLease,
@@ -35,7 +35,7 @@
         self._context, self._requests, self._offered, self._load = context, requests, offered, load
         self._lease, self._eligibility = lease, eligibility
 
-    def max_waiting(self, kind: Kind, request: Request) -> float:
+    def max_waiting(self, kind: Kind, request: TrackedRequest) -> float:
         """Return O2A's N, and one more with probability q; where requests wait r has been 1 at the least."""
         load, spec = self._load.utilization(kind), request.class_state.spec
         # The priority weight for each slot and second counts as far as others want the slots.
@@ -51,7 +51,7 @@
         n, q = threshold(round(min(max(load, 1.0), MAX_LOAD), 2), round(min(k, MAX_K), 1))
         return n + (self._context.rng.random() < q)
 
-    def shed(self, request: Request) -> None:
+    def shed(self, request: TrackedRequest) -> None:
         """Reject the request where trying again is harmless, else fail it."""
         self._requests.close(request)
         may_reject, limits = self._eligibility.may_reject, self._context.settings.limits
--- a/merlinbay/decision/attempt_timers.py
+++ b/merlinbay/decision/attempt_timers.py
@@ -7,8 +7,8 @@
 
 from merlinbay.decision.actions import SetTimer
 from merlinbay.decision.context import Context
-from merlinbay.decision.request_state import Attempt, Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import Attempt, TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.settings import Idempotency
 
 TIMER_TOKEN = "watch"  # of ``SetTimer`` and ``TimerFired``
@@ -19,7 +19,7 @@
 class AttemptTimers:
     """Owns the heap of what is due."""
 
-    def __init__(self, context: Context, requests: RequestTable) -> None:
+    def __init__(self, context: Context, requests: TrackedRequests) -> None:
         self._context, self._requests = context, requests
         self._due: list[tuple[int, int, int]] = []  # heap: when, request, attempt's number
         self._timer_at_us = 0
@@ -36,7 +36,7 @@
             self._timer_at_us = now_us + delay
             self._context.emit(SetTimer(delay, TIMER_TOKEN))
 
-    def set_hedge_check(self, request: Request) -> None:
+    def set_hedge_check(self, request: TrackedRequest) -> None:
         """Have the latest attempt looked at where starts are reported and the request may be hedged."""
         settings = self._context.settings
         if (
@@ -47,14 +47,16 @@
             dispatched = len(request.attempts)
             self.set(request.id, dispatched - 1, request.hedging_delay_us * dispatched)
 
-    def set_run_check(self, request: Request, attempt: Attempt, number: int, mean_run_times: float) -> None:
+    def set_run_check(
+        self, request: TrackedRequest, attempt: Attempt, number: int, mean_run_times: float
+    ) -> None:
         """Have a running attempt looked at after so many mean run times of its class and kind."""
         mean_us = request.class_state.run_time_us * attempt.endpoint.kind.kind_pace
         delay_us = int(max(mean_us * mean_run_times, LEAST_RECHECK_US))
         attempt.recheck_at_us = self._context.now_us + delay_us
         self.set(request.id, number, delay_us)
 
-    def take_due(self) -> Iterator[tuple[Request, int]]:
+    def take_due(self) -> Iterator[tuple[TrackedRequest, int]]:
         """Take the requests and attempts' numbers that are due."""
         while self._due and self._due[0][0] <= self._context.now_us:
             _, request_id, number = heapq.heappop(self._due)
--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -38,7 +38,7 @@
 from merlinbay.decision.hedging import hedging_delay_us
 from merlinbay.decision.outcomes import Outcome, never_ran
 from merlinbay.decision.parts import Parts
-from merlinbay.decision.request_state import Request
+from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.settings import Settings
 
 LATE_START_SHARE = 0.05  # share of a mean run time after which a start means that there was no free slot
@@ -123,13 +123,13 @@
         self.parts.offered.learn_mean_request(request)
         self._decide(request)
 
-    def _new_request(self, event: RequestReceived) -> Request:
+    def _new_request(self, event: RequestReceived) -> TrackedRequest:
         settings, now_us = self.parts.context.settings, self.parts.context.now_us
         state = self.parts.run_times.class_state(event.job_class)
         run_time_us = self.parts.run_times.expected_us(state, event.hint_us)
         is_over_quota = self.parts.offered.count_tenant_request(event.tenant)
         weight = state.spec.worth * (settings.over_share_worth if is_over_quota else 1)
-        return Request(
+        return TrackedRequest(
             id=event.id,
             class_state=state,
             run_time_us=run_time_us,
@@ -147,7 +147,7 @@
             hedging_delay_us=hedging_delay_us(state.spec.aim_us),
         )
 
-    def _decide(self, request: Request) -> None:
+    def _decide(self, request: TrackedRequest) -> None:
         """Decide on a first attempt or a retry, once the health checks that pay are answered."""
         if not self.parts.health_checks.begin(request):
             self.parts.dispatching.decide(request)
--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -13,7 +13,7 @@
 from merlinbay.decision.load_estimates import LoadEstimates
 from merlinbay.decision.load_reports import LoadReports
 from merlinbay.decision.offered_load import LEAST_PRIORITY_WEIGHT, OfferedLoad
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 from merlinbay.decision.run_times import RunTimes
 
 CANCELLED_WORK = 0.5  # share of its work that a cancelled waiting attempt is taken to cost
@@ -55,7 +55,7 @@
         all_busy = math.pow(load, math.sqrt(2 * (slots + 1)) - 1)
         return min(1.0, all_busy / (slots * (1 - load) ** 2))
 
-    def expected_share(self, request: Request, wait_us: float, run_us: float | None = None) -> float:
+    def expected_share(self, request: TrackedRequest, wait_us: float, run_us: float | None = None) -> float:
         """Return the share of its priority weight that the request can be expected to earn after a wait.
 
         It takes ``run_us`` by what is seen of it, else what was expected when it came.
@@ -70,7 +70,7 @@
         at_all = max(chance_to_end(wait_us, request.deadline_at_us - run_us - now_us), in_time)
         return in_time + spec.late_worth * (at_all - in_time)
 
-    def _expected_share_running(self, request: Request, attempt: Attempt, run_us: float) -> float:
+    def _expected_share_running(self, request: TrackedRequest, attempt: Attempt, run_us: float) -> float:
         """Return the share of its priority weight that an attempt which runs can be expected to earn."""
         spec, now_us = request.class_state.spec, self._context.now_us
         elapsed_us = now_us - attempt.started_at_us
@@ -82,7 +82,7 @@
         return in_time + spec.late_worth * (at_all - in_time)
 
     def is_crossing_worthwhile(
-        self, request: Request, far: tuple[Endpoint, float], near: tuple[Endpoint, float] | None
+        self, request: TrackedRequest, far: tuple[Endpoint, float], near: tuple[Endpoint, float] | None
     ) -> bool:
         """Tell whether an endpoint of another zone is worth its price over the best one of our own.
 
@@ -94,10 +94,10 @@
         price = self._context.settings.cross_zone_price * self._offered.mean_priority_weight
         return gain * request.priority_weight > price
 
-    def _expected_share_at(self, request: Request, endpoint: Endpoint, free: float) -> float:
+    def _expected_share_at(self, request: TrackedRequest, endpoint: Endpoint, free: float) -> float:
         return self.expected_share(request, self._load.queueing_delay_us(endpoint, free, request.slots))
 
-    def is_hedge_worthwhile(self, request: Request, attempt: Attempt, target: Endpoint) -> bool:
+    def is_hedge_worthwhile(self, request: TrackedRequest, attempt: Attempt, target: Endpoint) -> bool:
         """Tell whether a hedge is worth the work that it adds."""
         settings, offered, load = self._context.settings, self._offered, self._load
         if not settings.asks_first:
--- a/merlinbay/decision/dispatching.py
+++ b/merlinbay/decision/dispatching.py
@@ -12,8 +12,8 @@
 from merlinbay.decision.load_estimates import LoadEstimates
 from merlinbay.decision.outlier_detection import OutlierDetection
 from merlinbay.decision.placement import Placement
-from merlinbay.decision.request_state import Attempt, Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import Attempt, TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.slow_start import SlowStart
 from merlinbay.decision.warm_up import WarmUp
 
@@ -25,7 +25,7 @@
         self,
         context: Context,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         timers: AttemptTimers,
         load: LoadEstimates,
         outliers: OutlierDetection,
@@ -39,7 +39,7 @@
         self._load, self._outliers, self._warm_up, self._slow_start = load, outliers, warm_up, slow_start
         self._admission, self._placement, self._health_checks = admission, placement, health_checks
 
-    def decide(self, request: Request) -> None:
+    def decide(self, request: TrackedRequest) -> None:
         """Dispatch the request if an endpoint is found, else give its final answer.
 
         While it waits for health checks it is dispatched to free slots only, and not answered.
@@ -52,7 +52,7 @@
             self._requests.forget(request)
             self._admission.shed(request)
 
-    def dispatch(self, request: Request, endpoint: Endpoint) -> None:
+    def dispatch(self, request: TrackedRequest, endpoint: Endpoint) -> None:
         """Send an attempt to an endpoint that was found eligible."""
         self._context.emit(Dispatch(request.id, endpoint.name))
         self._health_checks.forget(request)
@@ -67,18 +67,18 @@
             self._slow_start.charge(endpoint, request.run_time_us * request.slots)
         self._timers.set_hedge_check(request)
 
-    def cancel(self, request: Request, number: int) -> None:
+    def cancel(self, request: TrackedRequest, number: int) -> None:
         """Stop waiting for an attempt."""
         self._context.emit(Cancel(request.id, number))
 
-    def cancel_all(self, request: Request) -> None:
+    def cancel_all(self, request: TrackedRequest) -> None:
         """Cancel all open attempts, where that is possible."""
         if self._context.settings.limits.cancelling:
             for number, attempt in enumerate(request.attempts):
                 if attempt.is_open:
                     self.cancel(request, number)
 
-    def cancel_waiting(self, request: Request, started: Attempt) -> None:
+    def cancel_waiting(self, request: TrackedRequest, started: Attempt) -> None:
         """Cancel the attempts beside one that has started; one that runs too goes on until the first ends."""
         if self._context.settings.limits.cancelling and request.open_attempts > 1:
             for number, attempt in enumerate(request.attempts):
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -16,8 +16,8 @@
 from merlinbay.decision.endpoints import Endpoints
 from merlinbay.decision.load_reports import LoadReports
 from merlinbay.decision.outlier_detection import OutlierDetection
-from merlinbay.decision.request_state import Attempt, Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import Attempt, TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.settings import Idempotency
 from merlinbay.decision.slow_start import SlowStart
 from merlinbay.decision.warm_up import WarmUp
@@ -31,7 +31,7 @@
         context: Context,
         lease: EndpointLease,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         outliers: OutlierDetection,
         warm_up: WarmUp,
         slow_start: SlowStart,
@@ -44,7 +44,7 @@
 
     # Questions from other parts.
 
-    def may_dispatch(self, request: Request) -> bool:
+    def may_dispatch(self, request: TrackedRequest) -> bool:
         """Tell whether a further attempt keeps the rules of its class now, wherever it goes."""
         # Guards against a dispatch to a draining endpoint, of which the node counts as notified: by an
         # overdue list any of them may drain. Planning polls by the deadline does not make them arrive.
@@ -75,7 +75,7 @@
             if other.may_have_run
         )
 
-    def may_reject(self, request: Request, wait_us: int = 0) -> bool:
+    def may_reject(self, request: TrackedRequest, wait_us: int = 0) -> bool:
         """Tell whether the request may be rejected, and so be sent again by its client after a wait."""
         unresolved, spec = request.first_unresolved, request.class_state.spec
         if unresolved is None or request.idempotency is Idempotency.ALWAYS:
@@ -84,7 +84,7 @@
             return False
         return self._context.now_us + wait_us < unresolved.dispatched_at_us + spec.window_us
 
-    def eligible(self, request: Request, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+    def eligible(self, request: TrackedRequest, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
         """Return those of the endpoints, in their order, that may be sent the request now."""
         if not self.may_dispatch(request):
             return []
@@ -98,7 +98,7 @@
             and (unresolved is None or self._is_in_scope(request, unresolved, endpoint.zone, endpoint.cell))
         ]
 
-    def scope_of_repeat(self, request: Request) -> list[Endpoint] | None:
+    def scope_of_repeat(self, request: TrackedRequest) -> list[Endpoint] | None:
         """Return the usable endpoints that drop a repeat of the request, or None where any may take it."""
         spec, unresolved = request.class_state.spec, request.first_unresolved
         if unresolved is None or request.idempotency is not Idempotency.BY_KEY or spec.group == "all":
@@ -109,7 +109,7 @@
 
     # Rules.
 
-    def _may_repeat(self, request: Request, others: list[Attempt], now_us: int) -> bool:
+    def _may_repeat(self, request: TrackedRequest, others: list[Attempt], now_us: int) -> bool:
         """Tell whether an attempt beside the others keeps the rules of its class, wherever it goes."""
         second_copies = self._context.settings.limits.second_copies
         if not second_copies and any(other.is_open for other in others):
@@ -120,7 +120,7 @@
         window_us = request.class_state.spec.window_us
         return request.idempotency is Idempotency.BY_KEY and now_us < unresolved.dispatched_at_us + window_us
 
-    def _is_ready(self, endpoint: Endpoint, request: Request) -> bool:
+    def _is_ready(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
         """Tell whether the endpoint's condition lets it be sent the request now."""
         if endpoint.state != "up" or self._outliers.is_ejected(endpoint):
             return False
@@ -130,7 +130,7 @@
             return True
         return self._slow_start.may_admit(endpoint, request.run_time_us * request.slots)
 
-    def _suits(self, endpoint: Endpoint, request: Request) -> bool:
+    def _suits(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
         """Tell whether the endpoint can run the request, and has not been sent it before."""
         if request.allowed_endpoints and endpoint.name not in request.allowed_endpoints:
             return False
@@ -142,7 +142,7 @@
             return False
         return not self._reports.lacks_memory(endpoint, request.memory)
 
-    def _is_in_scope(self, request: Request, unresolved: Attempt, zone: str, cell: int) -> bool:
+    def _is_in_scope(self, request: TrackedRequest, unresolved: Attempt, zone: str, cell: int) -> bool:
         """Tell whether endpoints of a zone and cell drop a repeat of an attempt that may have run."""
         scope = request.class_state.spec.group
         if scope == "zone":
--- a/merlinbay/decision/health_checks.py
+++ b/merlinbay/decision/health_checks.py
@@ -15,8 +15,8 @@
 from merlinbay.decision.offered_load import OfferedLoad
 from merlinbay.decision.outlier_detection import OutlierDetection
 from merlinbay.decision.placement import SAMPLE_SIZE, Placement
-from merlinbay.decision.request_state import Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 
 CHECKED_FIRST = 3  # endpoints checked first for one request in the own zone, and as many in others
 ANSWERS_TIMEOUT_US = 150_000  # the answers are waited for no longer: one may get lost
@@ -29,7 +29,7 @@
         self,
         context: Context,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         timers: AttemptTimers,
         offered: OfferedLoad,
         outliers: OutlierDetection,
@@ -40,9 +40,11 @@
         self._context, self._endpoints, self._requests, self._timers = context, endpoints, requests, timers
         self._offered, self._outliers, self._eligibility = offered, outliers, eligibility
         self._placement, self._costs = placement, costs
-        self._waiting: dict[str, list[Request]] = {}  # by endpoint: the requests that wait for its answer
+        self._waiting: dict[
+            str, list[TrackedRequest]
+        ] = {}  # by endpoint: the requests that wait for its answer
 
-    def begin(self, request: Request) -> bool:
+    def begin(self, request: TrackedRequest) -> bool:
         """Send the health checks that pay now; tell whether the request has to wait for their answers."""
         self.forget(request)
         settings = self._context.settings
@@ -64,7 +66,7 @@
         self._timers.set(request.id, HEALTH_CHECKS, min(ANSWERS_TIMEOUT_US, left_us / 2))
         return True
 
-    def _check_for(self, request: Request) -> None:
+    def _check_for(self, request: TrackedRequest) -> None:
         """Check endpoints for the request, which waits for the first that has free slots."""
         for batch in self._placement.candidate_batches(request):
             chosen = self._eligibility.eligible(request, batch)[:CHECKED_FIRST]
@@ -88,7 +90,7 @@
                 endpoint.health_check.health_check_at_us = now_us
                 self._context.emit(CheckHealth(endpoint.name))
 
-    def take_waiting(self, name: str) -> Request | None:
+    def take_waiting(self, name: str) -> TrackedRequest | None:
         """Return the first request that still waits for an answer of this endpoint, and count the answer."""
         queue = self._waiting.pop(name, [])
         waiting = [one for one in queue if one.pending_health_checks and not one.is_done]
@@ -98,19 +100,19 @@
             self._waiting[name] = waiting[1:]
         return waiting[0]
 
-    def add_answer(self, request: Request, endpoint: Endpoint | None) -> None:
+    def add_answer(self, request: TrackedRequest, endpoint: Endpoint | None) -> None:
         """Count an answer that the request waited for; ``endpoint``: one that may be chosen by it."""
         request.pending_health_checks -= 1
         if endpoint is not None:
             request.health_check_replies.append(endpoint)
 
-    def give_up(self, request: Request) -> bool:
+    def give_up(self, request: TrackedRequest) -> bool:
         """Wait for no more answers of the request's; tell whether it waited for any."""
         waited = request.pending_health_checks > 0
         request.pending_health_checks = 0
         return waited
 
-    def forget(self, request: Request) -> None:
+    def forget(self, request: TrackedRequest) -> None:
         """Forget the request's health checks.
 
         Guards against a hedge that goes by the answers to an earlier attempt's health checks.
--- a/merlinbay/decision/hedging.py
+++ b/merlinbay/decision/hedging.py
@@ -9,8 +9,8 @@
 from merlinbay.decision.load_estimates import LoadEstimates
 from merlinbay.decision.offered_load import OfferedLoad
 from merlinbay.decision.placement import Placement
-from merlinbay.decision.request_state import Attempt, Request
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.request_state import Attempt, TrackedRequest
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.run_times import RunTimes
 
 HEDGE_SLOW_AFTER_RUNS = 1.0  # mean run times after which a request at a slow endpoint is hedged
@@ -30,7 +30,7 @@
     def __init__(
         self,
         context: Context,
-        requests: RequestTable,
+        requests: TrackedRequests,
         timers: AttemptTimers,
         offered: OfferedLoad,
         run_times: RunTimes,
@@ -43,7 +43,7 @@
         self._offered, self._run_times, self._load, self._costs = offered, run_times, load, costs
         self._placement, self._dispatching = placement, dispatching
 
-    def watch_run(self, request: Request, attempt: Attempt, number: int) -> None:
+    def watch_run(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Have an attempt that has started looked at, where it may still be hedged."""
         if self._may_still_hedge(request):
             runs = (
@@ -51,16 +51,16 @@
             )
             self._timers.set_run_check(request, attempt, number, runs)
 
-    def watch_resumed(self, request: Request, attempt: Attempt, number: int) -> None:
+    def watch_resumed(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Have an attempt that goes on after a pause looked at, where it may still be hedged."""
         if self._may_still_hedge(request):
             self._timers.set_run_check(request, attempt, number, CHECK_PACE_AFTER_RUNS)
 
-    def _may_still_hedge(self, request: Request) -> bool:
+    def _may_still_hedge(self, request: TrackedRequest) -> bool:
         second_copies = self._context.settings.limits.second_copies
         return second_copies and request.open_attempts == 1 and not request.is_done
 
-    def check(self, request: Request, number: int) -> None:
+    def check(self, request: TrackedRequest, number: int) -> None:
         """Look at an attempt whose timer is due."""
         found = self._requests.find(request.id, number)
         if found is None or request.is_done:
@@ -73,7 +73,7 @@
         elif self._context.now_us >= attempt.recheck_at_us and not attempt.paused_at_us:
             self._check_running(request, attempt, number)
 
-    def _check_waiting(self, request: Request, attempt: Attempt, number: int) -> None:
+    def _check_waiting(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Hedge a request that has not started; whichever attempt starts first keeps it."""
         # Guards against a stalled endpoint or a stale estimate: the request has not started, so its endpoint
         # was full.
@@ -91,7 +91,7 @@
             waited_us = self._context.now_us - attempt.dispatched_at_us
             self._timers.set(request.id, number, max(request.hedging_delay_us, waited_us))
 
-    def _give_up(self, request: Request, attempt: Attempt, number: int) -> bool:
+    def _give_up(self, request: TrackedRequest, attempt: Attempt, number: int) -> bool:
         """Cancel a hedge that waits as well, for another one; tell whether that is possible."""
         # Guards against two queues that a request has met by chance, while most endpoints have free slots.
         if not self._context.settings.limits.cancelling or attempt.started_at_us:
@@ -99,7 +99,7 @@
         self._dispatching.cancel(request, number)
         return True
 
-    def _check_running(self, request: Request, attempt: Attempt, number: int) -> None:
+    def _check_running(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Learn from a request that runs on; where its endpoint is slow, hedge it."""
         self._run_times.learn_still_running(request, attempt)
         if not self._run_times.is_slow(attempt.endpoint):
--- a/merlinbay/decision/load_estimates.py
+++ b/merlinbay/decision/load_estimates.py
@@ -17,7 +17,7 @@
 from merlinbay.decision.handover_snapshot import EndpointSnapshot, LoadSnapshot
 from merlinbay.decision.offered_load import OfferedLoad
 from merlinbay.decision.outlier_detection import OutlierDetection
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.warm_up import WarmUp
 
 SPREAD_SHARE = 0.65  # share of the spread of an unseen count that counts as held
@@ -44,7 +44,7 @@
         self,
         context: Context,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         offered: OfferedLoad,
         warm_up: WarmUp,
         outliers: OutlierDetection,
--- a/merlinbay/decision/load_reports.py
+++ b/merlinbay/decision/load_reports.py
@@ -12,7 +12,7 @@
 from merlinbay.decision.offered_load import OfferedLoad
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.request_state import Attempt
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.warm_up import WarmUp
 
 RATE_WEIGHT = 0.05  # weight of one answer in the hit rate, of one report in the stale rate
@@ -28,7 +28,7 @@
         self,
         context: Context,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         offered: OfferedLoad,
         warm_up: WarmUp,
         capacity: CapacityLearning,
--- a/merlinbay/decision/offered_load.py
+++ b/merlinbay/decision/offered_load.py
@@ -7,7 +7,7 @@
 
 from merlinbay.decision.context import Context
 from merlinbay.decision.handover_snapshot import LoadSnapshot
-from merlinbay.decision.request_state import Request
+from merlinbay.decision.request_state import TrackedRequest
 
 RATE_MEMORY_US = 2_000_000  # of the arrival rate: longer than a stall, shorter than a burst
 MIN_ARRIVALS = 20  # requests that a mean rests on at the least: with fewer, one request would shut gates
@@ -50,7 +50,7 @@
         span_us = max(self.mean_work_us, min(RATE_MEMORY_US, MIN_ARRIVALS / rate))
         return math.pow(left, RATE_MEMORY_US / span_us)
 
-    def learn_mean_request(self, request: Request) -> None:
+    def learn_mean_request(self, request: TrackedRequest) -> None:
         """Count the request in the mean one."""
         weight = max(MEAN_REQUEST_WEIGHT, 1 / self.offered_requests)
         work_us = request.run_time_us * max(request.slots, LEAST_SLOTS)
@@ -67,7 +67,7 @@
             rate = counted.per_us * settings.balancers * 1e6
         return any(one.name == tenant and rate > one.quota_per_s for one in settings.tenants)
 
-    def priority_density(self, request: Request) -> float:
+    def priority_density(self, request: TrackedRequest) -> float:
         """Return the request's priority weight for each slot and second, over the mean request's."""
         work_us = request.run_time_us * max(request.slots, LEAST_SLOTS)
         return (
--- a/merlinbay/decision/outcome_learning.py
+++ b/merlinbay/decision/outcome_learning.py
@@ -9,7 +9,7 @@
 from merlinbay.decision.load_reports import LoadReports
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.outlier_detection import OutlierDetection
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 from merlinbay.decision.run_times import LEAST_RUN_US, RunTimes
 
 
@@ -28,7 +28,7 @@
         self._context, self._outliers, self._run_times = context, outliers, run_times
         self._capacity, self._load, self._reports = capacity, load, reports
 
-    def learn(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+    def learn(self, request: TrackedRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Learn from an attempt that has ended, and from the load report that came with its outcome."""
         self._outliers.judge(attempt, event)
         self._reports.learn_hit(attempt, event.outcome)
@@ -41,7 +41,7 @@
             self._load.observe_full(endpoint)
         self._reports.take(event)
 
-    def _learn_run_time(self, request: Request, attempt: Attempt, took_us: int) -> None:
+    def _learn_run_time(self, request: TrackedRequest, attempt: Attempt, took_us: int) -> None:
         """Learn from a request that was served. Where its start was reported, waiting does not count."""
         run_us, started_at_us = took_us, attempt.started_at_us
         if started_at_us:
--- a/merlinbay/decision/parts.py
+++ b/merlinbay/decision/parts.py
@@ -21,7 +21,7 @@
 from merlinbay.decision.outcome_learning import OutcomeLearning
 from merlinbay.decision.outlier_detection import OutlierDetection
 from merlinbay.decision.placement import Placement
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.slow_start import SlowStart
 from merlinbay.decision.snapshots import Snapshots
@@ -47,7 +47,7 @@
             settings.me, settings.balancers, self.lease, context.rng, context.now_us
         )
         self.endpoints = Endpoints(context, self._on_endpoint_restarted, self._on_endpoints_reindexed)
-        self.requests = RequestTable(context)
+        self.requests = TrackedRequests(context)
         self.timers = AttemptTimers(context, self.requests)
         self.run_times = RunTimes(context)
         # Guards against a flood to warming endpoints at the start: the least run time counts as the mean.
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -13,7 +13,7 @@
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.endpoints import Endpoints
 from merlinbay.decision.load_estimates import SPREAD_SHARE, LoadEstimates
-from merlinbay.decision.request_state import Request
+from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.slow_start import SlowStart
 
@@ -50,7 +50,7 @@
         self.cross_zone_share = 0.0
         self._affinity: dict[str, list[Endpoint]] = {}  # by key: its few endpoints, in order
 
-    def candidate_batches(self, request: Request) -> list[list[Endpoint]]:
+    def candidate_batches(self, request: TrackedRequest) -> list[list[Endpoint]]:
         """Return batches of endpoints to look at, the preferred ones first."""
         near, far = self._endpoints.pools.get(request.class_state.spec.kind) or ([], [])
         scope = self._eligibility.scope_of_repeat(request)
@@ -76,7 +76,7 @@
         ]
 
     def choose(
-        self, request: Request, free_only: bool = False, spread_share: float = SPREAD_SHARE
+        self, request: TrackedRequest, free_only: bool = False, spread_share: float = SPREAD_SHARE
     ) -> Endpoint | None:
         """Return an endpoint with free slots for the request, else one under its gate; nearer ones first.
 
@@ -105,12 +105,14 @@
                 near = best
         return self._weigh_crossing(request, best, near)
 
-    def _free_for(self, request: Request, endpoint: Endpoint, spread_share: float) -> float:
+    def _free_for(self, request: TrackedRequest, endpoint: Endpoint, spread_share: float) -> float:
         if request.uses_reservation:
             return endpoint.reserved_slots
         return self._load.free_slots(endpoint, spread_share)
 
-    def _may_wait(self, request: Request, endpoint: Endpoint, free: float, gates: dict[int, float]) -> bool:
+    def _may_wait(
+        self, request: TrackedRequest, endpoint: Endpoint, free: float, gates: dict[int, float]
+    ) -> bool:
         """Tell whether the endpoint's gate admits the request. A gate is drawn once for each kind."""
         kind = id(endpoint.kind)
         if kind not in gates:
@@ -118,7 +120,7 @@
         return -free < gates[kind]
 
     def _weigh_crossing(
-        self, request: Request, best: Candidate | None, near: Candidate | None
+        self, request: TrackedRequest, best: Candidate | None, near: Candidate | None
     ) -> Endpoint | None:
         """Return the best endpoint, or the best of our own zone where the crossing is not worth its price."""
         if best is None:
@@ -131,7 +133,7 @@
             return best.endpoint
         return near.endpoint if near else None
 
-    def _checked(self, request: Request) -> list[list[Endpoint]]:
+    def _checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
         """Return the endpoints that answered the request's health checks.
 
         Where crossings cost, those of other zones count only once all have answered.
--- a/merlinbay/decision/request_state.py
+++ b/merlinbay/decision/request_state.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Request:
+class TrackedRequest:
     """A request, from its arrival until its last attempt has ended; written by ``RequestTable``."""
 
     id: int
--- a/merlinbay/decision/requests.py
+++ b/merlinbay/decision/requests.py
@@ -4,21 +4,21 @@
 
 from merlinbay.decision.context import Context
 from merlinbay.decision.endpoint_state import Endpoint
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 
 HISTORY_US = 1_000_000  # how long past counts of an endpoint's slots in flight are remembered
 
 
-class RequestTable:
+class TrackedRequests:
     """Owns requests, their attempts and the counts of slots in flight."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self.by_id: dict[int, Request] = {}
+        self.by_id: dict[int, TrackedRequest] = {}
         self.in_flight_slots = 0.0  # slots of all open attempts
         self.running_slots = 0.0  # those of them that have started
 
-    def find(self, request_id: int, number: int) -> tuple[Request, Attempt] | None:
+    def find(self, request_id: int, number: int) -> tuple[TrackedRequest, Attempt] | None:
         """Return a request and its open attempt, or None."""
         request = self.by_id.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
@@ -26,26 +26,26 @@
         attempt = request.attempts[number]
         return (request, attempt) if attempt.is_open else None
 
-    def add(self, request: Request) -> None:
+    def add(self, request: TrackedRequest) -> None:
         """Remember a request."""
         self.by_id[request.id] = request
 
-    def forget(self, request: Request) -> None:
+    def forget(self, request: TrackedRequest) -> None:
         """Forget a request without open attempts."""
         self.by_id.pop(request.id, None)
 
-    def close(self, request: Request) -> None:
+    def close(self, request: TrackedRequest) -> None:
         """Take it that the request has its final answer, or needs none."""
         request.is_done = True
 
-    def open_attempt(self, request: Request, endpoint: Endpoint, found_free_slots: bool) -> None:
+    def open_attempt(self, request: TrackedRequest, endpoint: Endpoint, found_free_slots: bool) -> None:
         """Count a dispatch."""
         self.by_id[request.id] = request
         request.attempts.append(Attempt(endpoint, self._context.now_us, found_free_slots=found_free_slots))
         request.open_attempts += 1
         self._count(endpoint, request.slots)
 
-    def start_attempt(self, request: Request, attempt: Attempt) -> None:
+    def start_attempt(self, request: TrackedRequest, attempt: Attempt) -> None:
         """Take note that an attempt has started."""
         attempt.started_at_us = self._context.now_us
         attempt.endpoint.in_flight.running_slots += request.slots
@@ -60,7 +60,7 @@
         attempt.started_at_us += self._context.now_us - attempt.paused_at_us
         attempt.paused_at_us = 0
 
-    def end_attempt(self, request: Request, attempt: Attempt, may_have_executed: bool) -> None:
+    def end_attempt(self, request: TrackedRequest, attempt: Attempt, may_have_executed: bool) -> None:
         """Count the end of an attempt."""
         attempt.is_open = False
         attempt.may_have_executed = may_have_executed
--- a/merlinbay/decision/run_times.py
+++ b/merlinbay/decision/run_times.py
@@ -8,7 +8,7 @@
 from merlinbay.decision.context import Context
 from merlinbay.decision.endpoint_state import Endpoint, Kind
 from merlinbay.decision.handover_snapshot import ClassSnapshot, EndpointSnapshot, KindSnapshot
-from merlinbay.decision.request_state import Attempt, Request, RequestClassState
+from merlinbay.decision.request_state import Attempt, TrackedRequest, RequestClassState
 from merlinbay.decision.settings import RequestClass
 
 LEAST_RUN_US = 1000.0  # no run time counts as less
@@ -59,7 +59,7 @@
         """Tell whether other endpoints are preferred to this one."""
         return self.pace(endpoint) >= SLOW_PACE
 
-    def learn_completed(self, request: Request, attempt: Attempt, run_us: float) -> float:
+    def learn_completed(self, request: TrackedRequest, attempt: Attempt, run_us: float) -> float:
         """Learn from a request that was served; return its run time over its class's."""
         state, kind = request.class_state, attempt.endpoint.kind
         state.completed += 1
@@ -74,7 +74,7 @@
             self._learn_pace(attempt.endpoint, ratio / kind.kind_pace)
         return ratio
 
-    def learn_still_running(self, request: Request, attempt: Attempt) -> None:
+    def learn_still_running(self, request: TrackedRequest, attempt: Attempt) -> None:
         """Learn from a request that runs on: that its endpoint is slow shows long before the end."""
         if request.class_state.completed < MIN_COMPLETED:
             return
--- a/merlinbay/decision/slow_start.py
+++ b/merlinbay/decision/slow_start.py
@@ -15,7 +15,7 @@
 from merlinbay.decision.endpoints import Endpoints
 from merlinbay.decision.handover_snapshot import EndpointSnapshot
 from merlinbay.decision.offered_load import OfferedLoad
-from merlinbay.decision.requests import RequestTable
+from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.warm_up import WarmUp
 
@@ -32,7 +32,7 @@
         self,
         context: Context,
         endpoints: Endpoints,
-        requests: RequestTable,
+        requests: TrackedRequests,
         offered: OfferedLoad,
         run_times: RunTimes,
         capacity: CapacityLearning,
--- a/merlinbay/drmaa/answers.py
+++ b/merlinbay/drmaa/answers.py
@@ -7,7 +7,7 @@
 from merlinbay.access.grants import denied
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.batch.jobs import Job
-from merlinbay.batch.registry import Reply
+from merlinbay.batch.registry import CallReply
 from merlinbay.batch.timers import NEVER
 from merlinbay.clock import Clock
 from merlinbay.drmaa import schema
@@ -30,7 +30,7 @@
         """Say until when the caller's token is good: from then on it is told nothing more."""
         self.until_us, self.clock = until_us, clock
 
-    def take(self, reply: Reply) -> None:
+    def take(self, reply: CallReply) -> None:
         """Take the one answer."""
         self.done(failure(reply.error) if reply.error is not None else self.write(reply.job))
 
--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -12,11 +12,11 @@
 import trio
 
 from merlinbay.access.grants import Gate, OpenGate
-from merlinbay.batch.engine import Engine
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.batch.jobs import Job, JobArray
-from merlinbay.batch.registry import Change, Control, Offer, Recall, Reply, Withdraw
-from merlinbay.batch.states import State
+from merlinbay.batch.registry import CallReply, ControlJob, JobChange, OfferJob, RecallJob, WithdrawJob
+from merlinbay.batch.states import JobState
 from merlinbay.batch.timers import NEVER
 from merlinbay.clock import Clock
 from merlinbay.core.messages import (
@@ -32,17 +32,17 @@
 from merlinbay.drmaa.answers import Call, failure
 from merlinbay.drmaa.incoming_call import IncomingCall
 from merlinbay.drmaa.job_client import JobClient
-from merlinbay.drmaa.reserving import Reserving
+from merlinbay.drmaa.reserving import ReservationCalls
 from merlinbay.drmaa.session_calls import DEFAULT, SessionCalls
-from merlinbay.drmaa.settings import Drmaa
+from merlinbay.drmaa.settings import DrmaaSettings
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.notify.hub import Answer, Hub
-from merlinbay.notify.journal import Journal, News
-from merlinbay.notify.sender import Sender
-from merlinbay.notify.targets import Allowed
-from merlinbay.reserve.book import Reservation
+from merlinbay.notify.hub import EventHub, PollAnswer
+from merlinbay.notify.journal import EventJournal, JobEventKind
+from merlinbay.notify.sender import CallbackSender
+from merlinbay.notify.targets import AllowedTargets
+from merlinbay.reserve.calendar import Reservation
 
 RESERVED_AGAIN_US = 100_000  # a job whose reservation is in use comes again after this
 
@@ -58,7 +58,7 @@
         counters: Counters,
         log: Log,
         classes: list[RequestClass],
-        settings: Drmaa,
+        settings: DrmaaSettings,
         machine: str,
         gate: Gate | None = None,
         own: tuple[tuple[str, int], ...] = (),
@@ -66,20 +66,20 @@
         self.inbox, self.clock, self.limits = inbox, clock, limits
         self.counters, self.log, self.settings, self.machine = counters, log, settings, machine
         self.rules = templates.Rules({spec.name: spec for spec in classes}, settings.memory_unit_kib)
-        self.engine = Engine(settings.bounds(limits), lambda: secrets.token_hex(8))
+        self.engine = BatchEngine(settings.bounds(limits), lambda: secrets.token_hex(8))
         self.edges: dict[Job, JobClient] = {}  # of the jobs that are with the core
         self.outbox: deque[Message] = deque()  # what the owner's inbox had no room for, in order
         self.ready = trio.Event()  # there is something in it
         self.nap, self.due_us = trio.CancelScope(), NEVER  # when the engine is looked at next; maybe too soon
         self.ends = 0  # jobs that had ended when they were counted last
         self.gate: Gate = gate or OpenGate()
-        self.hub: Hub | None = None
-        self.sender: Sender | None = None
+        self.hub: EventHub | None = None
+        self.sender: CallbackSender | None = None
         if settings.events.keep:
             self._keep_events(own)
-        self.reserving: Reserving | None = None
+        self.reserving: ReservationCalls | None = None
         if settings.reservations.slots:
-            self.reserving = Reserving(
+            self.reserving = ReservationCalls(
                 settings.reservations, self.engine.timers, self.post, self._reservation, clock.now_us
             )
             self.engine.watcher = self
@@ -91,17 +91,17 @@
 
     def _keep_events(self, own: tuple[tuple[str, int], ...]) -> None:
         wish = self.settings.events
-        journal = Journal(wish.keep, wish.keep_kib * 1024, lambda: secrets.token_hex(4))
-        self.hub = Hub(
+        journal = EventJournal(wish.keep, wish.keep_kib * 1024, lambda: secrets.token_hex(4))
+        self.hub = EventHub(
             journal,
             wish.bounds(),
             self.limits.drmaa_waits,
-            Allowed.read(wish.to, own),
+            AllowedTargets.read(wish.to, own),
             self.engine.timers,
             lambda: secrets.token_hex(8),
             Random(secrets.randbits(64)),
         )
-        self.sender = Sender(
+        self.sender = CallbackSender(
             self.hub.listeners,
             listening.write_batch,
             self.flush,
@@ -113,7 +113,7 @@
         )
         self.engine.watcher = self
 
-    def changed(self, change: Change, job: Job) -> None:
+    def changed(self, change: JobChange, job: Job) -> None:
         """Take it that a job has changed."""
         if self.reserving is not None:
             self.reserving.changed(job)
@@ -121,7 +121,7 @@
             return
         self.hub.tell(
             job.session.name,
-            News(change.value),
+            JobEventKind(change.value),
             job.id,
             job.state.value,
             job.what.account,
@@ -140,9 +140,9 @@
             return
         self.hub.tell(
             array.session.name,
-            News.NEW_STATE,
+            JobEventKind.NEW_STATE,
             array.id,
-            State.FAILED.value,
+            JobState.FAILED.value,
             array.what.account,
             self.clock.now_us(),
             members=number,
@@ -161,7 +161,7 @@
         if self.hub is not None:
             self.hub.tell(
                 DEFAULT,
-                News.ATTRIBUTE_CHANGE,
+                JobEventKind.ATTRIBUTE_CHANGE,
                 f"reservation:{found.id}",
                 what,
                 found.account or "",
@@ -196,24 +196,24 @@
         while (engine.effects or engine.waiting) and (effects := engine.take(now_us)):
             for effect in effects:
                 match effect:
-                    case Offer():
+                    case OfferJob():
                         self._offer(effect.job, now_us)
-                    case Reply():
+                    case CallReply():
                         assert isinstance(effect.call, Call)
                         effect.call.take(effect)
-                    case Withdraw():
+                    case WithdrawJob():
                         if (responder := self.edges.pop(effect.job, None)) is not None:
                             self.counters.add("drmaa_jobs_withdrawn")
                             self.post(RequestWithdrawn(responder.name, responder))
-                    case Recall():
+                    case RecallJob():
                         if (responder := self.edges.get(effect.job)) is not None:
                             self.post(RecallRequested(responder.name, responder))
-                    case Control():
+                    case ControlJob():
                         if (responder := self.edges.get(effect.job)) is not None:
                             self.post(ControlRequested(responder.name, responder, effect.action))
         if self.hub is not None:
             for found in self.hub.take(now_us):
-                if isinstance(found, Answer):
+                if isinstance(found, PollAnswer):
                     assert isinstance(found.call, Call)
                     found.call.done(listening.page(found.stream, found.page))
                 elif self.sender is not None:
@@ -221,7 +221,10 @@
         if self.ends != engine.ended:
             self.ends = engine.ended
             counts, ends = self.counters.counts, engine.ends
-            counts["drmaa_jobs_done"], counts["drmaa_jobs_failed"] = ends[State.DONE], ends[State.FAILED]
+            counts["drmaa_jobs_done"], counts["drmaa_jobs_failed"] = (
+                ends[JobState.DONE],
+                ends[JobState.FAILED],
+            )
         if engine.timers.soonest < self.due_us:
             self._set_nap(engine.timers.soonest)
 
@@ -274,7 +277,7 @@
     # The wire's side.
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Answer one call, or leave it to be answered by what becomes of the job."""
+        """PollAnswer one call, or leave it to be answered by what becomes of the job."""
         path, _, query = request.target.partition("?")
         parts = path.strip("/").split("/")[1:]
         if "%" in path:
--- a/merlinbay/drmaa/info.py
+++ b/merlinbay/drmaa/info.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from merlinbay import __version__
-from merlinbay.batch.jobs import Job, JobArray, Session
+from merlinbay.batch.jobs import Job, JobArray, JobSession
 from merlinbay.drmaa.schema import JobInfo, when
 
 VERSION = dict(zip(("major", "minor"), __version__.split("."), strict=False))
@@ -136,7 +136,7 @@
     }
 
 
-def session_info(session: Session) -> dict[str, object]:
+def session_info(session: JobSession) -> dict[str, object]:
     """Return a session's information."""
     quota, most = session.quota, session.quota.allowance
     settings: dict[str, object] = {
--- a/merlinbay/drmaa/job_calls.py
+++ b/merlinbay/drmaa/job_calls.py
@@ -9,8 +9,8 @@
 
 from merlinbay.access.grants import Scope
 from merlinbay.batch.errors import DrmaaError, invalid_argument, unsupported
-from merlinbay.batch.jobs import Job, JobArray, Session, Submission
-from merlinbay.batch.states import State
+from merlinbay.batch.jobs import Job, JobArray, JobSession, Submission
+from merlinbay.batch.states import JobState
 from merlinbay.drmaa import info, schema, templates
 from merlinbay.drmaa.answers import Call, ok
 from merlinbay.drmaa.incoming_call import IncomingCall
@@ -27,7 +27,7 @@
         self.front, self.engine = front, front.engine
         self.counters, self.rules, self.machine = front.counters, front.rules, front.machine
 
-    def take(self, incoming: IncomingCall, session: Session, parts: list[str]) -> Response | Call:
+    def take(self, incoming: IncomingCall, session: JobSession, parts: list[str]) -> Response | Call:
         """Answer a call, or leave it to be answered by what becomes of the job."""
         on_arrays = parts[0] == "arrays"
         answer = (self._on_arrays if on_arrays else self._on_jobs)(incoming, session, parts)
@@ -35,7 +35,9 @@
             raise unsupported(f"{incoming.request.method} {incoming.request.target[:200]}")
         return answer
 
-    def _on_jobs(self, incoming: IncomingCall, session: Session, parts: list[str]) -> Response | Call | None:
+    def _on_jobs(
+        self, incoming: IncomingCall, session: JobSession, parts: list[str]
+    ) -> Response | Call | None:
         """Answer a call on jobs; None: there is no such call."""
         match incoming.request.method, parts:
             case "POST", ["jobs"]:
@@ -61,7 +63,7 @@
         return None
 
     def _on_arrays(
-        self, incoming: IncomingCall, session: Session, parts: list[str]
+        self, incoming: IncomingCall, session: JobSession, parts: list[str]
     ) -> Response | Call | None:
         """Answer a call on arrays; None: there is no such call."""
         match incoming.request.method, parts:
@@ -81,13 +83,13 @@
                 return self._act_on_array(incoming, self._array(incoming, session, array_id), "reap")
         return None
 
-    def _wait_any(self, incoming: IncomingCall, session: Session, started: bool) -> Call:
+    def _wait_any(self, incoming: IncomingCall, session: JobSession, started: bool) -> Call:
         wanted = schema.read_wait_any(incoming.request.body)
         if wanted.timeout is not None and not wanted.timeout >= 0:
             raise invalid_argument("timeout")
         return self._wait(incoming, self._known(incoming, session, wanted.jobIds), started, wanted.timeout)
 
-    def _run_array(self, incoming: IncomingCall, session: Session) -> Response:
+    def _run_array(self, incoming: IncomingCall, session: JobSession) -> Response:
         incoming.grant.need(Scope.SUBMIT)
         bulk = schema.read_run_bulk(incoming.request.body)
         array = self.engine.submit_array(
@@ -104,7 +106,7 @@
 
     # Jobs and arrays.
 
-    def _job(self, incoming: IncomingCall, session: Session, job_id: str) -> Job:
+    def _job(self, incoming: IncomingCall, session: JobSession, job_id: str) -> Job:
         """Return a job that the caller may know of; another's is answered like one that is not there."""
         job = session.jobs.get(job_id)
         array = session.arrays.get(job_id.partition(".")[0]) if job is None else None
@@ -113,7 +115,7 @@
             raise invalid_argument(f"no job {job_id!r}", missing=True)
         return self.engine.job(session, job_id)
 
-    def _array(self, incoming: IncomingCall, session: Session, array_id: str) -> JobArray:
+    def _array(self, incoming: IncomingCall, session: JobSession, array_id: str) -> JobArray:
         array = session.arrays.get(array_id)
         if array is not None and not incoming.grant.sees(array.what.account):
             raise invalid_argument(f"no array {array_id!r}", missing=True)
@@ -134,7 +136,7 @@
                 what = msgspec.structs.replace(what, start_us=start)
         return what
 
-    def _run_job(self, incoming: IncomingCall, session: Session) -> Response | Call:
+    def _run_job(self, incoming: IncomingCall, session: JobSession) -> Response | Call:
         incoming.grant.need(Scope.SUBMIT)
         what = self._submission(incoming, schema.read_run_job(incoming.request.body))
         call = Call(incoming.connection, submitted)
@@ -162,7 +164,7 @@
         call.ends_with(incoming.grant.until_us, self.front.clock)
         return call
 
-    def _known(self, incoming: IncomingCall, session: Session, job_ids: Iterable[str]) -> list[Job]:
+    def _known(self, incoming: IncomingCall, session: JobSession, job_ids: Iterable[str]) -> list[Job]:
         """Return the jobs of the ids that are known: one that was reaped has ended, and was told of then."""
         found = []
         for job_id in job_ids:
@@ -201,11 +203,11 @@
         self.engine.on_array(array, verb, incoming.now, call)
         return call
 
-    def _list(self, incoming: IncomingCall, session: Session) -> Response:
+    def _list(self, incoming: IncomingCall, session: JobSession) -> Response:
         """Answer getJobs: so many at a time, in order of submission; ``after`` is the last one's order."""
         incoming.grant.need(Scope.MONITOR)
         states = set(incoming.query.get("state", []))
-        if not states <= {state.value for state in State}:
+        if not states <= {state.value for state in JobState}:
             raise invalid_argument("state")
         (after, limit), sees = incoming.page(), incoming.grant.sees
         found = list(
--- a/merlinbay/drmaa/listening.py
+++ b/merlinbay/drmaa/listening.py
@@ -7,22 +7,22 @@
 import msgspec
 
 from merlinbay.batch.errors import invalid_argument, unsupported
-from merlinbay.batch.jobs import Session
+from merlinbay.batch.jobs import JobSession
 from merlinbay.drmaa import schema
 from merlinbay.drmaa.answers import Call, ok
 from merlinbay.drmaa.incoming_call import IncomingCall
 from merlinbay.drmaa.shared_state import SharedState
 from merlinbay.http.connection import Response
 from merlinbay.notify import signing
-from merlinbay.notify.hub import Hub, wanted_of
-from merlinbay.notify.journal import Entry, Page, Stream
-from merlinbay.notify.listeners import Batch, Listener
+from merlinbay.notify.hub import EventHub, wanted_of
+from merlinbay.notify.journal import JournalEntry, JournalPage, SessionStream
+from merlinbay.notify.listeners import CallbackBatch, EventListener
 
 KEY = 32
 WAIT_MOST = 60.0  # seconds that a poll without a timeout may wait
 
 
-class Register(msgspec.Struct, forbid_unknown_fields=True):
+class RegisterListener(msgspec.Struct, forbid_unknown_fields=True):
     """The body of a registration."""
 
     url: str
@@ -31,7 +31,7 @@
     key: str = ""  # whsec_...; none: one is made
 
 
-_register = msgspec.json.Decoder(Register).decode
+_register = msgspec.json.Decoder(RegisterListener).decode
 
 
 class ListeningCalls:
@@ -40,7 +40,7 @@
     def __init__(self, front: SharedState) -> None:
         self.front = front
 
-    def take(self, incoming: IncomingCall, session: Session, parts: list[str]) -> Response | Call:
+    def take(self, incoming: IncomingCall, session: JobSession, parts: list[str]) -> Response | Call:
         """Answer a call. Raises ``DrmaaError``."""
         hub, account = self.front.hub, incoming.grant.account
         if hub is None:
@@ -74,7 +74,7 @@
                 return ok({**listener_info(found), "key": signing.write_key(key)})
         raise unsupported(f"{incoming.request.method} {incoming.request.target[:200]}")
 
-    def _poll(self, incoming: IncomingCall, hub: Hub, session: Session) -> Call:
+    def _poll(self, incoming: IncomingCall, hub: EventHub, session: JobSession) -> Call:
         limit, timeout = incoming.page_limit(), incoming.timeout()
         wanted = wanted_of(
             incoming.query.get("event", []),
@@ -93,7 +93,7 @@
         )
         return call
 
-    def _register(self, incoming: IncomingCall, hub: Hub, session: Session) -> Response:
+    def _register(self, incoming: IncomingCall, hub: EventHub, session: JobSession) -> Response:
         try:
             wish = _register(incoming.request.body)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -110,7 +110,7 @@
         return ok({**listener_info(found), "key": signing.write_key(key)}, 201)
 
 
-def listener_info(listener: Listener) -> dict[str, object]:
+def listener_info(listener: EventListener) -> dict[str, object]:
     """Return what is told of a listener; never its key."""
     return {
         "listenerId": listener.id,
@@ -126,7 +126,7 @@
     }
 
 
-def event_text(entry: Entry, session: str) -> bytes:
+def event_text(entry: JournalEntry, session: str) -> bytes:
     """Write one event, once."""
     if not entry.text:
         value: dict[str, object] = {
@@ -147,7 +147,9 @@
     return entry.text
 
 
-def events_of(stream: Stream, entries: list[Entry], upto: int, missed: int) -> dict[str, object]:
+def events_of(
+    stream: SessionStream, entries: list[JournalEntry], upto: int, missed: int
+) -> dict[str, object]:
     """Return what a poll's answer and a call-back have in common."""
     return {
         "sessionName": stream.session,
@@ -157,12 +159,12 @@
     }
 
 
-def page(stream: Stream, found: Page) -> Response:
+def page(stream: SessionStream, found: JournalPage) -> Response:
     """Return a poll's answer."""
     return ok(events_of(stream, found.entries, found.upto, found.missed))
 
 
-def write_batch(batch: Batch) -> bytes:
+def write_batch(batch: CallbackBatch) -> bytes:
     """Write a call-back's body."""
     stream = batch.listener.stream
     return schema.write(
--- a/merlinbay/drmaa/reserving.py
+++ b/merlinbay/drmaa/reserving.py
@@ -11,8 +11,8 @@
 
 from merlinbay.access.grants import Grant, Scope
 from merlinbay.batch.errors import DrmaaError, invalid_argument, unsupported
-from merlinbay.batch.jobs import Job, Stage
-from merlinbay.batch.timers import Timers
+from merlinbay.batch.jobs import Job, JobStage
+from merlinbay.batch.timers import TimerQueue
 from merlinbay.core.messages import Message, ReservedSlotsChanged
 from merlinbay.core.values import ServiceEntry
 from merlinbay.drmaa.answers import ok
@@ -21,8 +21,8 @@
 from merlinbay.drmaa.settings import NAME
 from merlinbay.drmaa.templates import moment
 from merlinbay.http.connection import Response
-from merlinbay.reserve.book import Phase, Reservation, SlotBook, Wish
-from merlinbay.reserve.settings import Reservations
+from merlinbay.reserve.calendar import Phase, Reservation, ReservationCalendar, ReservationSpec
+from merlinbay.reserve.settings import ReservationSettings
 
 T = TypeVar("T")
 DEFAULT, SESSIONS = "default", 256
@@ -45,42 +45,44 @@
     machineArch: Any = None  # noqa: N815
 
 
-class Request(msgspec.Struct, forbid_unknown_fields=True):
+class ReservationRequest(msgspec.Struct, forbid_unknown_fields=True):
     """The body of a requestReservation call."""
 
     reservationTemplate: ReservationTemplate  # noqa: N815
 
 
-class Extend(msgspec.Struct, forbid_unknown_fields=True):
+class ExtendReservation(msgspec.Struct, forbid_unknown_fields=True):
     """The body of an extend call, of this binding alone."""
 
     endTime: datetime  # noqa: N815
 
 
-class Create(msgspec.Struct, forbid_unknown_fields=True):
+class CreateReservationSession(msgspec.Struct, forbid_unknown_fields=True):
     """The body of a createReservationSession call."""
 
     sessionName: str  # noqa: N815
 
 
-_request = msgspec.json.Decoder(Request).decode
-_extend = msgspec.json.Decoder(Extend).decode
-_create = msgspec.json.Decoder(Create).decode
+_request = msgspec.json.Decoder(ReservationRequest).decode
+_extend = msgspec.json.Decoder(ExtendReservation).decode
+_create = msgspec.json.Decoder(CreateReservationSession).decode
 
 
-class Reserving:
+class ReservationCalls:
     """The book at work: told of real servers and jobs, it says what is to be kept free."""
 
     def __init__(
         self,
-        settings: Reservations,
-        timers: Timers,
+        settings: ReservationSettings,
+        timers: TimerQueue,
         post: Callable[[Message], None],
         told: Callable[[Reservation, str], None],
         now_us: Callable[[], int],
     ) -> None:
         self.settings, self.post, self.told, self.now_us = settings, post, told, now_us
-        self.book = SlotBook(settings.bounds(), timers, lambda: secrets.token_hex(8), self._changed)
+        self.book = ReservationCalendar(
+            settings.bounds(), timers, lambda: secrets.token_hex(8), self._changed
+        )
         self.sessions: dict[str, str | None] = {DEFAULT: None}  # and whose each is
         self.kept: dict[str, int] = {}  # as the module was told
         self.sizes: dict[str, int] = {}  # slots of each real server, as the operator says
@@ -110,9 +112,9 @@
         found = self.of.get(job)
         if found is None:
             return
-        if job.stage is Stage.PLACED and not job.ended:
+        if job.stage is JobStage.PLACED and not job.ended:
             self.book.use(found, job, job.server, int(job.what.slots), self.now_us())
-        elif job.ended or job.stage in (Stage.PARKED, Stage.WAITING):
+        elif job.ended or job.stage in (JobStage.PARKED, JobStage.WAITING):
             del self.of[job]
             self.book.unuse(found, job, self.now_us())
         self.sync()
@@ -260,7 +262,7 @@
         raise invalid_argument(str(error)) from None
 
 
-def wish_of(template: ReservationTemplate) -> Wish:
+def wish_of(template: ReservationTemplate) -> ReservationSpec:
     """Read a template. Raises ``DrmaaError``."""
     for name in ("jobCategory", "usersACL", "minPhysMemory", "machineOS", "machineArch"):
         if getattr(template, name) is not None:
@@ -274,7 +276,7 @@
     if not 1 <= low <= high <= 1_000_000:
         raise invalid_argument("minSlots and maxSlots")
     start, end = template.startTime, template.endTime
-    return Wish(
+    return ReservationSpec(
         low,
         high,
         0 if start is None else moment("startTime", start),
--- a/merlinbay/drmaa/session_calls.py
+++ b/merlinbay/drmaa/session_calls.py
@@ -7,7 +7,7 @@
 
 from merlinbay.access.grants import Scope
 from merlinbay.batch.errors import DrmaaError, invalid_argument, unsupported
-from merlinbay.batch.jobs import Session
+from merlinbay.batch.jobs import JobSession
 from merlinbay.drmaa import info, schema
 from merlinbay.drmaa.answers import Call, ok
 from merlinbay.drmaa.incoming_call import IncomingCall
@@ -97,14 +97,14 @@
 
     # Sessions.
 
-    def _session(self, incoming: IncomingCall, name: str, opened: bool = True) -> Session:
+    def _session(self, incoming: IncomingCall, name: str, opened: bool = True) -> JobSession:
         """Return a session that the caller may know of."""
         session = self.engine.sessions.get(name)
         if session is not None and not incoming.grant.sees(session.owner):
             raise invalid_argument(f"no session {name!r}", missing=True)  # the words where there is none
         return self.engine.session(name, opened)
 
-    def _own(self, incoming: IncomingCall, name: str) -> Session:
+    def _own(self, incoming: IncomingCall, name: str) -> JobSession:
         """Return a session that the caller may open, close and destroy."""
         incoming.grant.need(Scope.SUBMIT)
         session = self._session(incoming, name, opened=False)
@@ -112,7 +112,7 @@
             incoming.grant.need_all()
         return session
 
-    def _about(self, incoming: IncomingCall, session: Session) -> Response:
+    def _about(self, incoming: IncomingCall, session: JobSession) -> Response:
         found = {**info.session_info(session), "jobCategories": list(self.rules.classes)}
         if session.owner is None and incoming.grant.account is not None:
             # Guards against counting the others' jobs in a session that accounts share.
@@ -150,7 +150,7 @@
         self.front.log.event("session_destroyed", session=name)
         return ok({"sessionName": name})
 
-    def _in_session(self, incoming: IncomingCall, session: Session, parts: list[str]) -> Response | Call:
+    def _in_session(self, incoming: IncomingCall, session: JobSession, parts: list[str]) -> Response | Call:
         """Answer a call in a session: on its jobs, its arrays or its events."""
         if parts[0] in ("events", "listeners"):
             incoming.grant.need(Scope.MONITOR)
--- a/merlinbay/drmaa/settings.py
+++ b/merlinbay/drmaa/settings.py
@@ -7,15 +7,15 @@
 
 import msgspec
 
-from merlinbay.access.settings import Access
+from merlinbay.access.settings import AccessSettings
 from merlinbay.batch.jobs import Backlog
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import BatchLimits
 from merlinbay.drmaa.schema import SessionSettings
 from merlinbay.drmaa.status_polling import PollingLimits
 from merlinbay.limits import ResourceLimits
-from merlinbay.notify.settings import Events
-from merlinbay.reserve.settings import Reservations
+from merlinbay.notify.settings import EventSettings
+from merlinbay.reserve.settings import ReservationSettings
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Number = Annotated[int, msgspec.Meta(ge=0)]
@@ -38,9 +38,9 @@
     rate: Annotated[float, msgspec.Meta(ge=0)] = 0.0  # submissions a second; 0: any
     burst: Count = 100
 
-    def allowance(self) -> Allowance:
+    def allowance(self) -> SessionLimits:
         """Return its bounds."""
-        return Allowance(self.jobs, self.bytes, self.rate, self.burst)
+        return SessionLimits(self.jobs, self.bytes, self.rate, self.burst)
 
     def waits(self) -> Backlog | None:
         """Return its backlog's settings, if it keeps one."""
@@ -75,7 +75,7 @@
     contact: str = ""
 
 
-class Sessions(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class SessionsSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What clients may create."""
 
     create: bool = True
@@ -84,7 +84,7 @@
     limits: SessionSection = msgspec.field(default_factory=lambda: SessionSection(backlog=True))
 
 
-class Drmaa(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class DrmaaSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """The DRMAA front, and schedulers as real servers."""
 
     front: bool = False  # clients may submit by POST /drmaa2/jobs
@@ -101,15 +101,15 @@
     default: SessionSection = msgspec.field(
         default_factory=lambda: SessionSection(jobs=1_000_000, bytes=1 << 40)
     )  # the session of /drmaa2/jobs
-    sessions: Sessions = msgspec.field(default_factory=Sessions)
+    sessions: SessionsSettings = msgspec.field(default_factory=SessionsSettings)
     session: list[NamedSession] = []
-    access: Access = msgspec.field(default_factory=Access)
-    events: Events = msgspec.field(default_factory=Events)
-    reservations: Reservations = msgspec.field(default_factory=Reservations)
+    access: AccessSettings = msgspec.field(default_factory=AccessSettings)
+    events: EventSettings = msgspec.field(default_factory=EventSettings)
+    reservations: ReservationSettings = msgspec.field(default_factory=ReservationSettings)
 
-    def bounds(self, limits: ResourceLimits) -> Bounds:
+    def bounds(self, limits: ResourceLimits) -> BatchLimits:
         """Return what the front keeps at the most."""
-        return Bounds(
+        return BatchLimits(
             sessions=self.sessions.most + len(self.session) + 1,
             jobs=self.jobs,
             array=self.array,
--- a/merlinbay/drmaa/shared_state.py
+++ b/merlinbay/drmaa/shared_state.py
@@ -4,17 +4,17 @@
 
 from typing import Protocol
 
-from merlinbay.batch.engine import Engine
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.jobs import Job
 from merlinbay.clock import Clock
 from merlinbay.core.messages import Message
 from merlinbay.counters import Counters
-from merlinbay.drmaa.reserving import Reserving
-from merlinbay.drmaa.settings import Drmaa
+from merlinbay.drmaa.reserving import ReservationCalls
+from merlinbay.drmaa.settings import DrmaaSettings
 from merlinbay.drmaa.templates import Rules
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.notify.hub import Hub
+from merlinbay.notify.hub import EventHub
 
 
 class SharedState(Protocol):
@@ -24,12 +24,12 @@
     limits: ResourceLimits
     counters: Counters
     log: Log
-    settings: Drmaa
+    settings: DrmaaSettings
     machine: str
     rules: Rules
-    engine: Engine
-    hub: Hub | None
-    reserving: Reserving | None
+    engine: BatchEngine
+    hub: EventHub | None
+    reserving: ReservationCalls | None
 
     def post(self, message: Message) -> None:
         """Send the owner a message, after those that wait already."""
--- a/merlinbay/drmaa/wiring.py
+++ b/merlinbay/drmaa/wiring.py
@@ -13,7 +13,7 @@
 from merlinbay.counters import Counters
 from merlinbay.drmaa.front import DrmaaFront
 from merlinbay.drmaa.servers import DrmaaServers, NotificationHandler
-from merlinbay.drmaa.settings import Drmaa
+from merlinbay.drmaa.settings import DrmaaSettings
 from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.connection import Handler
 from merlinbay.http.pool import ConnectionPool
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from merlinbay.access.tls import Handshakes
-    from merlinbay.access.tokens import Ring, TokenGate
+    from merlinbay.access.tokens import KeyRing, TokenGate
 
 NOTIFICATIONS = "/drmaa2/notifications"
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        settings: Drmaa,
+        settings: DrmaaSettings,
         facts: NodeIdentity,
         inbox: trio.MemorySendChannel[Message],
         clock: Clock,
@@ -84,7 +84,7 @@
             handlers.append(("/drmaa2", self.front))
         return Routes([*handlers, ("/", platform)]) if handlers else platform
 
-    def _keys(self) -> Ring:
+    def _keys(self) -> KeyRing:
         from merlinbay.access.tokens import KeyRingError, load
 
         try:
@@ -93,12 +93,12 @@
             raise ConfigurationError(f"drmaa.access.keys: {error}") from None
 
     def _certificates(self) -> Handshakes:
-        from merlinbay.access.tls import CertificateError, Files, Handshakes
+        from merlinbay.access.tls import CertificateError, CertificateFiles, Handshakes
 
         access = self.settings.access
         try:
             return Handshakes(
-                Files(access.certificate, access.certificate_key, access.client_ca),
+                CertificateFiles(access.certificate, access.certificate_key, access.client_ca),
                 access.handshakes,
                 access.handshake,
                 self.counters,
@@ -163,7 +163,7 @@
 
 
 def wire(
-    settings: Drmaa,
+    settings: DrmaaSettings,
     facts: NodeIdentity,
     inbox: trio.MemorySendChannel[Message],
     clock: Clock,
