--- a/merlinbay/emulator/callers.py
+++ b/merlinbay/emulator/callers.py
@@ -11,9 +11,9 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from merlinbay.emulator.host import Node, Request
+from merlinbay.emulator.host import EmulatedNode, EmulatedRequest
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.spec import ScenarioError, Script, drawn
+from merlinbay.emulator.spec import Scenario, ScenarioError, drawn
 
 BATCH = 2048
 
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Account:
+class ClientOutcomes:
     """What came of the requests, by first tries."""
 
     first_us: list[int] = field(default_factory=list)  # when each was first made,
@@ -96,13 +96,19 @@
     return found
 
 
-class Callers:
+class ClientPopulation:
     """Makes requests, and asks again where that is allowed."""
 
     def __init__(
-        self, script: Script, loop: Loop, nodes: list[Node], rate_per_s: float, mean_us: float, seed: int
+        self,
+        script: Scenario,
+        loop: Loop,
+        nodes: list[EmulatedNode],
+        rate_per_s: float,
+        mean_us: float,
+        seed: int,
     ) -> None:
-        self.script, self.loop, self.nodes, self.account = script, loop, nodes, Account()
+        self.script, self.loop, self.nodes, self.account = script, loop, nodes, ClientOutcomes()
         self.rate, self.mean_us = rate_per_s, mean_us
         self.rng = Random(f"{seed}/callers")
         spec, job = script.callers, script.job
@@ -169,7 +175,7 @@
         key, zipf = "", self.script.load.zipf
         if job.effect == "by_key":
             key = f"k{int(self.keys.zipf(1 + zipf))}" if zipf else f"r{self.number}"
-        request = Request(
+        request = EmulatedRequest(
             self.number,
             max(work_us or self.sizes.next() * self.mean_us, 100.0),
             slots,
@@ -185,7 +191,7 @@
         account.in_time.append(False)
         self._ask(request)
 
-    def _ask(self, request: Request) -> None:
+    def _ask(self, request: EmulatedRequest) -> None:
         if not self.up:
             self._done(request, "lost", 0)
             return
@@ -195,7 +201,7 @@
         else:
             self.loop.at(self.loop.now + 1000, Order.NETWORK, self._done, request, "lost", 0)
 
-    def _front(self, draw: float) -> Node:
+    def _front(self, draw: float) -> EmulatedNode:
         """Return the node that the front layer leads to."""
         if not self.parts:
             return self.up[int(draw * len(self.up))]
@@ -206,7 +212,7 @@
                 return node
         return self.up[-1]
 
-    def _done(self, request: Request, verdict: str, retry_us: int) -> None:
+    def _done(self, request: EmulatedRequest, verdict: str, retry_us: int) -> None:
         account, now = self.account, self.loop.now
         if verdict == "served":
             took, index = now - request.first_us, request.number - 1
@@ -225,7 +231,7 @@
         wait = int(drawn(self.rng, self.script.callers.backoff_ms) * 1000)
         if retry_us and self.rng.random() < self.script.callers.honour:
             wait = min(retry_us, int(self.script.limits.max_retry_after * 1e6))
-        again = Request(
+        again = EmulatedRequest(
             request.number,
             request.work_us,
             request.slots,
@@ -241,16 +247,16 @@
 
     # The front layer.
 
-    def node_died(self, node: Node) -> None:
+    def node_died(self, node: EmulatedNode) -> None:
         """Notice after a while that a node is gone."""
         wait = int(drawn(self.rng, self.script.callers.notice) * 1e6)
         self.loop.at(self.loop.now + wait, Order.CLIENT, self._notice, node, node.life)
 
-    def _notice(self, node: Node, life: int) -> None:
+    def _notice(self, node: EmulatedNode, life: int) -> None:
         if node.life == life and node in self.up:
             self.up.remove(node)
 
-    def node_started(self, node: Node) -> None:
+    def node_started(self, node: EmulatedNode) -> None:
         """Take a node in, once it is ready."""
         if node not in self.up:
             self.up.append(node)
--- a/merlinbay/emulator/checker.py
+++ b/merlinbay/emulator/checker.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
-from merlinbay.emulator.directory import TOLD_US
+from merlinbay.emulator.discovery import TOLD_US
 from merlinbay.emulator.loop import Loop
-from merlinbay.emulator.servers import Server, Work
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.servers import EmulatedAttempt, EmulatedServer
+from merlinbay.emulator.spec import Scenario
 
 PUSH_US = 100_000
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class CheckedAttempt:
     """One attempt as the checker saw it."""
 
     server: str
@@ -34,16 +34,16 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class CheckedRequest:
     """One request at a node."""
 
     deadline_us: int
-    tries: list[Try] = field(default_factory=list)
+    tries: list[CheckedAttempt] = field(default_factory=list)
     answered: bool = False
 
 
 @dataclass(slots=True)
-class Asking:
+class DiscoveryStanding:
     """How a node stands with discovery."""
 
     heard_us: int  # when it knew all that the list said
@@ -52,17 +52,17 @@
     moved_us: float = math.inf  # from when on all counts as told since it was sent to another discovery
 
 
-class Checker:
+class RuleChecker:
     """Sees everything, and raises ``RuleViolationError``."""
 
-    def __init__(self, script: Script, loop: Loop) -> None:
+    def __init__(self, script: Scenario, loop: Loop) -> None:
         self.script, self.loop = script, loop
         self.grace_us = int(script.limits.drain_grace * 1e6)
         self.slack_us = int(script.limits.answer_slack_ms * 1000)
-        self.asked: dict[tuple[int, int], Asked] = {}
+        self.asked: dict[tuple[int, int], CheckedRequest] = {}
         self.gone: dict[tuple[int, str], int] = {}  # by node and server: since when it is known to be gone
         self.listings: dict[str, list[tuple[int, bool]]] = {}  # by server: when, and whether it is gone
-        self.asking: dict[int, Asking] = {}
+        self.asking: dict[int, DiscoveryStanding] = {}
         self.told_us = min(int(script.discovery.ask_in * 1e6) or TOLD_US, TOLD_US)
         self.down_us: list[list[float]] = []  # when discovery was down, from and until
         self.told_start: dict[tuple[int, str], int] = {}  # the start that a node was told of
@@ -80,7 +80,7 @@
     def arrived(self, node: int, job: int, deadline_us: int) -> None:
         """Take it that a node has a request."""
         self.events += 1
-        self.asked[node, job] = Asked(deadline_us)
+        self.asked[node, job] = CheckedRequest(deadline_us)
 
     def listed(self, node: int, server: str, state: str, start_us: int) -> None:
         """Take it that a node was told of a server's state."""
@@ -91,7 +91,7 @@
         else:
             self.gone.setdefault((node, server), self.loop.now)
 
-    def sent(self, node: int, job: int, server: Server) -> None:
+    def sent(self, node: int, job: int, server: EmulatedServer) -> None:
         """Take it that a node sends an attempt."""
         self.events += 1
         now, asked = self.loop.now, self.asked.get((node, job))
@@ -103,14 +103,14 @@
             past = (now - since) / 1000
             self._fail(3, f"node {node} sends to {server.name}, {past:.0f} ms after it was told")
         self._repeat(node, job, asked, server)
-        asked.tries.append(Try(server.name, server.cell, server.zone, now))
+        asked.tries.append(CheckedAttempt(server.name, server.cell, server.zone, now))
 
     # How nodes stand with discovery: who has not asked counts as told all the same.
 
     def node_started(self, node: int, stale: bool) -> None:
         """Take it that a node starts, with the list as it is or, ``stale``, as it remembers it."""
         now, known = self.loop.now, self.asking.get(node)
-        self.asking[node] = Asking(known.heard_us if stale and known is not None else now, now)
+        self.asking[node] = DiscoveryStanding(known.heard_us if stale and known is not None else now, now)
 
     def list_moved(self, node: int, told_us: int) -> None:
         """Take it that a node is sent to another discovery, which counts as told after so long."""
@@ -122,7 +122,7 @@
     def list_answered(self, node: int, failed: bool) -> None:
         """Take it that its call was answered, or failed: that gives no more time."""
         if not failed and node in self.asking:
-            self.asking[node] = Asking(self.loop.now, watching=True)
+            self.asking[node] = DiscoveryStanding(self.loop.now, watching=True)
 
     def list_closed(self, node: int) -> None:
         """Take it that its watch was closed."""
@@ -160,7 +160,7 @@
                 found = None if not gone else int(told) if found is None else found
         return found
 
-    def _repeat(self, node: int, job: int, asked: Asked, server: Server) -> None:
+    def _repeat(self, node: int, job: int, asked: CheckedRequest, server: EmulatedServer) -> None:
         spec, now = self.script.job, self.loop.now
         open_ones = [found for found in asked.tries if found.outcome is None]
         if len(asked.tries) >= self.script.limits.send_cap:
@@ -221,7 +221,7 @@
 
     # What servers see.
 
-    def reached(self, server: Server, node: int, work_us: float) -> None:
+    def reached(self, server: EmulatedServer, node: int, work_us: float) -> None:
         """Take it that work has come to a server: a cold one may fall over."""
         self.events += 1
         self._push(server.name)
@@ -267,6 +267,6 @@
                 return count
         return 0
 
-    def ran(self, work: Work, server: Server) -> None:
+    def ran(self, work: EmulatedAttempt, server: EmulatedServer) -> None:
         """Take it that a job has started."""
         self.events += 1
--- a/merlinbay/emulator/directory.py
+++ b/merlinbay/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a list that is seconds late, and tells a node what has changed since it asked last."""
+"""DiscoveryProfile: a list that is seconds late, and tells a node what has changed since it asked last."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from merlinbay.decision.events import CallFailure, EndpointEntry, EndpointsChanged
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.servers import Server
-from merlinbay.emulator.spec import Discovery, drawn
+from merlinbay.emulator.servers import EmulatedServer
+from merlinbay.emulator.spec import DiscoveryProfile, drawn
 
 Told = Callable[[EndpointsChanged], None]
 
@@ -20,7 +20,7 @@
 TOLD_US = 6_000_000  # so long after it is listed and can be asked for, a change counts as told
 
 
-class Watcher(Protocol):
+class ListObserver(Protocol):
     """Who wants to know when nodes ask, and what is listed."""
 
     def list_moved(self, node: int, told_us: int) -> None:
@@ -42,10 +42,10 @@
         """Take it that the list says something new of a server."""
 
 
-class Directory:
+class EmulatedDiscovery:
     """The list, as it is published."""
 
-    def __init__(self, spec: Discovery, loop: Loop, rng: Random) -> None:
+    def __init__(self, spec: DiscoveryProfile, loop: Loop, rng: Random) -> None:
         self.spec, self.loop, self.rng = spec, loop, rng
         self.rows: dict[str, EndpointEntry] = {}
         self.watchers: dict[int, Told] = {}
@@ -56,9 +56,9 @@
         self.watching_since: dict[
             int, int
         ] = {}  # by node: how many moves there had been when its watch began
-        self.watcher: Watcher | None = None
+        self.watcher: ListObserver | None = None
 
-    def publish(self, server: Server, state: str, late: bool = True) -> None:
+    def publish(self, server: EmulatedServer, state: str, late: bool = True) -> None:
         """Publish a server's state after a while."""
         entry = EndpointEntry(
             server.name, server.zone, server.kind.name, server.cell, state, 1.0, server.ready_us
--- a/merlinbay/emulator/troubles.py
+++ b/merlinbay/emulator/faults.py
@@ -9,35 +9,35 @@
 from random import Random
 from typing import Protocol, TypeVar
 
-from merlinbay.emulator.callers import Callers
-from merlinbay.emulator.directory import Directory
-from merlinbay.emulator.host import Node
+from merlinbay.emulator.callers import ClientPopulation
+from merlinbay.emulator.discovery import EmulatedDiscovery
+from merlinbay.emulator.host import EmulatedNode
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.network import Network
-from merlinbay.emulator.servers import Server
-from merlinbay.emulator.spec import Trouble, drawn
+from merlinbay.emulator.network import EmulatedNetwork
+from merlinbay.emulator.servers import EmulatedServer
+from merlinbay.emulator.spec import FaultSpec, drawn
 
 T = TypeVar("T")
 DRAIN_S = 1.5  # of a deploy: a drain, and then the process goes
 
 
-class Stage(Protocol):
+class FaultTargets(Protocol):
     """What faults may touch of a day."""
 
     loop: Loop
-    net: Network
-    directory: Directory
-    servers: dict[str, Server]
-    nodes: list[Node]
-    callers: Callers
+    net: EmulatedNetwork
+    directory: EmulatedDiscovery
+    servers: dict[str, EmulatedServer]
+    nodes: list[EmulatedNode]
+    callers: ClientPopulation
 
-    def crash(self, server: Server) -> None:
+    def crash(self, server: EmulatedServer) -> None:
         """Have a server die."""
 
-    def bring_back(self, server: Server) -> None:
+    def bring_back(self, server: EmulatedServer) -> None:
         """Have it start again, cold."""
 
-    def replace(self, server: Server, drain_us: int) -> None:
+    def replace(self, server: EmulatedServer, drain_us: int) -> None:
         """Have it drain, and another come in its place."""
 
     def node_dies(self, number: int) -> None:
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class FaultMark:
     """One fault, for reports."""
 
     at_us: int
@@ -60,7 +60,7 @@
     about: str
 
 
-def set_up(day: Stage, trouble: Trouble, rng: Random) -> Mark:
+def set_up(day: FaultTargets, trouble: FaultSpec, rng: Random) -> FaultMark:
     """Schedule a fault of a day; return what it is and when."""
     return FaultScheduler(day, trouble, rng).schedule()
 
@@ -71,7 +71,7 @@
     The order of the draws is part of a day's seed: times, then servers, then what the fault needs itself.
     """
 
-    def __init__(self, day: Stage, trouble: Trouble, rng: Random) -> None:
+    def __init__(self, day: FaultTargets, trouble: FaultSpec, rng: Random) -> None:
         self.day, self.trouble, self.rng = day, trouble, rng
         self.token = object()  # marks this fault's entry in tables that several faults share
         self.start_us = int(drawn(rng, trouble.at) * 1e6)
@@ -100,12 +100,12 @@
             "discovery_moves": self._discovery_moves,
         }
 
-    def schedule(self) -> Mark:
+    def schedule(self) -> FaultMark:
         """Schedule the fault's steps."""
         self.handlers[self.trouble.what]()
-        return Mark(self.start_us, self.end_us, self.trouble.what, self.about)
+        return FaultMark(self.start_us, self.end_us, self.trouble.what, self.about)
 
-    def _named_servers(self) -> list[Server]:
+    def _named_servers(self) -> list[EmulatedServer]:
         return [self.day.servers[name] for name in self.trouble.servers]
 
     def _drawn_factor(self) -> float:
@@ -130,7 +130,7 @@
             factor = 1 - min(self._drawn_factor(), 0.99)
             self._slow_between(server, factor, on_and_off(self.start_us, self.end_us, self.rng))
 
-    def _slow_between(self, server: Server, factor: float, spans: list[tuple[int, int]]) -> None:
+    def _slow_between(self, server: EmulatedServer, factor: float, spans: list[tuple[int, int]]) -> None:
         for begin_us, finish_us in spans:
             self._at(begin_us, slow, server, self.token, factor)
             self._at(finish_us, slow, server, self.token, 0.0)
@@ -228,7 +228,7 @@
                 self._at(begin_us + down_us, self.day.node_starts, number)
 
 
-def server_names(servers: list[Server]) -> str:
+def server_names(servers: list[EmulatedServer]) -> str:
     """Return the names of servers, for reports."""
     return ", ".join(server.name for server in servers)
 
@@ -244,7 +244,7 @@
     return partial(table.__setitem__, token, value), out
 
 
-def set_clock(node: Node, by_us: int) -> None:
+def set_clock(node: EmulatedNode, by_us: int) -> None:
     """Have a node's clock be off by so much."""
     node.shift_us = by_us
 
@@ -265,7 +265,7 @@
     return found
 
 
-def slow(server: Server, token: object, factor: float) -> None:
+def slow(server: EmulatedServer, token: object, factor: float) -> None:
     """Slow a server down, or (0) let it go on as before."""
 
     def change() -> None:
--- a/merlinbay/emulator/gate.py
+++ b/merlinbay/emulator/gate.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from merlinbay.emulator import spec
-from merlinbay.emulator.play import Result, play
+from merlinbay.emulator.simulation import SimulationResult, play
 
 DAYS = ["fleet-calm", "fleet-roll", "fleet-herd", "fleet-zone", "fleet-split", "fleet-join", "fleet-silent"]
 CALM = "fleet-calm"
@@ -25,10 +25,10 @@
     """One day, by the module and by what it is held against."""
 
     name: str
-    module: Result
-    random: Result
-    late: Result
-    oracle: Result
+    module: SimulationResult
+    random: SimulationResult
+    late: SimulationResult
+    oracle: SimulationResult
 
     @property
     def wanted(self) -> float:
@@ -56,7 +56,7 @@
         return ""
 
 
-def script(name: str, nodes: int = 0, servers: int = 0, seconds: float = 0) -> spec.Script:
+def script(name: str, nodes: int = 0, servers: int = 0, seconds: float = 0) -> spec.Scenario:
     """Return a day, at another size if that is asked for. Raises ``BadScript``."""
     day = spec.load(name)
     hall = msgspec.structs.replace(
@@ -71,13 +71,13 @@
     return day
 
 
-def one(asked: tuple[str, str, int, int, int, float]) -> Result:
+def one(asked: tuple[str, str, int, int, int, float]) -> SimulationResult:
     """Play a day by one policy: name, policy, seed, nodes, servers, seconds (0: as the script says)."""
     name, policy, seed, nodes, servers, seconds = asked
     return play(script(name, nodes, servers, seconds), seed, policy)
 
 
-def together(results: list[Result]) -> list[Played]:
+def together(results: list[SimulationResult]) -> list[Played]:
     """Put the plays of each day together, in the order of the days."""
     by = {(result.script, result.policy): result for result in results}
     names = dict.fromkeys(result.script for result in results)
--- a/merlinbay/emulator/host.py
+++ b/merlinbay/emulator/host.py
@@ -20,18 +20,18 @@
     TimerFired,
 )
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
-from merlinbay.emulator.checker import Checker
-from merlinbay.emulator.directory import Directory
+from merlinbay.emulator.checker import RuleChecker
+from merlinbay.emulator.discovery import EmulatedDiscovery
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.network import Network
-from merlinbay.emulator.servers import Server, Work
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.network import EmulatedNetwork
+from merlinbay.emulator.servers import EmulatedAttempt, EmulatedServer
+from merlinbay.emulator.spec import Scenario
 
 AGAIN_US = 100_000  # after a call that failed, what is compared with the module calls again
 MARGIN_US = 20_000  # a request is given up so long before its client gives it up
 
 
-class Policy(Protocol):
+class BalancingPolicy(Protocol):
     """What decides: the module, or something to compare it with."""
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Request:
+class EmulatedRequest:
     """A client's request, one try of it."""
 
     number: int
@@ -50,41 +50,43 @@
     first_us: int  # when its first try was made
     deadline_us: int  # of this try
     tries: int = 0
-    done: Callable[[Request, str, int], None] | None = None  # "served", "refused", ...; when to come back
+    done: Callable[[EmulatedRequest, str, int], None] | None = (
+        None  # "served", "refused", ...; when to come back
+    )
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
+class RequestInFlight:
     """A request at a node."""
 
-    request: Request
+    request: EmulatedRequest
     job: int
     done: bool = False
-    works: list[Work] = field(default_factory=list)
-    servers: list[Server] = field(default_factory=list)
+    works: list[EmulatedAttempt] = field(default_factory=list)
+    servers: list[EmulatedServer] = field(default_factory=list)
     sent_us: list[int] = field(default_factory=list)
     open: set[int] = field(default_factory=set)
     started: set[int] = field(default_factory=set)
 
 
-class Node:
+class EmulatedNode:
     """One node."""
 
     def __init__(
         self,
         number: int,
-        script: Script,
+        script: Scenario,
         loop: Loop,
-        net: Network,
-        directory: Directory,
-        servers: dict[str, Server],
-        checker: Checker,
+        net: EmulatedNetwork,
+        directory: EmulatedDiscovery,
+        servers: dict[str, EmulatedServer],
+        checker: RuleChecker,
     ) -> None:
         self.number, self.script, self.loop, self.net = number, script, loop, net
         self.directory, self.servers, self.checker = directory, servers, checker
-        self.policy: Policy | None = None
+        self.policy: BalancingPolicy | None = None
         self.life = 0  # counts its starts: what belongs to an earlier one is void
-        self.flights: dict[int, Flight] = {}
+        self.flights: dict[int, RequestInFlight] = {}
         self.jobs = 0
         self.connections: dict[str, list[int]] = {}  # by server: when idle ones were used last
         self.keep_us = int(script.hall.keep_alive * 0.7e6)
@@ -98,7 +100,7 @@
         """Tell whether it runs."""
         return self.policy is not None
 
-    def start(self, policy: Policy) -> None:
+    def start(self, policy: BalancingPolicy) -> None:
         """Start, with the list as it remembers it."""
         self.life += 1
         self.policy, self.flights, self.connections = policy, {}, {}
@@ -172,10 +174,10 @@
         if self.alive:
             self._handle([DiscoveryChanged(told_us)])
 
-    def take(self, request: Request) -> None:
+    def take(self, request: EmulatedRequest) -> None:
         """Take a request."""
         self.jobs += 1
-        flight = self.flights[self.jobs] = Flight(request, self.jobs)
+        flight = self.flights[self.jobs] = RequestInFlight(request, self.jobs)
         self.checker.arrived(self.number, flight.job, request.deadline_us)
         margin = min(MARGIN_US, (request.deadline_us - self.loop.now) // 2)
         self.loop.at(request.deadline_us - margin, Order.GIVE_UP, self._late, self.life, flight)
@@ -186,7 +188,7 @@
         arrived.returned = request.tries > 0
         self._handle([arrived])
 
-    def _late(self, life: int, flight: Flight) -> None:
+    def _late(self, life: int, flight: RequestInFlight) -> None:
         """Give a request up: its attempts end as timed out, and the module answers."""
         if life != self.life or flight.done:
             return
@@ -231,7 +233,7 @@
         if flight is None:
             return
         number, request = len(flight.works), flight.request
-        work = Work(
+        work = EmulatedAttempt(
             self.number,
             flight.job,
             number,
@@ -261,12 +263,12 @@
             there = self.loop.now + wait + self.net.one_way()
             self.loop.at(there, Order.NETWORK, self._arrive, self.life, flight, number)
 
-    def _unsent(self, flight: Flight, number: int, due_us: int) -> None:
+    def _unsent(self, flight: RequestInFlight, number: int, due_us: int) -> None:
         self.loop.at(
             due_us, Order.NETWORK, self._back, self.life, flight, number, Outcome.CONNECT_FAILED, None
         )
 
-    def _connect(self, server: Server) -> int:
+    def _connect(self, server: EmulatedServer) -> int:
         """Return what a connection costs in time: none if one is idle; below 0: there is none to be had."""
         now, idle = self.loop.now, self.connections.setdefault(server.name, [])
         while idle:
@@ -277,7 +279,7 @@
         self.dials += 1
         return int(self.handshake_us / max(server.rate, 0.05)) + 2 * self.net.delay_us
 
-    def _arrive(self, life: int, flight: Flight, number: int) -> None:
+    def _arrive(self, life: int, flight: RequestInFlight, number: int) -> None:
         server, work = flight.servers[number], flight.works[number]
         if life != self.life or number not in flight.open:
             return
@@ -288,10 +290,12 @@
             report = server.report()
             self.net.send(self.number, server.name, self._back, life, flight, number, outcome, report)
 
-    def _told(self, flight: Flight, server: Server) -> Callable[[Work, str, Outcome | None], None]:
+    def _told(
+        self, flight: RequestInFlight, server: EmulatedServer
+    ) -> Callable[[EmulatedAttempt, str, Outcome | None], None]:
         life = self.life
 
-        def told(work: Work, what: str, outcome: Outcome | None) -> None:
+        def told(work: EmulatedAttempt, what: str, outcome: Outcome | None) -> None:
             if what == "started":
                 self.net.send(self.number, server.name, self._started, life, flight, work.attempt)
             else:
@@ -302,13 +306,13 @@
 
         return told
 
-    def _started(self, life: int, flight: Flight, number: int) -> None:
+    def _started(self, life: int, flight: RequestInFlight, number: int) -> None:
         if life == self.life and number in flight.open:
             flight.started.add(number)
             self._handle([ExecutionStarted(flight.job, number)])
 
     def _back(
-        self, life: int, flight: Flight, number: int, outcome: Outcome, report: list[object] | None
+        self, life: int, flight: RequestInFlight, number: int, outcome: Outcome, report: list[object] | None
     ) -> None:
         """Take how an attempt ended; the first success answers."""
         if life != self.life or number not in flight.open:
@@ -320,7 +324,7 @@
         self._handle([self._over(flight, number, outcome, report)])
 
     def _over(
-        self, flight: Flight, number: int, outcome: Outcome, report: list[object] | None = None
+        self, flight: RequestInFlight, number: int, outcome: Outcome, report: list[object] | None = None
     ) -> AttemptEnded:
         flight.open.discard(number)
         self.checker.ended(self.number, flight.job, number, outcome)
@@ -336,11 +340,11 @@
             flight.servers[number].name,
         )
 
-    def _give_up(self, flight: Flight, number: int) -> None:
+    def _give_up(self, flight: RequestInFlight, number: int) -> None:
         server = flight.servers[number]
         self.net.send(self.number, server.name, server.cancel, flight.works[number])
 
-    def _answer(self, flight: Flight, verdict: str, retry_us: int) -> None:
+    def _answer(self, flight: RequestInFlight, verdict: str, retry_us: int) -> None:
         flight.done = True
         self.checker.answered(self.number, flight.job, verdict)
         if not flight.open:
--- a/merlinbay/emulator/live.py
+++ b/merlinbay/emulator/live.py
@@ -23,13 +23,13 @@
 from merlinbay.emulator.bad_clients import BAD_REQUESTS, bad_client
 from merlinbay.emulator.call_backs import CallBackSender
 from merlinbay.emulator.checker import RuleViolationError
-from merlinbay.emulator.host import Request as Asked
+from merlinbay.emulator.host import EmulatedRequest as Asked
 from merlinbay.emulator.live_loop import LiveLoop
 from merlinbay.emulator.loop import Loop
 from merlinbay.emulator.node_process import HOST, LIMITS, settings_json, start_node
-from merlinbay.emulator.play import Day, Result
-from merlinbay.emulator.servers import Server, Work
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.servers import EmulatedAttempt, EmulatedServer
+from merlinbay.emulator.simulation import DaySimulation, SimulationResult
+from merlinbay.emulator.spec import Scenario
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.server import Listener
@@ -41,9 +41,9 @@
 class LiveServer:
     """One real server of the model, on a socket."""
 
-    def __init__(self, live: Live, model: Server) -> None:
+    def __init__(self, live: Live, model: EmulatedServer) -> None:
         self.live, self.model = live, model
-        self.works: dict[str, Work] = {}
+        self.works: dict[str, EmulatedAttempt] = {}
         self.listener: Listener | None = None
         self.scope = trio.CancelScope()
         self.addr = ""
@@ -67,7 +67,7 @@
         checker = self.live.checker
         checker.sent(node, self.live.jobs[name], model)
         number = len(checker.asked[node, self.live.jobs[name]].tries) - 1
-        work = Work(
+        work = EmulatedAttempt(
             node,
             self.live.jobs[name],
             number,
@@ -109,7 +109,7 @@
         ]
 
     def _told(self, name: str, node: int) -> Any:
-        def told(work: Work, what: str, outcome: Outcome | None) -> None:
+        def told(work: EmulatedAttempt, what: str, outcome: Outcome | None) -> None:
             event: dict[str, Any] = {"id": name, "from": self.model.name, "state": what}
             if outcome is not None:
                 self.works.pop(name, None)
@@ -269,10 +269,10 @@
             asked.done(asked, verdict, retry_us)
 
 
-class Live(Day):
+class Live(DaySimulation):
     """A day played by the real program."""
 
-    def __init__(self, script: Script, seed: int, command: list[str] | None = None) -> None:
+    def __init__(self, script: Scenario, seed: int, command: list[str] | None = None) -> None:
         self.command = command or [sys.executable, "-B", "-m", "merlinbay"]
         self.requests: dict[str, tuple[int, Asked]] = {}
         self.jobs: dict[str, int] = {}
@@ -314,7 +314,7 @@
         for number in range(self.script.hall.nodes):
             self.checker.listed(number, row["id"], state, self.servers[row["id"]].ready_us)
 
-    async def live(self) -> Result:
+    async def live(self) -> SimulationResult:
         """Play it."""
         assert isinstance(self.loop, LiveLoop)
         broken = ""
@@ -383,6 +383,6 @@
         return broken
 
 
-def play_live(script: Script, seed: int) -> Result:
+def play_live(script: Scenario, seed: int) -> SimulationResult:
     """Play a day by the real program."""
     return trio.run(Live(script, seed).live)
--- a/merlinbay/emulator/network.py
+++ b/merlinbay/emulator/network.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.spec import Net, drawn
+from merlinbay.emulator.spec import NetworkProfile, drawn
 
 
-class Network:
+class EmulatedNetwork:
     """Carries messages; those over a cut link wait until it heals."""
 
-    def __init__(self, net: Net, loop: Loop, rng: Random) -> None:
+    def __init__(self, net: NetworkProfile, loop: Loop, rng: Random) -> None:
         self.net, self.loop, self.rng = net, loop, rng
         self.delay_us = max(int(drawn(rng, net.delay_ms) * 1000), 1)
         self.cut: dict[tuple[int, str], int] = {}  # by node and server: how many troubles cut it
--- a/merlinbay/emulator/node_process.py
+++ b/merlinbay/emulator/node_process.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.spec import Scenario
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from merlinbay.limits import ResourceLimits
 
@@ -27,7 +27,7 @@
 READY_POLL_S = 0.05
 
 
-def settings_json(script: Script, me: int) -> dict[str, Any]:
+def settings_json(script: Scenario, me: int) -> dict[str, Any]:
     """Return the settings of a node's configuration file (WIRE, 12)."""
     job, hall, limits = script.job, script.hall, script.limits
     return {
--- a/merlinbay/emulator/policies.py
+++ b/merlinbay/emulator/policies.py
@@ -10,12 +10,12 @@
 from merlinbay.decision.events import AttemptEnded, EndpointsChanged, Event, RequestReceived
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings
-from merlinbay.emulator.host import Policy
-from merlinbay.emulator.servers import Server
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.host import BalancingPolicy
+from merlinbay.emulator.servers import EmulatedServer
+from merlinbay.emulator.spec import Scenario
 
 
-def settings_of(script: Script, me: int = 0) -> Settings:
+def settings_of(script: Scenario, me: int = 0) -> Settings:
     """Return what a node is told at its start."""
     job, hall, limits = script.job, script.hall, script.limits
     fields = ["err_rps", "active", "x0", "x1"] if script.reports.on else []
@@ -65,7 +65,7 @@
 class Simple:
     """One attempt at a server that ``choose`` picks; what never ran goes elsewhere, the rest fails."""
 
-    def __init__(self, script: Script, rng: Random, servers: dict[str, Server]) -> None:
+    def __init__(self, script: Scenario, rng: Random, servers: dict[str, EmulatedServer]) -> None:
         self.script, self.rng, self.servers = script, rng, servers
         self.up: list[str] = []
         self.held: dict[str, int] = {}
@@ -185,7 +185,7 @@
 
     STALE_US = 1_000_000
 
-    def __init__(self, script: Script, rng: Random, servers: dict[str, Server]) -> None:
+    def __init__(self, script: Scenario, rng: Random, servers: dict[str, EmulatedServer]) -> None:
         super().__init__(script, rng, servers)
         self.seen_us, self.room = -self.STALE_US, dict[str, float]()
 
@@ -209,7 +209,7 @@
         return name
 
 
-Maker = Callable[[Script, int, int, int, dict[str, Server]], Policy]
+Maker = Callable[[Scenario, int, int, int, dict[str, EmulatedServer]], BalancingPolicy]
 SIMPLE: dict[str, type[Simple]] = {
     "random": RandomChoice,
     "least": LeastOutstanding,
@@ -221,7 +221,9 @@
 NAMES = ["module", *SIMPLE]
 
 
-def make(name: str, script: Script, node: int, seed: int, now_us: int, servers: dict[str, Server]) -> Policy:
+def make(
+    name: str, script: Scenario, node: int, seed: int, now_us: int, servers: dict[str, EmulatedServer]
+) -> BalancingPolicy:
     """Make a node's policy."""
     if name == "module":
         return Balancer(settings_of(script, node), seed, now_us)
--- a/merlinbay/emulator/record.py
+++ b/merlinbay/emulator/record.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 
 from merlinbay.emulator.loop import Order
-from merlinbay.emulator.play import Day
+from merlinbay.emulator.simulation import DaySimulation
 
 STEP_US = 250_000
 
 
 @dataclass
-class Record:
+class SimulationSamples:
     """Samples of a day."""
 
     at_s: list[float] = field(default_factory=list)
@@ -24,9 +24,9 @@
     free: list[float] = field(default_factory=list)  # share of the slots that are free
 
 
-def watch(day: Day) -> Record:
+def watch(day: DaySimulation) -> SimulationSamples:
     """Have a day recorded while it is played."""
-    record = Record()
+    record = SimulationSamples()
 
     def look() -> None:
         record.at_s.append(day.loop.now / 1e6)
--- a/merlinbay/emulator/servers.py
+++ b/merlinbay/emulator/servers.py
@@ -1,6 +1,7 @@
 """The model of one real server: slots, memory, an ordered queue, cold starts, and what goes wrong. No I/O.
 
-Work is measured in microseconds of the yardstick. A server does ``speed`` of it a microsecond in each slot,
+EmulatedAttempt is measured in microseconds of the yardstick. A server does ``speed`` of it a microsecond in
+each slot,
 less while it is cold, slowed, crowded or shares its machine. Where that changes, what is left of each running
 job is counted anew.
 """
@@ -15,14 +16,14 @@
 
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.spec import Hall, Kind, Reports, drawn
+from merlinbay.emulator.spec import MachineKind, ReportProfile, ServerPool, drawn
 
 WARM_STEPS = 18  # of a cold start: the speed rises in steps
 MEMORY_SLACK = 1e-9
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class EmulatedAttempt:
     """A job at a server: one attempt."""
 
     node: int
@@ -32,7 +33,7 @@
     slots: int
     memory: float
     key: str
-    told: Callable[[Work, str, Outcome | None], None]  # "started", or "ended" with how
+    told: Callable[[EmulatedAttempt, str, Outcome | None], None]  # "started", or "ended" with how
     arrived: bool = False
     arrived_us: int = 0
     started_us: int = 0
@@ -44,13 +45,13 @@
     doomed: bool = False  # it will fail, fast
 
 
-class Judge(Protocol):
+class ServerObserver(Protocol):
     """Sees what happens at servers; the rules' checker."""
 
-    def reached(self, server: Server, node: int, work_us: float) -> None:
+    def reached(self, server: EmulatedServer, node: int, work_us: float) -> None:
         """Take it that work has come to a server."""
 
-    def ran(self, work: Work, server: Server) -> None:
+    def ran(self, work: EmulatedAttempt, server: EmulatedServer) -> None:
         """Take it that a job has started."""
 
 
@@ -75,22 +76,22 @@
         return False
 
 
-class Server:
+class EmulatedServer:
     """One real server."""
 
     def __init__(
         self,
         name: str,
-        kind: Kind,
+        kind: MachineKind,
         speed: float,
         cell: int,
         zone: str,
-        hall: Hall,
-        reports: Reports,
+        hall: ServerPool,
+        reports: ReportProfile,
         rack: Rack,
         loop: Loop,
         rng: Random,
-        judge: Judge,
+        judge: ServerObserver,
     ) -> None:
         self.name, self.kind, self.base, self.cell, self.zone = name, kind, speed, cell, zone
         self.hall, self.reports, self.rack = hall, reports, rack
@@ -98,8 +99,8 @@
         self.state = "up"  # up | draining | down
         self.ready_us = 0  # its last start; 0: long ago
         self.free, self.memory = kind.slots, kind.memory
-        self.running: dict[Work, None] = {}
-        self.waiting: deque[Work] = deque()
+        self.running: dict[EmulatedAttempt, None] = {}
+        self.waiting: deque[EmulatedAttempt] = deque()
         self.slow: dict[object, float] = {}  # factors on its speed, by trouble
         self.failing: dict[object, float] = {}  # shares of requests that fail
         self.frozen: dict[object, float] = {}  # seconds that its reports are late; inf: they stand still
@@ -149,7 +150,7 @@
             work.left -= (now - work.since_us) * self.rate
             work.since_us = now
 
-    def _foresee(self, work: Work, now: int) -> None:
+    def _foresee(self, work: EmulatedAttempt, now: int) -> None:
         self.loop.at(now + max(round(work.left / self.rate), 1), Order.SERVER, self._done, work, work.version)
 
     def with_speed(self, change: Callable[[], None]) -> None:
@@ -178,7 +179,7 @@
 
     # Jobs.
 
-    def take(self, work: Work) -> Outcome | None:
+    def take(self, work: EmulatedAttempt) -> Outcome | None:
         """Take a job; None: it was taken, and ``told`` says more."""
         if self.state == "down":
             return Outcome.RESET
@@ -198,7 +199,7 @@
         self._serve()
         return None
 
-    def _fits(self, work: Work) -> bool:
+    def _fits(self, work: EmulatedAttempt) -> bool:
         return self.free >= work.slots and self.memory + MEMORY_SLACK >= work.memory
 
     def _serve(self) -> None:
@@ -216,7 +217,7 @@
                 waiting.remove(work)
                 self._begin(work)
 
-    def _begin(self, work: Work) -> None:
+    def _begin(self, work: EmulatedAttempt) -> None:
         now = self.loop.now
         if self.rack.repeats(work.key, now):
             # The rack has begun, or done, this key's job: it is handed back unseen.
@@ -236,13 +237,13 @@
             self._foresee(work, now)
         work.told(work, "started", None)
 
-    def _done(self, work: Work, version: int) -> None:
+    def _done(self, work: EmulatedAttempt, version: int) -> None:
         if version == work.version and work.running:
             self._stop(work)
             self._end(work, Outcome.OK)
             self._serve()
 
-    def _stop(self, work: Work) -> None:
+    def _stop(self, work: EmulatedAttempt) -> None:
         """Take a running job off its slots."""
         if self.hall.crowd:
             self._settle()
@@ -255,11 +256,11 @@
         if self.hall.crowd:
             self.changed()
 
-    def _end(self, work: Work, outcome: Outcome) -> None:
+    def _end(self, work: EmulatedAttempt, outcome: Outcome) -> None:
         work.ended = True
         work.told(work, "ended", outcome)
 
-    def cancel(self, work: Work) -> None:
+    def cancel(self, work: EmulatedAttempt) -> None:
         """Give a job up: what waits goes, what runs goes if cancels stop that."""
         if work.ended or not work.arrived:  # Guards against a cancel that overtakes what it is about.
             work.ended = True
@@ -298,7 +299,7 @@
             work.running = False
             self._end(work, Outcome.RESET)
 
-    # Reports.
+    # ReportProfile.
 
     def report(self) -> list[object] | None:
         """Return the load report that goes with an answer: refreshed now and then, noisy, and maybe late."""
--- a/merlinbay/emulator/play.py
+++ b/merlinbay/emulator/simulation.py
@@ -6,22 +6,22 @@
 from random import Random
 from typing import Any
 
-from merlinbay.emulator import policies, troubles
-from merlinbay.emulator.callers import Callers
-from merlinbay.emulator.checker import Checker, RuleViolationError
-from merlinbay.emulator.directory import Directory
-from merlinbay.emulator.host import Node, Policy
+from merlinbay.emulator import faults, policies
+from merlinbay.emulator.callers import ClientPopulation
+from merlinbay.emulator.checker import RuleChecker, RuleViolationError
+from merlinbay.emulator.discovery import EmulatedDiscovery
+from merlinbay.emulator.faults import FaultMark
+from merlinbay.emulator.host import BalancingPolicy, EmulatedNode
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.network import Network
-from merlinbay.emulator.servers import Rack, Server
-from merlinbay.emulator.spec import Kind, Script, drawn
-from merlinbay.emulator.troubles import Mark
+from merlinbay.emulator.network import EmulatedNetwork
+from merlinbay.emulator.servers import EmulatedServer, Rack
+from merlinbay.emulator.spec import MachineKind, Scenario, drawn
 
 WHOLE, WORST = 0.85, 0.15  # parts of a day's figure
 
 
 @dataclass(frozen=True)
-class Result:
+class SimulationResult:
     """How a day went."""
 
     script: str
@@ -51,24 +51,24 @@
         return 0.0 if self.broken else WHOLE * self.in_time + WORST * self.worst
 
 
-class Day:
+class DaySimulation:
     """A hall, its nodes and callers, and what goes wrong."""
 
-    def __init__(self, script: Script, seed: int, policy: str = "module") -> None:
+    def __init__(self, script: Scenario, seed: int, policy: str = "module") -> None:
         self.script, self.seed, self.policy = script, seed, policy
         self.loop = self.make_loop()
         rng = Random(f"{seed}/day")
-        self.checker = Checker(script, self.loop)
-        self.net = Network(script.net, self.loop, Random(f"{seed}/net"))
-        self.directory = Directory(script.discovery, self.loop, Random(f"{seed}/discovery"))
+        self.checker = RuleChecker(script, self.loop)
+        self.net = EmulatedNetwork(script.net, self.loop, Random(f"{seed}/net"))
+        self.directory = EmulatedDiscovery(script.discovery, self.loop, Random(f"{seed}/discovery"))
         self.directory.watcher = self.checker
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, EmulatedServer] = {}
         hall = script.hall
         for number, kind in enumerate(self._kinds(rng)):
             cell = number // hall.rack
             if number % hall.rack == 0:
                 rack = Rack(int(script.job.window * 1e6))
-            server = Server(
+            server = EmulatedServer(
                 f"s{number}",
                 kind,
                 drawn(rng, kind.speed),
@@ -88,12 +88,12 @@
         self.power = sum(server.kind.slots * server.base for server in self.servers.values())
         wide = script.job.slots * (1 - script.job.wide) + 2 * script.job.wide
         rate = drawn(rng, script.load.share) * self.power / (mean_us / 1e6 * wide)
-        self.callers = Callers(script, self.loop, self.nodes, rate, mean_us, seed)
+        self.callers = ClientPopulation(script, self.loop, self.nodes, rate, mean_us, seed)
         for node in self.nodes:
             node.handshake_us = drawn(rng, hall.handshake_ms) * 1000
             node.start(self._policy(node))
-        self.marks: list[Mark] = [
-            troubles.set_up(self, trouble, Random(f"{seed}/trouble{number}"))
+        self.marks: list[FaultMark] = [
+            faults.set_up(self, trouble, Random(f"{seed}/trouble{number}"))
             for number, trouble in enumerate(script.trouble)
         ]
 
@@ -104,14 +104,14 @@
     def make_nodes(self) -> list[Any]:
         """Return the nodes; the second way to play has others."""
         return [
-            Node(number, self.script, self.loop, self.net, self.directory, self.servers, self.checker)
+            EmulatedNode(number, self.script, self.loop, self.net, self.directory, self.servers, self.checker)
             for number in range(self.script.hall.nodes)
         ]
 
-    def _kinds(self, rng: Random) -> list[Kind]:
+    def _kinds(self, rng: Random) -> list[MachineKind]:
         """Return each server's kind: shares as even as they come, in a drawn order."""
         hall = self.script.hall
-        total, found = sum(kind.share for kind in hall.kinds), list[Kind]()
+        total, found = sum(kind.share for kind in hall.kinds), list[MachineKind]()
         owed = {kind.name: 0.0 for kind in hall.kinds}
         for _ in range(hall.servers):
             for kind in hall.kinds:
@@ -122,25 +122,25 @@
         rng.shuffle(found)
         return found
 
-    def _policy(self, node: Node) -> Policy:
+    def _policy(self, node: EmulatedNode) -> BalancingPolicy:
         seed = Random(f"{self.seed}/node{node.number}/{node.life}").getrandbits(32)
         return policies.make(self.policy, self.script, node.number, seed, self.loop.now, self.servers)
 
     # What troubles do.
 
-    def crash(self, server: Server) -> None:
+    def crash(self, server: EmulatedServer) -> None:
         """Have a server die; discovery learns of it late."""
         if server.state != "down":
             server.crash()
             self.directory.publish(server, "removed")
 
-    def bring_back(self, server: Server) -> None:
+    def bring_back(self, server: EmulatedServer) -> None:
         """Have a server start, cold."""
         if server.state == "down":
             server.start()
             self.directory.publish(server, "up")
 
-    def replace(self, server: Server, drain_us: int) -> None:
+    def replace(self, server: EmulatedServer, drain_us: int) -> None:
         """Have a server drain, end, and a successor start in its place."""
         if server.state != "up":
             return
@@ -148,14 +148,14 @@
         self.directory.publish(server, "draining")
         self.loop.at(self.loop.now + drain_us, Order.TROUBLE, self._successor, server)
 
-    def _successor(self, server: Server) -> None:
+    def _successor(self, server: EmulatedServer) -> None:
         if server.state != "draining":
             return
         server.crash()
         if self.script.hall.renames:
             self.directory.publish(server, "removed")
             old, name = server, f"{server.name}+"
-            server = Server(
+            server = EmulatedServer(
                 name,
                 old.kind,
                 old.base,
@@ -189,7 +189,7 @@
         """Have discovery move: every node is told so at once."""
         self.directory.move(lambda node: self.nodes[node].moved(int(self.script.limits.reload_told * 1e6)))
 
-    def play(self) -> Result:
+    def play(self) -> SimulationResult:
         """Play it, and let the last requests end."""
         broken, end = "", int(self.script.seconds * 1e6)
         try:
@@ -203,11 +203,11 @@
             broken = str(error)
         return self._result(broken)
 
-    def _result(self, broken: str) -> Result:
+    def _result(self, broken: str) -> SimulationResult:
         account = self.callers.account
         served = account.took()
         slots = sum(server.kind.slots for server in self.servers.values())
-        return Result(
+        return SimulationResult(
             self.script.name,
             self.seed,
             self.policy,
@@ -229,6 +229,6 @@
         )
 
 
-def play(script: Script, seed: int, policy: str = "module") -> Result:
+def play(script: Scenario, seed: int, policy: str = "module") -> SimulationResult:
     """Play a day."""
-    return Day(script, seed, policy).play()
+    return DaySimulation(script, seed, policy).play()
--- a/merlinbay/emulator/spec.py
+++ b/merlinbay/emulator/spec.py
@@ -46,7 +46,7 @@
     """A part of a script."""
 
 
-class Kind(Strict):
+class MachineKind(Strict):
     """A kind of machine."""
 
     name: str
@@ -56,17 +56,17 @@
     memory: Positive = 4.0  # units
 
 
-class Hall(Strict):
+class ServerPool(Strict):
     """The real servers, and the nodes before them."""
 
     servers: Count = 12
     nodes: Count = 1
     rack: Count = 6  # servers that drop each other's repeats
     zones: list[str] = msgspec.field(default_factory=lambda: ["hall-a"])
-    kinds: list[Kind] = msgspec.field(
+    kinds: list[MachineKind] = msgspec.field(
         default_factory=lambda: [
-            Kind(name="quick-4", share=0.45, speed=(1.3, 1.7)),
-            Kind(name="plain-4", share=0.55, speed=(0.85, 1.1)),
+            MachineKind(name="quick-4", share=0.45, speed=(1.3, 1.7)),
+            MachineKind(name="plain-4", share=0.55, speed=(0.85, 1.1)),
         ]
     )
     queue: int = 40  # jobs that wait at one server; what comes beyond is handed back
@@ -83,7 +83,7 @@
     cancels_running: bool = True  # a cancel stops work that runs
 
 
-class Job(Strict):
+class RequestProfile(Strict):
     """The class of requests."""
 
     name: str = "admit"
@@ -101,7 +101,7 @@
     memory: Draw = (0.4, 1.2)
 
 
-class Load(Strict):
+class LoadProfile(Strict):
     """What arrives."""
 
     share: Draw = 0.5  # of what the warm fleet can do
@@ -111,7 +111,7 @@
     zipf: Not = 0.0  # keys: 0: each its own; else some come again and again
 
 
-class Net(Strict):
+class NetworkProfile(Strict):
     """The network."""
 
     delay_ms: Draw = (0.17, 0.32)
@@ -121,7 +121,7 @@
     dial_ms: Positive = 120.0  # a connection that is not up by then failed
 
 
-class Discovery(Strict):
+class DiscoveryProfile(Strict):
     """The list."""
 
     add: Draw = (0.7, 2.9)  # seconds until a start is listed,
@@ -134,8 +134,8 @@
     ask_in: Positive = 10.0  # who has not asked for so long counts as told; a failed call: four times that
 
 
-class Reports(Strict):
-    """Load reports in answers."""
+class ReportProfile(Strict):
+    """LoadProfile reports in answers."""
 
     on: bool = True
     refresh_ms: Draw = (600.0, 1300.0)
@@ -143,7 +143,7 @@
     noise: Not = 0.04
 
 
-class Callers(Strict):
+class CallerProfile(Strict):
     """Clients and the front layer."""
 
     retries: Draw = (0.0, 1.0)  # times that one asks again, on average
@@ -154,7 +154,7 @@
     bad: Not = 0.0  # clients a second that send what cannot be read, or nothing; on sockets only
 
 
-class Trouble(Strict):
+class FaultSpec(Strict):
     """Something that goes wrong."""
 
     what: What
@@ -167,7 +167,7 @@
     nodes: list[int] = []
 
 
-class Limits(Strict):
+class ScenarioLimits(Strict):
     """What the deployment permits."""
 
     second_copies: bool = True
@@ -179,21 +179,21 @@
     answer_slack_ms: Not = 8.0
 
 
-class Script(Strict):
+class Scenario(Strict):
     """A day, or an incident."""
 
     name: str
     about: str = ""
     seconds: Positive = 45.0
-    hall: Hall = msgspec.field(default_factory=Hall)
-    job: Job = msgspec.field(default_factory=Job)
-    load: Load = msgspec.field(default_factory=Load)
-    net: Net = msgspec.field(default_factory=Net)
-    discovery: Discovery = msgspec.field(default_factory=Discovery)
-    reports: Reports = msgspec.field(default_factory=Reports)
-    callers: Callers = msgspec.field(default_factory=Callers)
-    limits: Limits = msgspec.field(default_factory=Limits)
-    trouble: list[Trouble] = []
+    hall: ServerPool = msgspec.field(default_factory=ServerPool)
+    job: RequestProfile = msgspec.field(default_factory=RequestProfile)
+    load: LoadProfile = msgspec.field(default_factory=LoadProfile)
+    net: NetworkProfile = msgspec.field(default_factory=NetworkProfile)
+    discovery: DiscoveryProfile = msgspec.field(default_factory=DiscoveryProfile)
+    reports: ReportProfile = msgspec.field(default_factory=ReportProfile)
+    callers: CallerProfile = msgspec.field(default_factory=CallerProfile)
+    limits: ScenarioLimits = msgspec.field(default_factory=ScenarioLimits)
+    trouble: list[FaultSpec] = []
 
 
 def drawn(rng: Random, value: Draw) -> float:
@@ -218,7 +218,7 @@
             raise ScenarioError(f"{where}: below 0")
 
 
-def check(script: Script) -> None:
+def check(script: Scenario) -> None:
     """Check what the types do not say. Raises ``ScenarioError``."""
     _draws("", script)
     names = {f"s{number}" for number in range(script.hall.servers)}
@@ -239,17 +239,17 @@
         raise ScenarioError("hall.queue: below 0")
 
 
-def read_value(value: object, name: str) -> Script:
+def read_value(value: object, name: str) -> Scenario:
     """Read a script from plain values. Raises ``ScenarioError``."""
     try:
-        script = msgspec.convert(value, Script)
+        script = msgspec.convert(value, Scenario)
         check(script)
     except (msgspec.ValidationError, ScenarioError) as error:
         raise ScenarioError(f"{name}: {error}") from None
     return script
 
 
-def read(text: str, name: str) -> Script:
+def read(text: str, name: str) -> Scenario:
     """Read a script. Raises ``ScenarioError``."""
     try:
         return read_value(tomllib.loads(text), name)
@@ -267,7 +267,7 @@
     }
 
 
-def load(name: str) -> Script:
+def load(name: str) -> Scenario:
     """Read a script of the library by its name, or one from a file. Raises ``ScenarioError``."""
     known = library()
     if name in known:
--- a/merlinbay/executor/child.py
+++ b/merlinbay/executor/child.py
@@ -41,7 +41,7 @@
     """The command could not be started; the text says why."""
 
 
-class Child:
+class ChildProcess:
     """A child process of one job."""
 
     def __init__(self, template: JobTemplate, folder: Path) -> None:
--- a/merlinbay/executor/server.py
+++ b/merlinbay/executor/server.py
@@ -8,14 +8,14 @@
 import trio
 
 from merlinbay.batch.errors import DrmaaError, invalid_state, unsupported
-from merlinbay.batch.states import ENDED, Event, State
+from merlinbay.batch.states import ENDED, JobState, JobTransition
 from merlinbay.clock import Clock
 from merlinbay.core.values import ServiceEntry
 from merlinbay.counters import Counters
 from merlinbay.drmaa import schema
 from merlinbay.drmaa.answers import JSON, failure, ok
-from merlinbay.executor.child import Child, ProcessStartError
-from merlinbay.executor.slots import Job, Slots
+from merlinbay.executor.child import ChildProcess, ProcessStartError
+from merlinbay.executor.slots import ExecutorJob, Slots
 from merlinbay.http.client import ConnectionBrokenError, RequestNotSentError
 from merlinbay.http.connection import Connection, Request, Response
 from merlinbay.http.pool import ConnectionPool, OutgoingRequest
@@ -41,8 +41,8 @@
         self.name, self.slots, self.folder = name, slots, folder
         self.limits, self.counters, self.log, self.clock = limits, counters, log, clock
         self.pool = ConnectionPool(limits, counters)
-        self.children: dict[Job, Child] = {}
-        self.notes: dict[Job, list[bytes]] = {}  # notifications that are not delivered yet, in order
+        self.children: dict[ExecutorJob, ChildProcess] = {}
+        self.notes: dict[ExecutorJob, list[bytes]] = {}  # notifications that are not delivered yet, in order
         self.nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
@@ -86,7 +86,7 @@
         self._start_what_fits()
         return Response(201, schema.write({"jobId": job.id, "jobState": job.state.value}), [JSON])
 
-    async def _act(self, job: Job, verb: str) -> Response:
+    async def _act(self, job: ExecutorJob, verb: str) -> Response:
         child = self.children.get(job)
         match verb:
             case "terminate":
@@ -103,7 +103,7 @@
                 self.slots.recall(job)
                 job.info.exception = "TryLaterException"
             case "suspend" | "resume":
-                self.slots.move(job, Event.SUSPEND if verb == "suspend" else Event.RESUME)
+                self.slots.move(job, JobTransition.SUSPEND if verb == "suspend" else JobTransition.RESUME)
                 if child is not None:
                     child.signal(signal.SIGSTOP if verb == "suspend" else signal.SIGCONT)
                 self._tell(job)
@@ -117,10 +117,10 @@
     def _start_what_fits(self) -> None:
         assert self.nursery is not None
         for job in self.slots.startable():
-            self.children[job] = Child(job.template, self.folder)
+            self.children[job] = ChildProcess(job.template, self.folder)
             self.nursery.start_soon(self._run, job)
 
-    async def _run(self, job: Job) -> None:
+    async def _run(self, job: ExecutorJob) -> None:
         child, info = self.children[job], job.info
         info.dispatchTime = schema.when(self.clock.now_us())
         self._tell(job)
@@ -142,15 +142,15 @@
         if info.dispatchTime is not None:
             info.wallclockTime = self.clock.now_us() / 1e6 - info.dispatchTime.timestamp()
         info.finishTime = schema.when(self.clock.now_us())
-        if job.state is State.SUSPENDED and status == 0:
-            self.slots.move(job, Event.RESUME)
-        self.slots.end(job, Event.FINISH if status == 0 else Event.FAIL)
+        if job.state is JobState.SUSPENDED and status == 0:
+            self.slots.move(job, JobTransition.RESUME)
+        self.slots.end(job, JobTransition.FINISH if status == 0 else JobTransition.FAIL)
         self._tell(job)
         self._start_what_fits()
 
     # Notifications.
 
-    def _tell(self, job: Job) -> None:
+    def _tell(self, job: ExecutorJob) -> None:
         """Notify of a job's state: in order for each job, again until it is taken, so often at the most."""
         job.info.jobState = job.state.value
         if not job.notify:
@@ -173,7 +173,7 @@
         assert self.nursery is not None
         self.nursery.start_soon(self._notify, job)
 
-    async def _notify(self, job: Job) -> None:
+    async def _notify(self, job: ExecutorJob) -> None:
         addr, _, path = job.notify.removeprefix("http://").partition("/")
         self.pool.update_endpoints("changes", [ServiceEntry(addr, addr)])
         waiting, tries = self.notes[job], 0
--- a/merlinbay/executor/slots.py
+++ b/merlinbay/executor/slots.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, invalid_state, try_later
-from merlinbay.batch.states import Event, InvalidStateError, State, after
+from merlinbay.batch.states import InvalidStateError, JobState, JobTransition, after
 from merlinbay.drmaa.schema import JobInfo, JobTemplate
 
 RETRY_US = 200_000
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class ExecutorJob:
     """A job of this executor."""
 
     id: str
@@ -25,7 +25,7 @@
     session: str
     notify: str
     info: JobInfo
-    state: State = State.QUEUED
+    state: JobState = JobState.QUEUED
     ending: bool = False  # terminate has been called
 
     @property
@@ -42,60 +42,60 @@
     queue_most: int = 8
     kept_most: int = 1000
     free: int = 0
-    jobs: dict[str, Job] = field(default_factory=dict)
-    queue: deque[Job] = field(default_factory=deque)
-    kept: deque[Job] = field(default_factory=deque)
+    jobs: dict[str, ExecutorJob] = field(default_factory=dict)
+    queue: deque[ExecutorJob] = field(default_factory=deque)
+    kept: deque[ExecutorJob] = field(default_factory=deque)
     count: int = 0
 
     def __post_init__(self) -> None:
         self.free = self.slots
 
-    def add(self, template: JobTemplate, session: str, notify: str) -> Job:
+    def add(self, template: JobTemplate, session: str, notify: str) -> ExecutorJob:
         """Take a job into the queue. Raises ``DrmaaError`` where there is no room, or never will be."""
         if (template.minSlots or 1) > self.slots:
             raise DrmaaError("OutOfResourceException", f"{self.slots} slots in all")
         if len(self.queue) >= self.queue_most:
             raise try_later(f"{self.queue_most} jobs wait", RETRY_US)
         self.count += 1
-        job = Job(str(self.count), template, session, notify, JobInfo(str(self.count), "QUEUED"))
+        job = ExecutorJob(str(self.count), template, session, notify, JobInfo(str(self.count), "QUEUED"))
         self.jobs[job.id] = job
         self.queue.append(job)
         return job
 
-    def job(self, job_id: str) -> Job:
+    def job(self, job_id: str) -> ExecutorJob:
         """Return a job. Raises ``DrmaaError``."""
         job = self.jobs.get(job_id)
         if job is None:
             raise invalid_argument(f"no job {job_id!r}", missing=True)
         return job
 
-    def startable(self) -> list[Job]:
+    def startable(self) -> list[ExecutorJob]:
         """Take what can start now out of the queue, and give it its slots."""
         started = []
         while self.queue and self.queue[0].slots <= self.free:
             job = self.queue.popleft()
             self.free -= job.slots
-            job.state = after(job.state, Event.START)
+            job.state = after(job.state, JobTransition.START)
             started.append(job)
         return started
 
-    def recall(self, job: Job) -> None:
+    def recall(self, job: ExecutorJob) -> None:
         """Give a job back that has not started. Raises ``DrmaaError``."""
-        if job.state is not State.QUEUED:
+        if job.state is not JobState.QUEUED:
             raise invalid_state(f"the job is {job.state.value}")
         self.queue.remove(job)
-        self.end(job, Event.FAIL)
+        self.end(job, JobTransition.FAIL)
 
-    def move(self, job: Job, event: Event) -> None:
+    def move(self, job: ExecutorJob, event: JobTransition) -> None:
         """Suspend or resume. Raises ``DrmaaError``."""
         try:
             job.state = after(job.state, event)
         except InvalidStateError as error:
             raise invalid_state(str(error)) from None
 
-    def end(self, job: Job, event: Event) -> None:
+    def end(self, job: ExecutorJob, event: JobTransition) -> None:
         """Reach a job's final state, and free its slots if it had some."""
-        if job.state in (State.RUNNING, State.SUSPENDED):
+        if job.state in (JobState.RUNNING, JobState.SUSPENDED):
             self.free += job.slots
         job.state = after(job.state, event)
         self.kept.append(job)
--- a/merlinbay/experiment/grid.py
+++ b/merlinbay/experiment/grid.py
@@ -14,7 +14,7 @@
 
 from merlinbay import __version__
 from merlinbay.emulator import policies, spec
-from merlinbay.emulator.spec import ScenarioError, Script
+from merlinbay.emulator.spec import Scenario, ScenarioError
 
 
 class Grid(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -74,7 +74,7 @@
     ]
 
 
-def script_of(name: str, changed: str) -> Script:
+def script_of(name: str, changed: str) -> Scenario:
     """Return a script with settings changed. Raises ``ScenarioError``."""
     value = msgspec.to_builtins(spec.load(name))
     for key, new in msgspec.json.decode(changed).items():
--- a/merlinbay/experiment/report.py
+++ b/merlinbay/experiment/report.py
@@ -10,8 +10,8 @@
 import matplotlib
 import numpy as np
 
-from merlinbay.emulator.play import Day, Result
-from merlinbay.emulator.record import STEP_US, Record
+from merlinbay.emulator.record import STEP_US, SimulationSamples
+from merlinbay.emulator.simulation import DaySimulation, SimulationResult
 from merlinbay.experiment import stats
 from merlinbay.experiment.store import Store
 
@@ -66,7 +66,7 @@
     )
 
 
-def shade(axes: Axes, day: Day) -> None:
+def shade(axes: Axes, day: DaySimulation) -> None:
     """Mark when something was wrong."""
     for mark in day.marks:
         axes.axvspan(
@@ -74,7 +74,7 @@
         )
 
 
-def by_second(day: Day) -> tuple[np.ndarray, np.ndarray, np.ndarray]:
+def by_second(day: DaySimulation) -> tuple[np.ndarray, np.ndarray, np.ndarray]:
     """Return seconds, the share in time of the requests first made in each, and their number."""
     account, count = day.callers.account, math.ceil(day.script.seconds)
     asked, good = np.zeros(count), np.zeros(count)
@@ -86,7 +86,7 @@
     return np.arange(count), share, asked
 
 
-def day_page(day: Day, record: Record, result: Result) -> str:
+def day_page(day: DaySimulation, record: SimulationSamples, result: SimulationResult) -> str:
     """Return the report of one day, for the operator after an incident."""
     seconds, share, asked = by_second(day)
     figure, axes = plt.subplots(figsize=(9, 2.6))
@@ -159,7 +159,7 @@
     return 1_000_000 // STEP_US
 
 
-def heat(day: Day, record: Record) -> str:
+def heat(day: DaySimulation, record: SimulationSamples) -> str:
     """Return each server's load over time."""
     load = np.array(record.load).T
     figure, axes = plt.subplots(figsize=(9, 0.22 * len(load) + 1))
--- a/merlinbay/experiment/run.py
+++ b/merlinbay/experiment/run.py
@@ -7,12 +7,12 @@
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from multiprocessing import get_context
 
-from merlinbay.emulator.play import Result, play
+from merlinbay.emulator.simulation import SimulationResult, play
 from merlinbay.experiment.grid import Cell, Grid, cells, script_of
 from merlinbay.experiment.store import Store
 
 
-def one(cell: Cell) -> Result:
+def one(cell: Cell) -> SimulationResult:
     """Play a day of the grid."""
     return play(script_of(cell.script, cell.settings), cell.seed, cell.policy)
 
@@ -32,7 +32,7 @@
         return finished
     # A fresh interpreter each: what a worker inherits must not decide anything.
     with ProcessPoolExecutor(count, mp_context=get_context("spawn")) as pool:
-        waiting: dict[Future[Result], Cell] = {}
+        waiting: dict[Future[SimulationResult], Cell] = {}
         rest = iter(todo)
         while True:
             for cell in rest:
--- a/merlinbay/experiment/store.py
+++ b/merlinbay/experiment/store.py
@@ -6,10 +6,10 @@
 from dataclasses import asdict, fields
 from pathlib import Path
 
-from merlinbay.emulator.play import Result
+from merlinbay.emulator.simulation import SimulationResult
 from merlinbay.experiment.grid import Cell
 
-COLUMNS = [field.name for field in fields(Result) if field.name not in ("script", "seed", "policy")]
+COLUMNS = [field.name for field in fields(SimulationResult) if field.name not in ("script", "seed", "policy")]
 KEY = ["script", "settings", "policy", "seed", "print"]
 
 
@@ -26,7 +26,7 @@
         """Return the days that are there."""
         return set(self.db.execute(f"SELECT {', '.join(KEY)} FROM results"))
 
-    def add(self, cell: Cell, result: Result) -> None:
+    def add(self, cell: Cell, result: SimulationResult) -> None:
         """Write a day; one that is there already stays as it is."""
         values = asdict(result)
         row = [*cell.key, *(values[name] for name in COLUMNS), result.figure]
--- a/merlinbay/fleet/effects.py
+++ b/merlinbay/fleet/effects.py
@@ -26,7 +26,7 @@
 Effect = SendDatagram | SendRequest
 
 
-class EventKind(StrEnum):
+class MembershipEventKind(StrEnum):
     """Kinds of events, as the operators' calls and the counters name them."""
 
     JOINED = "joined"
@@ -50,6 +50,6 @@
     """A change that operators, and what is built on the view, are informed of."""
 
     at_s: float
-    kind: EventKind
+    kind: MembershipEventKind
     subject: str  # the member, or the source of a packet
     text: str = ""
--- a/merlinbay/fleet/epoch_agreement.py
+++ b/merlinbay/fleet/epoch_agreement.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from merlinbay.fleet.effects import EventKind
+from merlinbay.fleet.effects import MembershipEventKind
 from merlinbay.fleet.epoch_messages import (
     Epoch,
     decode_answer,
@@ -16,14 +16,14 @@
     encode_request,
 )
 from merlinbay.fleet.epochs import EpochConsensus, node_of, voter_id
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.local_member import LocalMember
 from merlinbay.fleet.member_table import MemberTable
 from merlinbay.fleet.members import Health
 from merlinbay.fleet.messages import EPOCH
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 CHECK_INTERVAL_S = 0.5  # between two looks at the member table, times 0.5 to 1.5 at random
 
@@ -42,8 +42,8 @@
         local: LocalMember,
         table: MemberTable,
         outbox: Outbox,
-        timers: Timers,
-        events: EventLog,
+        timers: ViewTimers,
+        events: MembershipEventLog,
         rng: Random,
     ) -> None:
         self._settings, self.consensus, self._local, self._table = settings, consensus, local, table
@@ -79,7 +79,7 @@
         eligible = tuple(voter for voter, is_eligible in self._present().items() if is_eligible)
         epoch = self.consensus.force(eligible, lost)
         text = f"{epoch.number}, without {', '.join(lost)}"
-        self._events.record(EventKind.EPOCH_FORCED, self._local.name, text)
+        self._events.record(MembershipEventKind.EPOCH_FORCED, self._local.name, text)
         self._flush()
         return epoch
 
@@ -96,11 +96,11 @@
         chosen, consensus.chosen = consensus.chosen, []
         for epoch in chosen:
             text = f"{epoch.number}: {', '.join(map(node_of, epoch.members))}"
-            self._events.record(EventKind.EPOCH, self._local.name, text)
+            self._events.record(MembershipEventKind.EPOCH, self._local.name, text)
         conflicting, consensus.conflicting = consensus.conflicting, None
         if conflicting is not None:
             text = f"{conflicting.number} is also {', '.join(conflicting.members)}"
-            self._events.record(EventKind.EPOCH_CLASH, self._local.name, text)
+            self._events.record(MembershipEventKind.EPOCH_CLASH, self._local.name, text)
 
     def handle_request(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer a proposer. Raises ``VoteNotStoredError``."""
--- a/merlinbay/fleet/event_log.py
+++ b/merlinbay/fleet/event_log.py
@@ -4,20 +4,20 @@
 
 from collections import Counter
 
-from merlinbay.fleet.effects import EventKind, MembershipEvent
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.effects import MembershipEvent, MembershipEventKind
+from merlinbay.fleet.timers import ViewTimers
 
 
-class EventLog:
+class MembershipEventLog:
     """Collects events."""
 
-    def __init__(self, timers: Timers) -> None:
+    def __init__(self, timers: ViewTimers) -> None:
         self._timers = timers
         self._events: list[MembershipEvent] = []
         self.counts: Counter[str] = Counter()  # of events and of occurrences that are none
         self._new_occurrences: Counter[str] = Counter()
 
-    def record(self, kind: EventKind, subject: str, text: str = "") -> None:
+    def record(self, kind: MembershipEventKind, subject: str, text: str = "") -> None:
         """Add an event of this moment."""
         self.counts[kind] += 1
         self._events.append(MembershipEvent(self._timers.now_s, kind, subject, text))
--- a/merlinbay/fleet/failure_detector.py
+++ b/merlinbay/fleet/failure_detector.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.gossip import GossipSender
 from merlinbay.fleet.local_member import LocalMember
 from merlinbay.fleet.member_table import MemberTable
@@ -13,7 +13,7 @@
 from merlinbay.fleet.messages import IndirectPing, Nack, Ping
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 PROBE_END_SHARE = 0.999  # of the period: a probe ends just before the next one begins
 
@@ -38,8 +38,8 @@
         table: MemberTable,
         gossip: GossipSender,
         outbox: Outbox,
-        timers: Timers,
-        events: EventLog,
+        timers: ViewTimers,
+        events: MembershipEventLog,
         rng: Random,
     ) -> None:
         self._settings, self._local, self._table, self._gossip = settings, local, table, gossip
--- a/merlinbay/fleet/gossip.py
+++ b/merlinbay/fleet/gossip.py
@@ -11,7 +11,7 @@
 from merlinbay.fleet.messages import Datagram, Gossip, encode_datagram
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings, timing
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 from merlinbay.fleet.wire import MAX_DATAGRAM_BYTES
 
 OVERHEAD_BYTES = 90  # of a datagram beside its member states and the fleet's name
@@ -27,7 +27,7 @@
         table: MemberTable,
         broadcasts: BroadcastQueue,
         outbox: Outbox,
-        timers: Timers,
+        timers: ViewTimers,
         rng: Random,
     ) -> None:
         self._settings, self._local, self._table = settings, local, table
--- a/merlinbay/fleet/indirect_probes.py
+++ b/merlinbay/fleet/indirect_probes.py
@@ -6,7 +6,7 @@
 from merlinbay.fleet.messages import Ack, IndirectPing, Nack, Ping
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 ANSWER_SHARE = 0.5  # of the probe period: a target that has not answered by then is reported by a nack
 
@@ -14,7 +14,9 @@
 class IndirectProbes:
     """Relays pings and their answers."""
 
-    def __init__(self, settings: FleetSettings, gossip: GossipSender, outbox: Outbox, timers: Timers) -> None:
+    def __init__(
+        self, settings: FleetSettings, gossip: GossipSender, outbox: Outbox, timers: ViewTimers
+    ) -> None:
         self._settings, self._gossip, self._outbox, self._timers = settings, gossip, outbox, timers
         self._requests: dict[int, tuple[str, int]] = {}  # our number: the requester's address and number
 
--- a/merlinbay/fleet/local_member.py
+++ b/merlinbay/fleet/local_member.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from merlinbay.fleet.broadcast_queue import BroadcastQueue
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.members import Health, Member, MemberState
 
 MAX_HEALTH_SCORE = 8
@@ -15,7 +15,7 @@
     """What this node announces about itself."""
 
     def __init__(
-        self, state: MemberState, now_s: float, broadcasts: BroadcastQueue, events: EventLog
+        self, state: MemberState, now_s: float, broadcasts: BroadcastQueue, events: MembershipEventLog
     ) -> None:
         self.state = state
         self.member = Member(state, now_s)  # its row of the member table
--- a/merlinbay/fleet/member_table.py
+++ b/merlinbay/fleet/member_table.py
@@ -6,13 +6,13 @@
 from dataclasses import replace
 
 from merlinbay.fleet.broadcast_queue import BroadcastQueue
-from merlinbay.fleet.effects import EventKind
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.effects import MembershipEventKind
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.local_member import LocalMember
 from merlinbay.fleet.members import INACTIVE, Health, Member, MemberState, supersedes
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.suspicion import SuspicionTimers
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 MAX_HISTORY = 8  # explanations of a member's health
 MIN_KEPT_INACTIVE = 64
@@ -26,8 +26,8 @@
         self,
         settings: FleetSettings,
         local: LocalMember,
-        timers: Timers,
-        events: EventLog,
+        timers: ViewTimers,
+        events: MembershipEventLog,
         broadcasts: BroadcastQueue,
     ) -> None:
         self._settings, self._local = settings, local
@@ -99,7 +99,7 @@
         self._broadcasts.add(state)
         for report in self.on_join:
             report(state.name)
-        self._events.record(EventKind.JOINED, state.name, state.addr)
+        self._events.record(MembershipEventKind.JOINED, state.name, state.addr)
         if state.health is Health.SUSPECT:
             member.accusers = {state.accuser}
             self.suspicions.start(member, len(self.active()))
@@ -108,7 +108,7 @@
         if (new.addr, new.is_draining, new.instance) == (old.addr, old.is_draining, old.instance):
             return
         what = "restarted" if new.instance != old.instance else "draining" if new.is_draining else new.addr
-        self._events.record(EventKind.CHANGED, new.name, what)
+        self._events.record(MembershipEventKind.CHANGED, new.name, what)
 
     def _change_health(self, member: Member, old: MemberState) -> None:
         new = member.state
@@ -116,7 +116,7 @@
         if new.health is Health.SUSPECT:
             member.accusers = {new.accuser}
             self.explain(member, f"suspected by {new.accuser}")
-            self._events.record(EventKind.SUSPECTED, new.name, f"by {new.accuser}")
+            self._events.record(MembershipEventKind.SUSPECTED, new.name, f"by {new.accuser}")
             self.suspicions.start(member, len(self.active()))
             return
         self.suspicions.cancel(new.name)
@@ -125,12 +125,12 @@
             has_returned = old.health in INACTIVE
             what = "came back" if has_returned else "refuted"
             self.explain(member, f"{what} at incarnation {new.incarnation}")
-            kind = EventKind.RETURNED if has_returned else EventKind.CLEARED
+            kind = MembershipEventKind.RETURNED if has_returned else MembershipEventKind.CLEARED
             self._events.record(kind, new.name, f"incarnation {new.incarnation}")
             return
         if new.health is Health.DEAD and new.accuser != self._local.name:
             self.explain(member, f"said to be dead by {new.accuser}")
-        kind = EventKind.DIED if new.health is Health.DEAD else EventKind.LEFT
+        kind = MembershipEventKind.DIED if new.health is Health.DEAD else MembershipEventKind.LEFT
         self._events.record(kind, new.name, f"said by {new.accuser or new.name}")
 
     def suspect(self, member: Member) -> None:
--- a/merlinbay/fleet/name_conflicts.py
+++ b/merlinbay/fleet/name_conflicts.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from merlinbay.fleet.effects import EventKind
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.effects import MembershipEventKind
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.gossip import GossipSender
 from merlinbay.fleet.local_member import LocalMember
 from merlinbay.fleet.members import MemberState
 from merlinbay.fleet.messages import Ack, Ping
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 ANSWER_PERIODS = 4  # probe periods that the other process has to answer
 
@@ -24,8 +24,8 @@
         local: LocalMember,
         gossip: GossipSender,
         outbox: Outbox,
-        timers: Timers,
-        events: EventLog,
+        timers: ViewTimers,
+        events: MembershipEventLog,
     ) -> None:
         self._settings, self._local, self._gossip = settings, local, gossip
         self._outbox, self._timers, self._events = outbox, timers, events
@@ -48,5 +48,5 @@
             self._local.is_silenced |= self._local.state.instance < other.instance
             silenced = "; this one falls silent" if self._local.is_silenced else ""
             text = f"the name is also used at {other.addr}{silenced}"
-            self._events.record(EventKind.CONFLICT, self._local.name, text)
+            self._events.record(MembershipEventKind.CONFLICT, self._local.name, text)
         return True
--- a/merlinbay/fleet/push_pull.py
+++ b/merlinbay/fleet/push_pull.py
@@ -6,15 +6,15 @@
 from random import Random
 from typing import Any
 
-from merlinbay.fleet.effects import EventKind
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.effects import MembershipEventKind
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.local_member import LocalMember
 from merlinbay.fleet.member_table import MemberTable
 from merlinbay.fleet.members import Health, encode_state
 from merlinbay.fleet.messages import FullState, JoinRefused, encode_full_state
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.settings import FleetSettings, timing
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 from merlinbay.fleet.wire import NEWEST_VERSION, OLDEST_VERSION
 
 DEAD_OR_SEED_SHARE = 0.25  # of the exchanges: partitions heal by these
@@ -29,8 +29,8 @@
         local: LocalMember,
         table: MemberTable,
         outbox: Outbox,
-        timers: Timers,
-        events: EventLog,
+        timers: ViewTimers,
+        events: MembershipEventLog,
         rng: Random,
     ) -> None:
         self._settings, self._local, self._table = settings, local, table
@@ -103,7 +103,7 @@
         """Take the answer of a node, beside its member table."""
         if isinstance(answer, JoinRefused):
             text = f"by {addr}: {answer.reason[:200]}"
-            self._events.record(EventKind.REFUSED, self._local.name, text)
+            self._events.record(MembershipEventKind.REFUSED, self._local.name, text)
         elif isinstance(answer, FullState):
             self.has_joined = True
 
--- a/merlinbay/fleet/scenarios.py
+++ b/merlinbay/fleet/scenarios.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from merlinbay.fleet.effects import EventKind, MembershipEvent
+from merlinbay.fleet.effects import MembershipEvent, MembershipEventKind
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.simulated_node import SimulatedNode
-from merlinbay.fleet.simulation import InvariantViolationError, Simulation
+from merlinbay.fleet.simulation import FleetSimulation, InvariantViolationError
 
 FAULTS_END_S = 72.0  # all faults have ended by then
 CONVERGENCE_S = 75.0  # after that, all views of up to nine nodes are the same
@@ -42,7 +42,7 @@
 class DeathObserver:
     """Checks every event of a scenario."""
 
-    sim: Simulation
+    sim: FleetSimulation
     is_lossless: bool  # the network loses and delays nothing
     windows: list[FaultWindow] = field(default_factory=list)
     deaths: dict[str, list[float]] = field(default_factory=dict)  # when each node declared another dead
@@ -73,9 +73,9 @@
 
     def __call__(self, node: SimulatedNode, event: MembershipEvent) -> None:
         """Check one event. Raises ``InvariantViolationError``."""
-        if event.kind is EventKind.DIED:
+        if event.kind is MembershipEventKind.DIED:
             self.deaths.setdefault(event.subject, []).append(self.sim.now_s)
-        elif event.kind is not EventKind.SUSPECTED or not self.is_lossless:
+        elif event.kind is not MembershipEventKind.SUSPECTED or not self.is_lossless:
             return
         other = self.sim.nodes[event.subject]
         if other.view is None or other.is_stopped or other.view.local.is_leaving or node.view is None:
@@ -100,7 +100,7 @@
 class FaultPlan:
     """Schedules faults of a simulation."""
 
-    sim: Simulation
+    sim: FleetSimulation
     observer: DeathObserver
     rng: Random
     is_single: bool = False  # only one fault is scheduled
@@ -200,13 +200,13 @@
 SINGLE_FAULTS = ["kill", "pair", "stop"]
 
 
-def run_scenario(seed: int, check: bool = True) -> Simulation:
+def run_scenario(seed: int, check: bool = True) -> FleetSimulation:
     """Run one seed: faults for a minute, then none. Raises ``InvariantViolationError``."""
     rng = Random(f"{seed}/story")
     count = rng.randint(3, 9)
     expect = rng.choice([0, count])
     settings = FleetSettings(name="sim", listen="x", keys="x", data="x", exchange=5.0, expect=expect)
-    sim = Simulation(seed, count, settings)
+    sim = FleetSimulation(seed, count, settings)
     sim.net.loss_share = rng.choice([0.0, 0.0, 0.05, 0.3])
     sim.net.duplicate_share, sim.net.reorder_share = rng.choice([0.0, 0.1]), rng.choice([0.0, 0.2])
     observer = DeathObserver(sim, is_lossless=not sim.net.loss_share and not sim.net.reorder_share)
@@ -232,7 +232,7 @@
     return sim
 
 
-def _run(sim: Simulation, until_s: float, step_s: float, check: bool) -> None:
+def _run(sim: FleetSimulation, until_s: float, step_s: float, check: bool) -> None:
     while sim.now_s < until_s:
         sim.run(min(sim.now_s + step_s, until_s))
         if check:
--- a/merlinbay/fleet/simulation.py
+++ b/merlinbay/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of a fleet in virtual time, and its invariants; ``scenarios`` injects faults by a seed.
+"""FleetSimulation of a fleet in virtual time, and its invariants; ``scenarios`` injects faults by a seed.
 
 One seed gives one history, in any process. Network and clocks are simulated, the view is the real one.
 """
@@ -37,7 +37,7 @@
     cut_links: set[tuple[str, str]] = field(default_factory=set)  # source and destination addresses
 
 
-class Simulation:
+class FleetSimulation:
     """Nodes, a network, and the virtual time."""
 
     def __init__(self, seed: int, count: int, settings: FleetSettings | None = None) -> None:
--- a/merlinbay/fleet/suspicion.py
+++ b/merlinbay/fleet/suspicion.py
@@ -7,13 +7,15 @@
 
 from merlinbay.fleet.members import Health, Member
 from merlinbay.fleet.settings import FleetSettings, timing
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 
 class SuspicionTimers:
     """One timer for each suspect; an expired one is reported by ``on_expired``."""
 
-    def __init__(self, settings: FleetSettings, timers: Timers, on_expired: Callable[[Member], None]) -> None:
+    def __init__(
+        self, settings: FleetSettings, timers: ViewTimers, on_expired: Callable[[Member], None]
+    ) -> None:
         self._settings, self._timers, self._on_expired = settings, timers, on_expired
         self.expires_at_s: dict[str, float] = {}  # by the suspect's name
 
--- a/merlinbay/fleet/timers.py
+++ b/merlinbay/fleet/timers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-class Timers:
+class ViewTimers:
     """One-shot timers on a clock that never goes back. Seconds."""
 
     def __init__(self, now_s: float) -> None:
--- a/merlinbay/fleet/view.py
+++ b/merlinbay/fleet/view.py
@@ -12,10 +12,10 @@
 
 from merlinbay.fleet import wire
 from merlinbay.fleet.broadcast_queue import BroadcastQueue
-from merlinbay.fleet.effects import Effect, EventKind, MembershipEvent
+from merlinbay.fleet.effects import Effect, MembershipEvent, MembershipEventKind
 from merlinbay.fleet.epoch_agreement import EpochAgreement
 from merlinbay.fleet.epochs import EpochConsensus
-from merlinbay.fleet.event_log import EventLog
+from merlinbay.fleet.event_log import MembershipEventLog
 from merlinbay.fleet.failure_detector import FailureDetector
 from merlinbay.fleet.gossip import GossipSender
 from merlinbay.fleet.indirect_probes import IndirectProbes
@@ -40,7 +40,7 @@
 from merlinbay.fleet.outbox import Outbox
 from merlinbay.fleet.push_pull import PushPull
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.fleet.timers import Timers
+from merlinbay.fleet.timers import ViewTimers
 
 
 class View:
@@ -56,8 +56,8 @@
         consensus: EpochConsensus | None = None,
     ) -> None:
         self._settings = settings
-        self.timers = Timers(now_s)
-        self.events = EventLog(self.timers)
+        self.timers = ViewTimers(now_s)
+        self.events = MembershipEventLog(self.timers)
         self.broadcasts = BroadcastQueue()
         self._outbox = outbox = Outbox(settings.name, keys, rng)
         self.local = LocalMember(local_state, now_s, self.broadcasts, self.events)
@@ -117,7 +117,7 @@
         self._detector.abandon_probes()
         self._indirect.abandon()
         self.table.suspicions.postpone(late_s)
-        self.events.record(EventKind.PAUSED, self.local.name, f"stood still for {late_s:.1f} s")
+        self.events.record(MembershipEventKind.PAUSED, self.local.name, f"stood still for {late_s:.1f} s")
         self.timers.schedule(0.0, self.push_pull.exchange_with_any)
 
     def replace_keys(self, keys: wire.Keys) -> None:
@@ -179,7 +179,7 @@
         if not isinstance(state, FullState):
             raise wire.MessageRejectedError("no state")
         if reason := self.push_pull.refusal_of(state):
-            self.events.record(EventKind.REFUSED, state.sender[:64], reason)
+            self.events.record(MembershipEventKind.REFUSED, state.sender[:64], reason)
             return encode_join_refused(JoinRefused(reason))
         self._merge(message, is_push_pull=True)
         return self.push_pull.full_state()
@@ -216,7 +216,7 @@
         try:
             return self._outbox.open(data)
         except wire.MessageRejectedError as error:
-            kind = EventKind.PACKETS_REFUSED
+            kind = MembershipEventKind.PACKETS_REFUSED
             # Guards against a log full of lines on garbage: only the first one is an event.
             if not self.events.counts[kind] or str(error) != "garbage":
                 self.events.record(kind, source, str(error))
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -223,8 +223,8 @@
         if self.read_scope.cancelled_caught:
             return True
         if self.is_idle and self.has_answered:
-            # Guards against a request that dribbles in: all of it has so long. The first one's time runs from
-            # the accept. This is after the read, which may have begun before the last response.
+            # Guards against a request that comes byte by byte: all of it has so long. The time of the first
+            # one runs from the accept. This is after the read, which may have begun before the last response.
             self.lifetime.begin_request()
         self.stream.h11.receive_data(data)
         return True
@@ -238,7 +238,7 @@
             self.is_closing, self.closes_after_response = False, True
             self.lifetime.begin_request()
         # Guards also against a request whose rest has come in time and was not read yet. Nothing is waited
-        # for, and a request has a bound, so a client that dribbles or floods is cut off all the same.
+        # for, and a request has a bound, so a slow client, or one that floods, is cut off all the same.
         return True
 
     async def _read_ahead(self) -> bool:
--- a/merlinbay/monitor/view.py
+++ b/merlinbay/monitor/view.py
@@ -7,7 +7,7 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from merlinbay.batch.jobs import Job, Session
+from merlinbay.batch.jobs import Job, JobSession
 from merlinbay.monitor.filters import Test
 
 SCAN = 5_000  # jobs looked at for one page: a filter that fits none holds nobody up
@@ -53,7 +53,7 @@
 
 
 def page(
-    sessions: Iterable[Session], after: int, limit: int, wanted: Callable[[Job], bool], scan: int = SCAN
+    sessions: Iterable[JobSession], after: int, limit: int, wanted: Callable[[Job], bool], scan: int = SCAN
 ) -> tuple[list[Job], int]:
     """Return jobs in order of their submission, and the order from which the next page goes on; 0: none.
 
--- a/merlinbay/notify/hub.py
+++ b/merlinbay/notify/hub.py
@@ -1,7 +1,8 @@
 """Events for those who wait for them and for listeners, together: what the front asks. No I/O.
 
-``take`` returns what is to be done: ``Answer`` a poll, or ``Batch``, a call-back to make. What came of one is
-told by ``Listeners.delivered`` and ``failed``.
+``take`` returns what is to be done: ``PollAnswer`` a poll, or ``CallbackBatch``, a call-back to make. What
+came of one is
+told by ``ListenerTable.delivered`` and ``failed``.
 """
 
 from __future__ import annotations
@@ -11,59 +12,67 @@
 from random import Random
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, try_later
-from merlinbay.batch.timers import Timer, Timers
-from merlinbay.notify.journal import Entry, Journal, JournalGapError, News, Page, Stream, Wanted
-from merlinbay.notify.listeners import Batch, Bounds, Listener, Listeners, closes
-from merlinbay.notify.targets import Allowed, TargetError
+from merlinbay.batch.timers import Timer, TimerQueue
+from merlinbay.notify.journal import (
+    EventFilter,
+    EventJournal,
+    JobEventKind,
+    JournalEntry,
+    JournalGapError,
+    JournalPage,
+    SessionStream,
+)
+from merlinbay.notify.listeners import CallbackBatch, EventListener, ListenerLimits, ListenerTable, closes
+from merlinbay.notify.targets import AllowedTargets, TargetError
 
 
 @dataclass(slots=True, eq=False)
-class Poll:
+class PendingPoll:
     """A call that waits for events."""
 
     call: object
-    stream: Stream
+    stream: SessionStream
     after: int
     limit: int
-    wanted: Wanted
+    wanted: EventFilter
     timer: Timer | None = None
     done: bool = False
 
 
 @dataclass(slots=True)
-class Answer:
+class PollAnswer:
     """The answer to a poll: events, or (at its time's end) none."""
 
     call: object
-    stream: Stream
-    page: Page
+    stream: SessionStream
+    page: JournalPage
 
 
-class Hub:
+class EventHub:
     """The journal, the polls and the listeners of one front."""
 
     def __init__(
         self,
-        journal: Journal,
-        bounds: Bounds,
+        journal: EventJournal,
+        bounds: ListenerLimits,
         polls: int,
-        allowed: Allowed,
-        timers: Timers,
+        allowed: AllowedTargets,
+        timers: TimerQueue,
         new_id: Callable[[], str],
         rng: Random,
     ) -> None:
         self.journal, self.bounds, self.most_polls, self.allowed = journal, bounds, polls, allowed
         self.timers, self.new_id = timers, new_id
-        self.listeners = Listeners(bounds, timers, rng)
-        self.polls: dict[object, Poll] = {}
-        self.waiting: dict[Stream, dict[Poll, None]] = {}
-        self.fresh: dict[Stream, None] = {}  # streams with something new
-        self.answers: list[Answer] = []
+        self.listeners = ListenerTable(bounds, timers, rng)
+        self.polls: dict[object, PendingPoll] = {}
+        self.waiting: dict[SessionStream, dict[PendingPoll, None]] = {}
+        self.fresh: dict[SessionStream, None] = {}  # streams with something new
+        self.answers: list[PollAnswer] = []
 
     def tell(
         self,
         session: str,
-        news: News,
+        news: JobEventKind,
         job: str,
         state: str,
         account: str,
@@ -84,36 +93,43 @@
             self._end(poll, self._page(stream, poll.after, poll.limit, poll.wanted))
 
     def poll(
-        self, call: object, session: str, cursor: str, limit: int, wanted: Wanted, until_us: int, now_us: int
+        self,
+        call: object,
+        session: str,
+        cursor: str,
+        limit: int,
+        wanted: EventFilter,
+        until_us: int,
+        now_us: int,
     ) -> None:
-        """Answer the call with what came after the cursor, now or once something comes.
+        """PollAnswer the call with what came after the cursor, now or once something comes.
 
         Without a cursor all that is kept comes; ``now`` means only what comes from now on, and is answered
         at once. Raises ``DrmaaError``.
         """
         stream = self.journal.open(session)
         if cursor == "now":
-            self.answers.append(Answer(call, stream, Page([], stream.last, 0)))
+            self.answers.append(PollAnswer(call, stream, JournalPage([], stream.last, 0)))
             return
         after = self._after(stream, cursor) if cursor else stream.first - 1
         page = self._page(stream, after, limit, wanted)
         if page.entries or page.missed or until_us <= now_us:
-            self.answers.append(Answer(call, stream, page))
+            self.answers.append(PollAnswer(call, stream, page))
             return
         # Guards against polls that hold every edge connection.
         if len(self.polls) >= self.most_polls:
             raise try_later("too many calls wait for events", 200_000)
-        poll = self.polls[call] = Poll(call, stream, page.upto, limit, wanted)
+        poll = self.polls[call] = PendingPoll(call, stream, page.upto, limit, wanted)
         self.waiting.setdefault(stream, {})[poll] = None
         poll.timer = self.timers.at(until_us, lambda now: self._late(poll))
 
-    def _after(self, stream: Stream, cursor: str) -> int:
+    def _after(self, stream: SessionStream, cursor: str) -> int:
         try:
             return stream.number(cursor)
         except JournalGapError as error:
             raise invalid_argument(str(error), missing=True) from None
 
-    def _page(self, stream: Stream, after: int, limit: int, wanted: Wanted) -> Page:
+    def _page(self, stream: SessionStream, after: int, limit: int, wanted: EventFilter) -> JournalPage:
         """Return the next page. What is not wanted is passed over, to the stream's end."""
         page = stream.since(after, limit, self.bounds.scan, wanted)
         while not page.entries and not page.missed and page.upto < stream.last:
@@ -126,16 +142,16 @@
         if poll is not None:
             self._clear(poll)
 
-    def _late(self, poll: Poll) -> None:
+    def _late(self, poll: PendingPoll) -> None:
         poll.timer = None
         if not poll.done:
             self._end(poll, self._page(poll.stream, poll.after, poll.limit, poll.wanted))
 
-    def _end(self, poll: Poll, page: Page) -> None:
+    def _end(self, poll: PendingPoll, page: JournalPage) -> None:
         self._clear(poll)
-        self.answers.append(Answer(poll.call, poll.stream, page))
+        self.answers.append(PollAnswer(poll.call, poll.stream, page))
 
-    def _clear(self, poll: Poll) -> None:
+    def _clear(self, poll: PendingPoll) -> None:
         poll.done = True
         del self.polls[poll.call]
         self.timers.cancel(poll.timer)
@@ -144,7 +160,7 @@
         if not rest:
             del self.waiting[poll.stream]
 
-    def take(self, now_us: int) -> list[Answer | Batch]:
+    def take(self, now_us: int) -> list[PollAnswer | CallbackBatch]:
         """Return what is to be done now."""
         fresh, self.fresh = self.fresh, {}
         for stream in fresh:
@@ -159,8 +175,8 @@
         return [*answers, *self.listeners.take(now_us)]
 
     def register(
-        self, session: str, url: str, wanted: Wanted, key: bytes, cursor: str, owner: str
-    ) -> Listener:
+        self, session: str, url: str, wanted: EventFilter, key: bytes, cursor: str, owner: str
+    ) -> EventListener:
         """Register a listener. It gets what comes after the cursor; without one, after this moment."""
         if len(self.listeners.all) >= self.bounds.listeners:
             raise DrmaaError("OutOfResourceException", f"{self.bounds.listeners} listeners are registered")
@@ -170,11 +186,11 @@
             raise DrmaaError("DeniedByDrmsException", f"url: {error}") from None
         stream = self.journal.open(session)
         after = self._after(stream, cursor) if cursor else stream.last
-        listener = Listener(self.new_id(), stream, url, target, wanted, [key], after, owner)
+        listener = EventListener(self.new_id(), stream, url, target, wanted, [key], after, owner)
         self.listeners.add(listener)
         return listener
 
-    def listener(self, session: str, listener_id: str, owner: str | None) -> Listener:
+    def listener(self, session: str, listener_id: str, owner: str | None) -> EventListener:
         """Return a listener of a session that the asker may know of. Raises ``DrmaaError``."""
         found = self.listeners.all.get(listener_id)
         if (
@@ -187,12 +203,14 @@
         return found
 
 
-def wanted_of(names: list[str], account: str | None, job: str = "") -> Wanted:
+def wanted_of(names: list[str], account: str | None, job: str = "") -> EventFilter:
     """Return which events are meant; none named means all. Raises ``DrmaaError``."""
     try:
-        return Wanted(frozenset(News(name) for name in names) or frozenset(News), account, job)
+        return EventFilter(
+            frozenset(JobEventKind(name) for name in names) or frozenset(JobEventKind), account, job
+        )
     except ValueError:
-        raise invalid_argument(f"events: {', '.join(News)}") from None
+        raise invalid_argument(f"events: {', '.join(JobEventKind)}") from None
 
 
-__all__ = ["Answer", "Batch", "Entry", "Hub", "Listener", "wanted_of"]
+__all__ = ["PollAnswer", "CallbackBatch", "JournalEntry", "EventHub", "EventListener", "wanted_of"]
--- a/merlinbay/notify/journal.py
+++ b/merlinbay/notify/journal.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 
-class News(StrEnum):
+class JobEventKind(StrEnum):
     """The events of GFD.194, 8.3.6."""
 
     NEW_STATE = "NEW_STATE"
@@ -26,12 +26,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class JournalEntry:
     """One event."""
 
     number: int  # in its stream, from 1 on
     at_us: int
-    news: News
+    news: JobEventKind
     job: str
     state: str
     account: str
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class EventFilter:
     """Which events a reader wants."""
 
-    news: frozenset[News] = frozenset(News)
+    news: frozenset[JobEventKind] = frozenset(JobEventKind)
     account: str | None = None  # None: of all accounts
     job: str = ""  # "": of all jobs; an array's id means its members too
 
-    def accepts(self, entry: Entry) -> bool:
+    def accepts(self, entry: JournalEntry) -> bool:
         """Tell whether an event is among them."""
         return (
             entry.news in self.news
@@ -58,21 +58,21 @@
 
 
 @dataclass(slots=True)
-class Page:
+class JournalPage:
     """What a reader gets: events, how far that is, and how many it can no longer have."""
 
-    entries: list[Entry]
+    entries: list[JournalEntry]
     upto: int
     missed: int
 
 
 @dataclass(slots=True, eq=False)
-class Stream:
+class SessionStream:
     """The events of one session."""
 
     id: str
     session: str
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[JournalEntry] = field(default_factory=list)
     start: int = 0  # place of the oldest one kept: dropping one moves nothing
     last: int = 0  # number of the newest one
     ended: bool = False  # the session is gone: nothing comes any more
@@ -93,11 +93,11 @@
             raise JournalGapError(f"cursor {cursor[:60]!r} is not of this session's events")
         return int(number)
 
-    def since(self, after: int, limit: int, scan: int, wanted: Wanted) -> Page:
+    def since(self, after: int, limit: int, scan: int, wanted: EventFilter) -> JournalPage:
         """Return the next events that are wanted; no more than ``scan`` are looked at."""
         missed = max(0, self.first - 1 - after)
         at = self.start + max(after, self.first - 1) + 1 - self.first
-        found: list[Entry] = []
+        found: list[JournalEntry] = []
         upto = max(after, self.first - 1)
         for entry in self.entries[at : at + scan]:
             upto = entry.number
@@ -105,9 +105,9 @@
                 found.append(entry)
                 if len(found) == limit:
                     break
-        return Page(found, upto, missed)
+        return JournalPage(found, upto, missed)
 
-    def drop(self) -> Entry:
+    def drop(self) -> JournalEntry:
         """Drop the oldest event."""
         entry = self.entries[self.start]
         self.start += 1
@@ -117,21 +117,21 @@
         return entry
 
 
-class Journal:
+class EventJournal:
     """All streams, within so many events and so many bytes: the oldest of all goes first."""
 
     def __init__(self, most: int, most_bytes: int, new_id: Callable[[], str]) -> None:
         self.most, self.most_bytes, self.new_id = most, most_bytes, new_id
-        self.streams: dict[str, Stream] = {}
-        self.order: deque[Stream] = deque()  # whose event is the next oldest
+        self.streams: dict[str, SessionStream] = {}
+        self.order: deque[SessionStream] = deque()  # whose event is the next oldest
         self.bytes = 0
         self.dropped = 0
 
-    def open(self, session: str) -> Stream:
+    def open(self, session: str) -> SessionStream:
         """Return a session's stream. A session that comes again under a name has a new one."""
         stream = self.streams.get(session)
         if stream is None:
-            stream = self.streams[session] = Stream(self.new_id(), session)
+            stream = self.streams[session] = SessionStream(self.new_id(), session)
         return stream
 
     def close(self, session: str) -> None:
@@ -143,18 +143,18 @@
     def add(
         self,
         session: str,
-        news: News,
+        news: JobEventKind,
         job: str,
         state: str,
         account: str,
         at_us: int,
         machine: str = "",
         members: int = 1,
-    ) -> Stream:
+    ) -> SessionStream:
         """Note an event."""
         stream = self.open(session)
         stream.last += 1
-        entry = Entry(stream.last, at_us, news, job, state, account, machine, members)
+        entry = JournalEntry(stream.last, at_us, news, job, state, account, machine, members)
         stream.entries.append(entry)
         self.order.append(stream)
         self.bytes += size_of(entry)
@@ -164,6 +164,6 @@
         return stream
 
 
-def size_of(entry: Entry) -> int:
+def size_of(entry: JournalEntry) -> int:
     """Return about how many bytes an event takes, its text as the wire has it included."""
     return 500 + 2 * (len(entry.job) + len(entry.account) + len(entry.machine))
--- a/merlinbay/notify/listeners.py
+++ b/merlinbay/notify/listeners.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from merlinbay.batch.timers import Timers
-from merlinbay.notify.journal import Entry, Journal, Stream, Wanted
-from merlinbay.notify.targets import Target
+from merlinbay.batch.timers import TimerQueue
+from merlinbay.notify.journal import EventFilter, EventJournal, JournalEntry, SessionStream
+from merlinbay.notify.targets import CallbackTarget
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ListenerLimits:
     """Numbers, and times in microseconds."""
 
     listeners: int = 1000
@@ -33,14 +33,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Listener:
+class EventListener:
     """One that is called back."""
 
     id: str
-    stream: Stream
+    stream: SessionStream
     url: str
-    target: Target
-    wanted: Wanted
+    target: CallbackTarget
+    wanted: EventFilter
     keys: list[bytes]  # the newest first
     after: int  # it has all events up to this one
     owner: str = ""
@@ -62,11 +62,11 @@
 
 
 @dataclass(slots=True)
-class Batch:
+class CallbackBatch:
     """A call-back to make."""
 
-    listener: Listener
-    entries: list[Entry]
+    listener: EventListener
+    entries: list[JournalEntry]
     upto: int
     missed: int
     keys: list[bytes] = field(default_factory=list)
@@ -77,24 +77,24 @@
         return f"{self.listener.id}.{self.listener.after + 1}-{self.upto}"
 
 
-class Listeners:
+class ListenerTable:
     """All of them."""
 
-    def __init__(self, bounds: Bounds, timers: Timers, rng: Random) -> None:
+    def __init__(self, bounds: ListenerLimits, timers: TimerQueue, rng: Random) -> None:
         self.bounds, self.timers, self.rng = bounds, timers, rng
-        self.all: dict[str, Listener] = {}
-        self.of: dict[Stream, dict[Listener, None]] = {}
-        self.lanes: tuple[deque[Listener], deque[Listener]] = (deque(), deque())  # trial, quick
+        self.all: dict[str, EventListener] = {}
+        self.of: dict[SessionStream, dict[EventListener, None]] = {}
+        self.lanes: tuple[deque[EventListener], deque[EventListener]] = (deque(), deque())  # trial, quick
         self.under_way = [0, 0]
         self.dropped = 0  # listeners given up
 
-    def add(self, listener: Listener) -> None:
+    def add(self, listener: EventListener) -> None:
         """Take a new one."""
         self.all[listener.id] = listener
         self.of.setdefault(listener.stream, {})[listener] = None
         self.wake(listener)
 
-    def remove(self, listener: Listener) -> None:
+    def remove(self, listener: EventListener) -> None:
         """Forget one; what is under way to it comes to nothing."""
         if self.all.pop(listener.id, None) is None:
             return
@@ -103,17 +103,17 @@
         if not rest:
             del self.of[listener.stream]
 
-    def rotate(self, listener: Listener, key: bytes, now_us: int) -> None:
+    def rotate(self, listener: EventListener, key: bytes, now_us: int) -> None:
         """Sign with a new key; the last one signs as well for a while."""
         listener.keys = [key, listener.keys[0]]
         listener.old_until_us = now_us + self.bounds.overlap_us
 
-    def news(self, stream: Stream) -> None:
+    def news(self, stream: SessionStream) -> None:
         """Take it that a stream has something new, or has ended."""
         for listener in list(self.of.get(stream, ())):
             self.wake(listener)
 
-    def wake(self, listener: Listener) -> None:
+    def wake(self, listener: EventListener) -> None:
         """Let one wait for its place, if there is something for it."""
         if listener.busy or listener.due_us or listener.id not in self.all:
             return
@@ -123,7 +123,7 @@
         elif listener.stream.ended:
             self.remove(listener)
 
-    def take(self, now_us: int) -> list[Batch]:
+    def take(self, now_us: int) -> list[CallbackBatch]:
         """Return the call-backs to make now."""
         found = []
         for quick, most in ((False, self.bounds.trial), (True, self.bounds.quick)):
@@ -136,7 +136,7 @@
                     found.append(batch)
         return found
 
-    def _batch(self, listener: Listener, now_us: int) -> Batch | None:
+    def _batch(self, listener: EventListener, now_us: int) -> CallbackBatch | None:
         if len(listener.keys) > 1 and listener.old_until_us <= now_us:
             del listener.keys[1:]
         stream = listener.stream
@@ -147,13 +147,13 @@
             page = stream.since(listener.after, limit, scan, listener.wanted)
             if page.entries or page.missed:
                 listener.upto = page.upto
-                return Batch(listener, page.entries, page.upto, page.missed, list(listener.keys))
+                return CallbackBatch(listener, page.entries, page.upto, page.missed, list(listener.keys))
             listener.after = page.upto  # nothing among them is wanted
         listener.busy = False
         self.wake(listener)
         return None
 
-    def delivered(self, batch: Batch, took_us: int, now_us: int) -> None:
+    def delivered(self, batch: CallbackBatch, took_us: int, now_us: int) -> None:
         """Take it that a listener has taken a call-back."""
         listener = self._back(batch)
         listener.after, listener.upto = batch.upto, 0
@@ -163,7 +163,9 @@
         listener.quick, listener.why = took_us < self.bounds.slow_us, ""
         self.wake(listener)
 
-    def failed(self, batch: Batch, why: str, now_us: int, wait_us: int = 0, gone: bool = False) -> None:
+    def failed(
+        self, batch: CallbackBatch, why: str, now_us: int, wait_us: int = 0, gone: bool = False
+    ) -> None:
         """Take it that a call-back failed; ``wait_us``: the listener's wish; ``gone``: it wants no more."""
         listener = self._back(batch)
         listener.failures += 1
@@ -179,18 +181,18 @@
         listener.due_us = now_us + wait
         self.timers.at(listener.due_us, lambda now: self._due(listener))
 
-    def _due(self, listener: Listener) -> None:
+    def _due(self, listener: EventListener) -> None:
         listener.due_us = 0
         self.wake(listener)
 
-    def _back(self, batch: Batch) -> Listener:
+    def _back(self, batch: CallbackBatch) -> EventListener:
         listener = batch.listener
         self.under_way[listener.quick] -= 1
         listener.busy = False
         return listener
 
 
-def closes(journal: Journal, listeners: Listeners, session: str) -> None:
+def closes(journal: EventJournal, listeners: ListenerTable, session: str) -> None:
     """Close a session's stream; its listeners get what is left, and go."""
     stream = journal.streams.get(session)
     if stream is not None:
--- a/merlinbay/notify/sender.py
+++ b/merlinbay/notify/sender.py
@@ -14,7 +14,7 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 from merlinbay.notify import signing
-from merlinbay.notify.listeners import Batch, Listeners
+from merlinbay.notify.listeners import CallbackBatch, ListenerTable
 
 POOLED_ADDRESSES = 64
 UNUSED_ADDRESSES_DROPPED = 8  # at once
@@ -38,13 +38,13 @@
             self._drop_idle(self.servers.pop(next(iter(self.servers))))
 
 
-class Sender:
-    """Sends batches of events to listeners, and reports the results to ``Listeners``."""
+class CallbackSender:
+    """Sends batches of events to listeners, and reports the results to ``ListenerTable``."""
 
     def __init__(
         self,
-        listeners: Listeners,
-        write: Callable[[Batch], bytes],
+        listeners: ListenerTable,
+        write: Callable[[CallbackBatch], bytes],
         flush: Callable[[int], None],
         clock: Clock,
         limits: ResourceLimits,
@@ -73,13 +73,13 @@
             nursery.start_soon(self.pool.sweep)
             await trio.sleep_forever()
 
-    def send(self, batch: Batch) -> None:
+    def send(self, batch: CallbackBatch) -> None:
         """Send one batch. Does not wait."""
         if self.nursery is None:
             raise RuntimeError("the sender does not run yet")
         self.nursery.start_soon(self._send, batch)
 
-    async def _send(self, batch: Batch) -> None:
+    async def _send(self, batch: CallbackBatch) -> None:
         body, began_at_us = self.write(batch), self.clock.now_us()
         headers = [
             ("content-type", "application/json"),
@@ -110,7 +110,7 @@
             self.log.event("call_back_faulty", level="error", error=cause)
             return None, cause
 
-    def _report_failure(self, batch: Batch, reply: Reply | None, cause: str, now_us: int) -> None:
+    def _report_failure(self, batch: CallbackBatch, reply: Reply | None, cause: str, now_us: int) -> None:
         self.counters.add("call_backs_failed")
         is_gone, retry_after_us = False, 0
         if reply is not None:  # a redirection is not followed: it could lead anywhere
--- a/merlinbay/notify/settings.py
+++ b/merlinbay/notify/settings.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from merlinbay.notify.listeners import Bounds
+from merlinbay.notify.listeners import ListenerLimits
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Number = Annotated[int, msgspec.Meta(ge=0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
 
 
-class Events(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class EventSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What is kept of events, and whom they may be sent to."""
 
     keep: Number = 0  # events kept for polls and listeners, over all sessions; 0: events are off
@@ -29,10 +29,10 @@
     give_up: Seconds = 3600.0  # a listener that has failed for so long is dropped
     overlap: Seconds = 86_400.0  # how long the key before the last one signs as well
 
-    def bounds(self) -> Bounds:
+    def bounds(self) -> ListenerLimits:
         """Return what the listeners are bound by."""
         trial = max(1, self.connections // 3)
-        return Bounds(
+        return ListenerLimits(
             self.listeners,
             self.batch,
             2000,
--- a/merlinbay/notify/targets.py
+++ b/merlinbay/notify/targets.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class CallbackTarget:
     """Where a listener listens."""
 
     addr: str  # host:port
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class AllowedTargets:
     """The networks that call-backs may go to, each with one port or (0) any; and our own addresses."""
 
     networks: tuple[tuple[Network, int], ...] = ()
     own: frozenset[tuple[str, int]] = frozenset()
 
     @classmethod
-    def read(cls, texts: Iterable[str], own: Iterable[tuple[str, int]]) -> Allowed:
+    def read(cls, texts: Iterable[str], own: Iterable[tuple[str, int]]) -> AllowedTargets:
         """Read ``127.0.0.0/8`` or ``10.1.0.5/32:9000``. Raises ``ValueError``."""
         networks = []
         for text in texts:
@@ -40,7 +40,7 @@
             networks.append((Network(network), int(port or 0)))
         return cls(tuple(networks), frozenset(own))
 
-    def target(self, url: str) -> Target:
+    def target(self, url: str) -> CallbackTarget:
         """Read a listener's URL. Raises ``TargetError``."""
         if len(url) > 2000 or any(ord(char) <= 32 or ord(char) > 126 for char in url):
             raise TargetError("a URL has at most 2000 printable characters")
@@ -59,4 +59,4 @@
         if not any(address in network and wanted in (0, port) for network, wanted in self.networks):
             raise TargetError("the operator allows no call-backs there")
         path = parts.path or "/"
-        return Target(f"{host}:{port}", f"{path}?{parts.query}" if parts.query else path)
+        return CallbackTarget(f"{host}:{port}", f"{path}?{parts.query}" if parts.query else path)
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -10,10 +10,10 @@
 
 from merlinbay.control_service.settings import ControlSection as Control
 from merlinbay.dnssd.settings import DnsSd
-from merlinbay.drmaa.settings import Drmaa
+from merlinbay.drmaa.settings import DrmaaSettings
 from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.fleet.settings import FleetSettings
-from merlinbay.notify.targets import Allowed
+from merlinbay.notify.targets import AllowedTargets
 
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -27,7 +27,7 @@
 class Operator(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """The operator's file."""
 
-    drmaa: Drmaa = msgspec.field(default_factory=Drmaa)
+    drmaa: DrmaaSettings = msgspec.field(default_factory=DrmaaSettings)
     dnssd: DnsSd | None = None
     fleet: FleetSettings = msgspec.field(default_factory=FleetSettings)
     control: Control | None = None
@@ -66,7 +66,7 @@
     if drmaa.access.tls:
         _check_address("drmaa.access.tls", drmaa.access.tls)
     try:
-        Allowed.read(drmaa.events.to, ())
+        AllowedTargets.read(drmaa.events.to, ())
     except ValueError as error:
         raise ConfigurationError(f"drmaa.events.to: {error}") from None
     names = [session.name for session in drmaa.session]
--- a/merlinbay/reserve/book.py
+++ b/merlinbay/reserve/calendar.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from merlinbay.batch.errors import DrmaaError, invalid_argument, invalid_state
-from merlinbay.batch.timers import NEVER, Timer, Timers
+from merlinbay.batch.timers import NEVER, Timer, TimerQueue
 from merlinbay.reserve.timeline import Timeline
 
 TRIES = 256  # starts that are looked at for the earliest one
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ReservationLimits:
     """What may be reserved; times in microseconds."""
 
     most: int = 10_000  # reservations that have not ended
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ReservationSpec:
     """What is asked for. Missing times are 0 (GFD.194, ReservationTemplate)."""
 
     low: int  # slots,
@@ -57,7 +57,7 @@
     """One reservation."""
 
     id: str
-    wish: Wish
+    wish: ReservationSpec
     account: str | None
     session: str
     start_us: int
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class ReservableServer:
     """A server as the book knows it."""
 
     slots: int  # that may be reserved
@@ -91,18 +91,18 @@
     holds: dict[Reservation, None] = field(default_factory=dict)
 
 
-class SlotBook:
+class ReservationCalendar:
     """All reservations. ``changed`` is called with each one that something happens to, and what that is."""
 
     def __init__(
         self,
-        bounds: Bounds,
-        timers: Timers,
+        bounds: ReservationLimits,
+        timers: TimerQueue,
         new_id: Callable[[], str],
         changed: Callable[[Reservation, str], None],
     ) -> None:
         self.bounds, self.timers, self.new_id, self.changed = bounds, timers, new_id, changed
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, ReservableServer] = {}
         self.all: dict[str, Reservation] = {}
         self.open = self.turn = 0
         self.ended: dict[Reservation, None] = {}
@@ -114,7 +114,7 @@
         """Take it that a server is there, drains (not ``up``), or has another size."""
         known = self.servers.get(name)
         if known is None:
-            known = self.servers[name] = Server(0)
+            known = self.servers[name] = ReservableServer(0)
         known.slots = int(slots * self.bounds.share)
         went = known.up and not up
         known.up = up
@@ -129,7 +129,7 @@
             self._leave(name, known, "is gone", now_us)
             del self.servers[name]
 
-    def _leave(self, name: str, server: Server, why: str, now_us: int) -> None:
+    def _leave(self, name: str, server: ReservableServer, why: str, now_us: int) -> None:
         """Move what was reserved there, or say that it is lost; the earliest windows are served first."""
         for found in sorted(server.holds, key=lambda held: (held.start_us, held.id)):
             begin, slots = max(found.start_us, now_us), found.slots.pop(name)
@@ -183,7 +183,7 @@
         server.holds[found] = None
         found.slots[name] = found.slots.get(name, 0) + slots
 
-    def reserve(self, wish: Wish, account: str | None, session: str, now_us: int) -> Reservation:
+    def reserve(self, wish: ReservationSpec, account: str | None, session: str, now_us: int) -> Reservation:
         """Book a wish, at the earliest time that it allows. Raises ``DrmaaError``."""
         begin, latest, length = self._window(wish, now_us)
         if self.open >= self.bounds.most:
@@ -210,7 +210,7 @@
         )
         return found
 
-    def _window(self, wish: Wish, now_us: int) -> tuple[int, int, int]:
+    def _window(self, wish: ReservationSpec, now_us: int) -> tuple[int, int, int]:
         """Return the earliest start, the latest one, and the length."""
         start, end, length = wish.start_us, wish.end_us, wish.duration_us
         if not 1 <= wish.low <= wish.high:
--- a/merlinbay/reserve/settings.py
+++ b/merlinbay/reserve/settings.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from merlinbay.reserve.book import Bounds
+from merlinbay.reserve.calendar import ReservationLimits
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
 OTHERS = "*"
 
 
-class Reservations(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class ReservationSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What may be reserved ahead."""
 
     slots: dict[str, Count] = {}  # of a real server, by its kind; "*": of any other kind; none: off
@@ -24,9 +24,9 @@
     lead: Annotated[float, msgspec.Meta(ge=0)] = 60.0  # slots are kept free from so long before the window on
     unused: Annotated[float, msgspec.Meta(ge=0)] = 300.0  # one that no job uses for so long ends; 0: it lasts
 
-    def bounds(self) -> Bounds:
+    def bounds(self) -> ReservationLimits:
         """Return what the book is bound by."""
-        return Bounds(
+        return ReservationLimits(
             self.most,
             self.share,
             int(self.ahead * 1e6),
--- a/merlinbay/rig/proxy.py
+++ b/merlinbay/rig/proxy.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from merlinbay.rig.script import Net
+from merlinbay.rig.script import LinkFaults
 
 PORT = 7946
 PAST = 500  # datagrams kept, to be sent once more
@@ -25,7 +25,7 @@
 class Proxies:
     """All links of a run."""
 
-    def __init__(self, real: list[str], shown: list[str], rng: Random, net: Net) -> None:
+    def __init__(self, real: list[str], shown: list[str], rng: Random, net: LinkFaults) -> None:
         self.real, self.shown, self.rng, self.net = real, shown, rng, net
         self.index = {addr: number for number, addr in enumerate(real)}
         self.cut: set[tuple[int, int]] = set()  # from, to
--- a/merlinbay/rig/run.py
+++ b/merlinbay/rig/run.py
@@ -22,7 +22,7 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.rig.processes import Process
 from merlinbay.rig.proxy import PORT, Proxies
-from merlinbay.rig.script import Script, Step
+from merlinbay.rig.script import FaultSchedule, ScheduleStep
 
 LIMITS = ResourceLimits()
 STEP_S = 0.25  # between two looks at the members
@@ -50,10 +50,10 @@
     raise StepFailedError("no free loopback net")
 
 
-class Rig:
+class FaultInjectionRun:
     """One run."""
 
-    def __init__(self, script: Script, folder: Path, former: Path | None = None) -> None:
+    def __init__(self, script: FaultSchedule, folder: Path, former: Path | None = None) -> None:
         self.script, self.folder = script, folder
         self.rng = Random(script.seed)
         net = own_net()
@@ -172,7 +172,7 @@
             else:
                 await trio.sleep(STARVE_S)
 
-    async def _do(self, step: Step) -> None:
+    async def _do(self, step: ScheduleStep) -> None:
         """Carry out a step of the schedule. Raises ``StepFailedError`` where what must hold does not."""
         chosen = [self.processes[number] for number in step.nodes]
         names = {process.name for process in chosen}
@@ -203,7 +203,7 @@
             else:
                 process.signal(signal.SIGTERM if how == "term" else signal.SIGSTOP)
 
-    async def _restart(self, step: Step, chosen: list[Process]) -> None:
+    async def _restart(self, step: ScheduleStep, chosen: list[Process]) -> None:
         """Kill and start processes, so many times with a pause between."""
         for number in range(step.times):
             await trio.sleep(step.every if number else 0)
@@ -211,7 +211,7 @@
                 process.kill()
                 process.start()
 
-    async def _expect(self, step: Step, chosen: list[Process]) -> None:
+    async def _expect(self, step: ScheduleStep, chosen: list[Process]) -> None:
         """Wait for what must come to hold."""
         match step.do:
             case "settled":
@@ -223,12 +223,12 @@
             case _:
                 await self._force_epoch(step, chosen[0])
 
-    async def _force_epoch(self, step: Step, process: Process) -> None:
+    async def _force_epoch(self, step: ScheduleStep, process: Process) -> None:
         lost = ",".join(f"n{number}" for number in step.to)
         if await self.call(process, "POST", f"epoch?lose={lost}") is None:
             raise StepFailedError(f"at {step.at:g} s, {process.name} does not force an epoch without {lost}")
 
-    async def _disturb_links(self, step: Step) -> None:
+    async def _disturb_links(self, step: ScheduleStep) -> None:
         """Cut, heal or worsen links between processes."""
         match step.do:
             case "cut":
@@ -244,7 +244,7 @@
             case _:
                 await self.proxies.replay()
 
-    def _disturb_processes(self, step: Step, chosen: list[Process]) -> None:
+    def _disturb_processes(self, step: ScheduleStep, chosen: list[Process]) -> None:
         """Disturb processes that go on, or what they are told."""
         match step.do:
             case "wipe":
@@ -319,7 +319,7 @@
                 )
         return found
 
-    async def _settled(self, step: Step) -> None:
+    async def _settled(self, step: ScheduleStep) -> None:
         """Wait until all see exactly those that are there, all of them alive. Raises ``StepFailedError``."""
         end, wrong = trio.current_time() + step.within, "nobody is left"
         while trio.current_time() < end:
@@ -335,7 +335,7 @@
             await trio.sleep(STEP_S)
         raise StepFailedError(f"at {step.at:g} s, not settled within {step.within:g} s: {wrong}")
 
-    async def _agree(self, step: Step) -> None:
+    async def _agree(self, step: ScheduleStep) -> None:
         """Wait until the nodes of a side see just that side. Raises ``StepFailedError``."""
         side, end = {f"n{number}" for number in step.nodes}, trio.current_time() + step.within
         wrong: dict[str, list[str]] = {}
@@ -348,7 +348,7 @@
             await trio.sleep(STEP_S)
         raise StepFailedError(f"at {step.at:g} s, {sorted(side)} do not see just themselves: {wrong}")
 
-    async def _epoch(self, step: Step) -> None:
+    async def _epoch(self, step: ScheduleStep) -> None:
         """Wait until nodes are at an epoch of just these members. Raises ``StepFailedError``."""
         members = [f"n{number}" for number in sorted(step.to or step.nodes)]
         end, wrong = trio.current_time() + step.within, ""
@@ -366,12 +366,12 @@
         raise StepFailedError(f"at {step.at:g} s, no epoch of {members} within {step.within:g} s: {wrong}")
 
 
-def play(script: Script, folder: Path, former: Path | None = None) -> str:
+def play(script: FaultSchedule, folder: Path, former: Path | None = None) -> str:
     """Play a script; return why it failed; empty: it did not. The history is in ``folder``.
 
     With ``former``, every second node is that folder's program.
     """
-    rig = Rig(script, folder, former)
+    rig = FaultInjectionRun(script, folder, former)
     # Guards against nodes that outlive a run that is told to end: SIGTERM ends it as Ctrl-C does.
     before = signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     try:
--- a/merlinbay/rig/script.py
+++ b/merlinbay/rig/script.py
@@ -41,7 +41,7 @@
     """A script that cannot be played; one line."""
 
 
-class Net(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class LinkFaults(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What a link does to what it carries."""
 
     delay_ms: Not = 0.0
@@ -53,7 +53,7 @@
     half_open: bool = False  # streams are taken, and then nothing comes
 
 
-class Step(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class ScheduleStep(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """One thing that is done, or that must hold."""
 
     at: Not
@@ -66,11 +66,11 @@
     by: float = 0.0  # of ``clock``: seconds; of ``starve``: share of the time that it runs
     times: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # of ``restart``: how often,
     every: Not = 0.0  # with so long between
-    net: Net | None = None
+    net: LinkFaults | None = None
     within: Not = 30.0  # of ``settled`` and ``agree``: how long to wait for it
 
 
-class Script(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class FaultSchedule(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """A run."""
 
     name: str
@@ -79,14 +79,14 @@
     nodes: Annotated[int, msgspec.Meta(ge=1, le=60)] = 5
     data: bool = True  # nodes have a folder that lasts
     fleet: dict[str, int | float] = {}  # keys of section ``fleet`` in place of the rig's
-    net: Net = msgspec.field(default_factory=Net)
-    step: list[Step] = []
+    net: LinkFaults = msgspec.field(default_factory=LinkFaults)
+    step: list[ScheduleStep] = []
 
 
-def read(text: str, name: str) -> Script:
+def read(text: str, name: str) -> FaultSchedule:
     """Read a script. Raises ``FaultScheduleError``."""
     try:
-        script = msgspec.convert(tomllib.loads(text), Script)
+        script = msgspec.convert(tomllib.loads(text), FaultSchedule)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise FaultScheduleError(f"{name}: {error}") from None
     last = 0.0
@@ -99,7 +99,7 @@
     return script
 
 
-def load(name: str) -> Script:
+def load(name: str) -> FaultSchedule:
     """Read a script of the library by its name, or one from a file. Raises ``FaultScheduleError``."""
     folder = resources.files("merlinbay.rig") / "scripts"
     known = {
--- a/merlinbay/scale/host.py
+++ b/merlinbay/scale/host.py
@@ -19,8 +19,8 @@
 from merlinbay.scale.layout import address_of, zone_of
 from merlinbay.scale.meters import ProcessReading
 from merlinbay.scale.registry import ROLES
-from merlinbay.scale.roles import HollowMember, MemberContext, Role, RunFacts
-from merlinbay.scale.sockets import CURRENT, Endpoint, Network
+from merlinbay.scale.roles import HollowMember, MemberContext, MemberRole, RunFacts
+from merlinbay.scale.sockets import CURRENT, MemberSockets, MeteredNetwork
 
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
@@ -34,19 +34,19 @@
 class Hosted:
     """One member here."""
 
-    endpoint: Endpoint
+    endpoint: MemberSockets
     lives: int = 0
     member: HollowMember | None = None
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     over: trio.Event = field(default_factory=trio.Event)
 
 
-class Host:
+class MemberHost:
     """The members of this process, and what is told of them."""
 
     def __init__(self, setup: messages.Setup, nursery: trio.Nursery) -> None:
         self.setup, self.nursery = setup, nursery
-        self.role: Role = ROLES[setup.role.role]
+        self.role: MemberRole = ROLES[setup.role.role]
         self.run = RunFacts(
             setup.net,
             setup.size,
@@ -56,7 +56,7 @@
             setup.disturbances,
             setup.numbers,
         )
-        self.network = Network(setup.net, setup.topology, frozenset(setup.watched), nursery)
+        self.network = MeteredNetwork(setup.net, setup.topology, frozenset(setup.watched), nursery)
         trio.socket.set_custom_socket_factory(self.network)
         nursery.start_soon(self.network.run)
         self.hosted: dict[int, Hosted] = {}
@@ -82,12 +82,12 @@
             case messages.Act(number, action, text):
                 member = self.hosted[number].member
                 assert member is not None
-                return messages.Done(await member.act(action, text) + self.offset)
+                return messages.OrderDone(await member.act(action, text) + self.offset)
             case messages.GetReading():
                 return self._reading()
             case messages.GetProgress():
                 running = {number: hosted.member for number, hosted in self.hosted.items()}
-                return messages.Progress(
+                return messages.ProgressReading(
                     {number: member.progress() for number, member in running.items() if member is not None}
                 )
             case messages.GetObservations():
@@ -100,14 +100,14 @@
                 self.recording, self.times = True, {}
                 return self.done()
 
-    def done(self) -> messages.Done:
+    def done(self) -> messages.OrderDone:
         """Return the moment at which something was done."""
-        return messages.Done(trio.current_time() + self.offset)
+        return messages.OrderDone(trio.current_time() + self.offset)
 
-    async def _start(self, number: int) -> messages.Done:
+    async def _start(self, number: int) -> messages.OrderDone:
         address = address_of(self.setup.net, number)
         zone = zone_of(self.setup.topology, number)
-        hosted = self.hosted.setdefault(number, Hosted(Endpoint(number, address, zone)))
+        hosted = self.hosted.setdefault(number, Hosted(MemberSockets(number, address, zone)))
         hosted.lives += 1
         seed = f"{self.setup.seed} {number} {hosted.lives}"
         context = MemberContext(number, address, self.setup.role, self.run, Random(seed), self.observe)
@@ -125,7 +125,7 @@
         hosted.endpoint.close()
         hosted.over.set()
 
-    async def _stop(self, number: int) -> messages.Done:
+    async def _stop(self, number: int) -> messages.OrderDone:
         hosted = self.hosted[number]
         hosted.scope.cancel()
         hosted.member = None
@@ -177,11 +177,11 @@
     setup = messages.decode_order(first)
     assert isinstance(setup, messages.Setup)
     async with trio.open_nursery() as nursery:
-        host = Host(setup, nursery)
+        host = MemberHost(setup, nursery)
         await answers.send_all(messages.frame(host.done()))
         while (data := await orders.next()) is not None:
             order = messages.decode_order(data)
-            if isinstance(order, messages.Stop):
+            if isinstance(order, messages.StopHost):
                 break
             await answers.send_all(messages.frame(await host.handle(order)))
         nursery.cancel_scope.cancel()
--- a/merlinbay/scale/layout.py
+++ b/merlinbay/scale/layout.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from merlinbay.scale.plan import Plan, RolePlan, Topology
+from merlinbay.scale.plan import RolePlan, ScalePlan, Topology
 
 FIRST_BLOCK = 2  # 127.N.2.1 is the first address: what ``rig.run.own_net`` looks at to find a net in use
 BLOCK = 250
@@ -54,7 +54,9 @@
     numbers: tuple[int, ...]
 
 
-def layout(plan: Plan, size: int, real: dict[str, int]) -> tuple[list[ProcessLayout], dict[str, list[int]]]:
+def layout(
+    plan: ScalePlan, size: int, real: dict[str, int]
+) -> tuple[list[ProcessLayout], dict[str, list[int]]]:
     """Deal the members of a size out; ``real``: so many of a role, its last ones, get their own process.
 
     Return the hollow processes, and the numbers of the real members by role.
--- a/merlinbay/scale/limits.py
+++ b/merlinbay/scale/limits.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from merlinbay.scale.layout import layout
-from merlinbay.scale.plan import Plan
+from merlinbay.scale.plan import ScalePlan
 from merlinbay.scale.roles import MemberNeed
 
 MIB = 1024 * 1024
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class SizeNeed:
     """What a size takes."""
 
     memory_bytes: int
@@ -22,7 +22,7 @@
     cores: float
 
 
-def need_of(plan: Plan, size: int, real: dict[str, int], needs: dict[str, MemberNeed]) -> Need:
+def need_of(plan: ScalePlan, size: int, real: dict[str, int], needs: dict[str, MemberNeed]) -> SizeNeed:
     """Reckon what a size needs, the process that leads the run included."""
     hollow, alone = layout(plan, size, real)
     processes = 1 + len(hollow) + sum(map(len, alone.values()))
@@ -31,10 +31,10 @@
         members, need = plan.members_of(role, size), needs[role.role]
         memory += members * (need.memory_bytes + need.memory_bytes_a_member * size)
         cores += members * (need.cores + need.cores_a_member * size)
-    return Need(int(memory), processes, cores)
+    return SizeNeed(int(memory), processes, cores)
 
 
-def unfit(plan: Plan, size: int, real: dict[str, int], needs: dict[str, MemberNeed]) -> str:
+def unfit(plan: ScalePlan, size: int, real: dict[str, int], needs: dict[str, MemberNeed]) -> str:
     """Return why a size does not fit, in one line; empty: it does."""
     need, limits = need_of(plan, size, real, needs), plan.limits
     if need.processes > limits.processes:
--- a/merlinbay/scale/messages.py
+++ b/merlinbay/scale/messages.py
@@ -46,7 +46,7 @@
     text: str = ""
 
 
-class Record(msgspec.Struct, frozen=True, tag=True):
+class StartRecording(msgspec.Struct, frozen=True, tag=True):
     """Forget what was observed, and write down what is from now on."""
 
 
@@ -62,14 +62,24 @@
     """Ask for what the members have observed."""
 
 
-class Stop(msgspec.Struct, frozen=True, tag=True):
+class StopHost(msgspec.Struct, frozen=True, tag=True):
     """End."""
 
 
-Order = Setup | StartMember | StopMember | Act | Record | GetReading | GetProgress | GetObservations | Stop
+Order = (
+    Setup
+    | StartMember
+    | StopMember
+    | Act
+    | StartRecording
+    | GetReading
+    | GetProgress
+    | GetObservations
+    | StopHost
+)
 
 
-class Done(msgspec.Struct, frozen=True, tag=True):
+class OrderDone(msgspec.Struct, frozen=True, tag=True):
     """It was done, at a moment of the machine's monotonic clock."""
 
     at: float
@@ -83,7 +93,7 @@
     watched: dict[str, Traffic]
 
 
-class Progress(msgspec.Struct, frozen=True, tag=True):
+class ProgressReading(msgspec.Struct, frozen=True, tag=True):
     """How far the members that run are."""
 
     members: dict[int, int]
@@ -95,7 +105,7 @@
     times: dict[str, dict[str, bytes]]
 
 
-Answer = Done | Reading | Progress | Observations
+Answer = OrderDone | Reading | ProgressReading | Observations
 
 encode = msgspec.msgpack.Encoder().encode
 decode_order = msgspec.msgpack.Decoder(Order).decode
--- a/merlinbay/scale/plan.py
+++ b/merlinbay/scale/plan.py
@@ -26,7 +26,7 @@
     """A plan that cannot be run; one line with file, key and cause."""
 
 
-class Limits(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class RunLimits(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """What a run may take of the machine."""
 
     memory_mib: Annotated[int, msgspec.Meta(ge=64, le=12 * 1024)] = 2048
@@ -71,7 +71,7 @@
     kill_leader_at_s: Seconds = 0.0  # 0: not; back after ``failure_down_s``
 
 
-class Calibration(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class CalibrationPlan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """The step that puts real processes beside hollow members of the same role."""
 
     role: str
@@ -81,7 +81,7 @@
     apply_ratio: bool = False  # multiply the hollow figures by real / hollow, and say so
 
 
-class Plan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class ScalePlan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """A run: the same roles and disturbances at each of the sizes."""
 
     name: str
@@ -95,12 +95,12 @@
     drain_s: Seconds = 30.0  # after the measured part, for what is still under way to be observed
     # A start is news to all members, so that its price grows with them: starts a second times members.
     start_budget: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)] = 1000.0
-    limits: Limits = Limits()
+    limits: RunLimits = RunLimits()
     topology: Topology = Topology()
     fixed_beside_size: bool = False  # roles with a number of members come on top of the sizes
     role: Annotated[list[RolePlan], msgspec.Meta(min_length=1, max_length=10)]
     disturbances: Disturbances = Disturbances()
-    calibration: Calibration | None = None
+    calibration: CalibrationPlan | None = None
 
     def members_of(self, role: RolePlan, size: int) -> int:
         """Return how many members a role has at a size."""
@@ -112,7 +112,7 @@
         return {role.role: role.real for role in self.role if role.real}
 
 
-def _wrong(plan: Plan, known: frozenset[str]) -> str:
+def _wrong(plan: ScalePlan, known: frozenset[str]) -> str:
     """Return what is wrong beyond the types: key and cause; empty: nothing."""
     for number, role in enumerate(plan.role):
         if known and role.role not in known:
@@ -133,7 +133,7 @@
     return _wrong_calibration(plan)
 
 
-def _wrong_calibration(plan: Plan) -> str:
+def _wrong_calibration(plan: ScalePlan) -> str:
     calibration = plan.calibration
     if calibration is None:
         return ""
@@ -144,10 +144,10 @@
     return ""
 
 
-def read(text: str, name: str, known: frozenset[str] = frozenset()) -> Plan:
+def read(text: str, name: str, known: frozenset[str] = frozenset()) -> ScalePlan:
     """Read a plan's text; ``known``: the roles that there are. Raises ``ScalePlanError``."""
     try:
-        plan = msgspec.convert(tomllib.loads(text), Plan)
+        plan = msgspec.convert(tomllib.loads(text), ScalePlan)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ScalePlanError(f"{name}: {error}") from None
     if wrong := _wrong(plan, known):
@@ -155,7 +155,7 @@
     return plan
 
 
-def lowered(plan: Plan, cores: float | None, memory_mib: int | None) -> Plan:
+def lowered(plan: ScalePlan, cores: float | None, memory_mib: int | None) -> ScalePlan:
     """Return the plan with limits that are no higher than these."""
     limits = msgspec.structs.replace(
         plan.limits,
@@ -175,7 +175,7 @@
     }
 
 
-def load(name: str, known: frozenset[str] = frozenset()) -> Plan:
+def load(name: str, known: frozenset[str] = frozenset()) -> ScalePlan:
     """Read a plan of the library by its name, or one from a file. Raises ``ScalePlanError``."""
     plans = library()
     if name in plans:
--- a/merlinbay/scale/processes.py
+++ b/merlinbay/scale/processes.py
@@ -22,7 +22,9 @@
 STARTED_CPU_S = 0.1  # and no less than this since the start: the interpreter's own start takes more
 ANSWER_S = 120.0  # for an answer; a process that is at its limit is late
 
-AnswerType = TypeVar("AnswerType", messages.Done, messages.Reading, messages.Progress, messages.Observations)
+AnswerType = TypeVar(
+    "AnswerType", messages.OrderDone, messages.Reading, messages.ProgressReading, messages.Observations
+)
 
 
 class ProcessFailedError(Exception):
@@ -45,7 +47,7 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        await self.call(setup, messages.Done)
+        await self.call(setup, messages.OrderDone)
 
     async def call(self, order: messages.Order, wanted: type[AnswerType]) -> AnswerType:
         """Have an order carried out. Raises ``ProcessFailedError``."""
@@ -87,7 +89,7 @@
             with trio.move_on_after(END_S):
                 try:
                     assert process.stdin is not None
-                    await process.stdin.send_all(messages.frame(messages.Stop()))
+                    await process.stdin.send_all(messages.frame(messages.StopHost()))
                     await process.stdin.aclose()
                 except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
                     process.kill()
--- a/merlinbay/scale/registry.py
+++ b/merlinbay/scale/registry.py
@@ -4,7 +4,7 @@
 
 from merlinbay.scale.control_roles import CONTROL_ROLES
 from merlinbay.scale.membership import ViewMemberRole
-from merlinbay.scale.roles import Role
+from merlinbay.scale.roles import MemberRole
 
-ROLES: dict[str, Role] = {role.name: role for role in (ViewMemberRole(), *CONTROL_ROLES)}
+ROLES: dict[str, MemberRole] = {role.name: role for role in (ViewMemberRole(), *CONTROL_ROLES)}
 NAMES = frozenset(ROLES)
--- a/merlinbay/scale/roles.py
+++ b/merlinbay/scale/roles.py
@@ -98,7 +98,7 @@
         """Return the member that leads at present."""
 
 
-class Role(Protocol):
+class MemberRole(Protocol):
     """A kind of member."""
 
     name: str
--- a/merlinbay/scale/run.py
+++ b/merlinbay/scale/run.py
@@ -20,12 +20,12 @@
 from merlinbay.scale.layout import ProcessLayout
 from merlinbay.scale.limits import unfit
 from merlinbay.scale.meters import ProcessReading
-from merlinbay.scale.plan import DAY_S, Plan
+from merlinbay.scale.plan import DAY_S, ScalePlan
 from merlinbay.scale.processes import HostProcess, ProcessFailedError, real_reading, until_quiet
 from merlinbay.scale.registry import ROLES
 from merlinbay.scale.results import FORMAT, RoleMeasurement, ScaleRun
 from merlinbay.scale.roles import RunFacts, Variant
-from merlinbay.scale.step import Idle, Step
+from merlinbay.scale.step import Idle, SizeStep
 
 IDLE_PROCESSES = 3  # real ones: what one takes varies
 ROOT = Path(__file__).parent.parent.parent
@@ -33,7 +33,7 @@
 Say = Callable[[str], None]
 
 
-def misfits(plan: Plan) -> dict[int, str]:
+def misfits(plan: ScalePlan) -> dict[int, str]:
     """Return the sizes that do not fit the plan's limits, and why."""
     needs = {role.role: ROLES[role.role].need(role) for role in plan.role}
     found = {size: unfit(plan, size, plan.real_members(), needs) for size in plan.sizes}
@@ -64,7 +64,7 @@
     return found.stdout.strip()
 
 
-def conditions(plan: Plan) -> str:
+def conditions(plan: ScalePlan) -> str:
     """Return in words what the run was under."""
     topology, disturbances = plan.topology, plan.disturbances
     events = (disturbances.failures_a_day + disturbances.restarts_a_day) * disturbances.rate_factor
@@ -86,7 +86,7 @@
 class Runner:
     """One run of one plan."""
 
-    def __init__(self, plan: Plan, name: str, out: Path, say: Say) -> None:
+    def __init__(self, plan: ScalePlan, name: str, out: Path, say: Say) -> None:
         self.plan, self.name, self.out, self.say = plan, name, out, say
         self.idle = Idle()
         self.rows: list[RoleMeasurement] = []
@@ -199,7 +199,7 @@
         self, size: int, real: dict[str, int], folder: Path, measured_s: float
     ) -> list[RoleMeasurement]:
         load = os.getloadavg()[0]
-        rows = await Step(self.plan, size, real, self.idle, folder, measured_s).play()
+        rows = await SizeStep(self.plan, size, real, self.idle, folder, measured_s).play()
         self.loads.append(f"{size}: {load:.1f} to {os.getloadavg()[0]:.1f}")
         for row in rows:
             self.say(line_of(row))
@@ -242,7 +242,7 @@
     )
 
 
-def play(plan: Plan, name: str, sizes: list[int], out: Path, say: Say) -> str:
+def play(plan: ScalePlan, name: str, sizes: list[int], out: Path, say: Say) -> str:
     """Play a plan's sizes; return why it was cut short; empty: it was not. The results are in ``out``."""
     # Guards against processes that outlive a run that is told to end: SIGTERM ends it as Ctrl-C does.
     before = signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
--- a/merlinbay/scale/schedule.py
+++ b/merlinbay/scale/schedule.py
@@ -6,10 +6,10 @@
 from enum import Enum
 from random import Random
 
-from merlinbay.scale.plan import DAY_S, Disturbances, Plan
+from merlinbay.scale.plan import DAY_S, Disturbances, ScalePlan
 
 
-class Kind(Enum):
+class DisturbanceKind(Enum):
     """What is done to a member."""
 
     FAIL = "fail"
@@ -18,11 +18,11 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class Disturbance:
     """One thing that happens to one member."""
 
     at_s: float
-    kind: Kind
+    kind: DisturbanceKind
     number: int
     down_s: float = 0.0
 
@@ -46,19 +46,19 @@
     return sorted(evenly + [disturbances.burst_at_s] * disturbances.burst_changes)
 
 
-def schedule(plan: Plan, numbers: list[int], measured_s: float) -> list[Event]:
+def schedule(plan: ScalePlan, numbers: list[int], measured_s: float) -> list[Disturbance]:
     """Return what happens to members; nobody is touched twice, and ``numbers`` are all that may be."""
     disturbances, rng = plan.disturbances, Random(f"{plan.seed} schedule")
     free = rng.sample(numbers, len(numbers))
-    events: list[Event] = []
+    events: list[Disturbance] = []
     rates = (
-        (Kind.FAIL, disturbances.failures_a_day, disturbances.failure_down_s),
-        (Kind.RESTART, disturbances.restarts_a_day, disturbances.restart_down_s),
-        (Kind.GAUGE, disturbances.marker_gauges_a_day, 0.0),
+        (DisturbanceKind.FAIL, disturbances.failures_a_day, disturbances.failure_down_s),
+        (DisturbanceKind.RESTART, disturbances.restarts_a_day, disturbances.restart_down_s),
+        (DisturbanceKind.GAUGE, disturbances.marker_gauges_a_day, 0.0),
     )
     for kind, rate, down_s in rates:
-        factor = 1.0 if kind is Kind.GAUGE else disturbances.rate_factor
+        factor = 1.0 if kind is DisturbanceKind.GAUGE else disturbances.rate_factor
         for at_s in moments(rate * factor, measured_s, rng):
             if free:
-                events.append(Event(at_s, kind, free.pop(), down_s))
+                events.append(Disturbance(at_s, kind, free.pop(), down_s))
     return sorted(events, key=lambda event: (event.at_s, event.number))
--- a/merlinbay/scale/sockets.py
+++ b/merlinbay/scale/sockets.py
@@ -23,7 +23,7 @@
 MOST_IN_FLIGHT = 256 * 1024  # bytes of a stream that wait for their delay; a sender waits beyond it
 
 
-class Endpoint:
+class MemberSockets:
     """One member's side of the net: its address, its traffic and its open sockets."""
 
     def __init__(self, number: int, address: str, zone: int) -> None:
@@ -37,10 +37,10 @@
             sock.close()
 
 
-CURRENT: ContextVar[Endpoint | None] = ContextVar("CURRENT", default=None)
+CURRENT: ContextVar[MemberSockets | None] = ContextVar("CURRENT", default=None)
 
 
-class Network(trio.abc.SocketFactory):
+class MeteredNetwork(trio.abc.SocketFactory):
     """Makes the sockets of a process, and holds back what they send."""
 
     def __init__(self, net: int, topology: Topology, watched: frozenset[str], nursery: trio.Nursery) -> None:
@@ -65,7 +65,7 @@
         endpoint = CURRENT.get()
         return inner if endpoint is None else MeteredSocket(self, endpoint, inner)
 
-    def delay(self, endpoint: Endpoint, address: str) -> float:
+    def delay(self, endpoint: MemberSockets, address: str) -> float:
         """Return how long a message takes from a member to an address."""
         key = (endpoint.zone, address)
         if key not in self.delays:
@@ -95,7 +95,9 @@
 class MeteredSocket(trio.socket.SocketType):
     """A trio socket with counts and delays; everything else is the real socket's."""
 
-    def __init__(self, network: Network, endpoint: Endpoint, inner: trio.socket.SocketType) -> None:
+    def __init__(
+        self, network: MeteredNetwork, endpoint: MemberSockets, inner: trio.socket.SocketType
+    ) -> None:
         super().__init__()
         self.network, self.endpoint, self.inner = network, endpoint, inner
         self.peer = ""
--- a/merlinbay/scale/step.py
+++ b/merlinbay/scale/step.py
@@ -12,15 +12,15 @@
 
 from merlinbay.rig.run import own_net
 from merlinbay.scale import messages, meters
-from merlinbay.scale.happenings import COMMITTED, OBSERVED, Happenings
+from merlinbay.scale.disturbances import COMMITTED, OBSERVED, DisturbanceRunner
 from merlinbay.scale.layout import ProcessLayout, address_of, layout
 from merlinbay.scale.meters import ProcessReading, Traffic
-from merlinbay.scale.plan import Plan, RolePlan
+from merlinbay.scale.plan import RolePlan, ScalePlan
 from merlinbay.scale.processes import HostProcess, ProcessFailedError, real_reading
 from merlinbay.scale.registry import ROLES
 from merlinbay.scale.results import RoleMeasurement
 from merlinbay.scale.roles import RealMember, RunFacts, Variant
-from merlinbay.scale.schedule import Kind
+from merlinbay.scale.schedule import DisturbanceKind
 
 LOOK_S = 0.5  # between two looks at how far the members are
 MISSING = "_missing"  # how many members have not observed what was done, of a count's name
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Snapshot:
+class MeterSnapshot:
     """All processes at one moment."""
 
     hosts: list[messages.Reading]
@@ -45,11 +45,11 @@
     real_memory: dict[str, int] = field(default_factory=dict)
 
 
-class Step:
+class SizeStep:
     """One size."""
 
     def __init__(
-        self, plan: Plan, size: int, real: dict[str, int], idle: Idle, folder: Path, measured_s: float
+        self, plan: ScalePlan, size: int, real: dict[str, int], idle: Idle, folder: Path, measured_s: float
     ) -> None:
         self.plan, self.size, self.idle, self.measured_s = plan, size, idle, measured_s
         # The role that the sizes are about: it is disturbed, and what is done is to be observed by it.
@@ -70,7 +70,7 @@
         self.real: dict[int, RealMember] = {}
         writers = [ROLES[role.role].writer(self.run) for role in plan.role]
         writer = next((one for one in writers if one is not None), None)
-        self.happenings = Happenings(plan, self.host_of, writer)
+        self.happenings = DisturbanceRunner(plan, self.host_of, writer)
         self.counts = self.happenings.counts
 
     async def play(self) -> list[RoleMeasurement]:
@@ -120,7 +120,7 @@
 
     async def _start_member(self, role: RolePlan, number: int) -> None:
         if (host := self.host_of.get(number)) is not None:
-            await host.call(messages.StartMember(number), messages.Done)
+            await host.call(messages.StartMember(number), messages.OrderDone)
             return
         self.real[number] = ROLES[role.role].real(role, self.run, number, Variant.MEMBER)
         self.real[number].start()
@@ -133,7 +133,7 @@
             for host in self.hosts:
                 role = host.layout.role
                 target = ROLES[role.role].target(role, len(self.numbers[role.role]) - gone)
-                found = await host.call(messages.GetProgress(), messages.Progress)
+                found = await host.call(messages.GetProgress(), messages.ProgressReading)
                 behind += sum(progress != target for progress in found.members.values())
             if not behind:
                 return
@@ -146,7 +146,7 @@
 
     # Measured part.
 
-    async def _snapshot(self) -> Snapshot:
+    async def _snapshot(self) -> MeterSnapshot:
         hosts = [await host.call(messages.GetReading(), messages.Reading) for host in self.hosts]
         real = {
             role: [
@@ -154,11 +154,11 @@
             ]
             for role, numbers in self.alone.items()
         }
-        return Snapshot(hosts, real)
+        return MeterSnapshot(hosts, real)
 
     async def _record(self) -> None:
         for host in self.hosts:
-            await host.call(messages.Record(), messages.Done)
+            await host.call(messages.StartRecording(), messages.OrderDone)
 
     async def _measure(self) -> list[RoleMeasurement]:
         await self._record()
@@ -225,7 +225,7 @@
 
     # Rows.
 
-    def _rows(self, before: Snapshot, after: Snapshot, times: RoleTimes) -> list[RoleMeasurement]:
+    def _rows(self, before: MeterSnapshot, after: MeterSnapshot, times: RoleTimes) -> list[RoleMeasurement]:
         rows: list[RoleMeasurement] = []
         for role in self.plan.role:
             pairs = [
@@ -260,7 +260,7 @@
             role.role, self.size, hollow, traffic, processes, self.idle.hollow, seconds, times, counts
         )
 
-    def _real_row(self, role: RolePlan, before: Snapshot, after: Snapshot) -> RoleMeasurement:
+    def _real_row(self, role: RolePlan, before: MeterSnapshot, after: MeterSnapshot) -> RoleMeasurement:
         processes = list(zip(before.real[role.role], after.real[role.role], strict=True))
         seconds = sum(two.at - one.at for one, two in processes) / len(processes)
         real, all_members = len(self.alone[role.role]), len(self.numbers[role.role])
@@ -271,7 +271,7 @@
             role.role, self.size, False, traffic, processes, idle, seconds, {}, {"processes": len(processes)}
         )
 
-    def _seen_of(self, number: int, before: Snapshot, after: Snapshot) -> Traffic:
+    def _seen_of(self, number: int, before: MeterSnapshot, after: MeterSnapshot) -> Traffic:
         """Return what hollow members saw of a real one's traffic."""
         address, total = address_of(self.net, number), Traffic()
         for one, two in zip(before.hosts, after.hosts, strict=True):
@@ -289,7 +289,7 @@
         victim = self._touchable()[-1]
         self.counts["deaths"] += 1
         began = time.monotonic()
-        await self.happenings.kill(victim, OBSERVED[Kind.FAIL])
+        await self.happenings.kill(victim, OBSERVED[DisturbanceKind.FAIL])
         await self._settle(gone=1)
         agreed_at = time.monotonic()
         after = await self._snapshot()
@@ -298,7 +298,9 @@
         self._count_busiest(start, before, after, victim)
         return self._rows(before, after, times)
 
-    def _count_busiest(self, start: Snapshot, before: Snapshot, after: Snapshot, victim: int) -> None:
+    def _count_busiest(
+        self, start: MeterSnapshot, before: MeterSnapshot, after: MeterSnapshot, victim: int
+    ) -> None:
         """Count what the busiest member sent for the death, and what it sends in as long a time without."""
         most, usual = 0, 0
         for first, one, two in zip(start.hosts, before.hosts, after.hosts, strict=True):
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -28,7 +28,7 @@
 from merlinbay.fleet.wire import Keys
 from merlinbay.rig.proxy import PORT, Proxies
 from merlinbay.rig.run import own_net
-from merlinbay.rig.script import Net
+from merlinbay.rig.script import LinkFaults
 
 WAIT_S = 60.0  # until something has to have happened, on a machine that is busy with other things
 LOOK_S = 0.05
@@ -336,7 +336,7 @@
         [one.address for one in machines] + [spare],
         [one.shown for one in machines] + [f"127.{net}.2.{SPARE}"],
         random,
-        Net(),
+        LinkFaults(),
     )
     async with (
         AsyncExitStack() as stack,
--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -51,8 +51,8 @@
     TimerFired,
 )
 from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings, Tenant
-from merlinbay.emulator import play as emulator_play
 from merlinbay.emulator import policies
+from merlinbay.emulator.simulation import DaySimulation
 from merlinbay.emulator.spec import load
 from merlinbay.handover.snapshot_codec import to_encoded
 from merlinbay.site_settings import settings_from
@@ -399,7 +399,7 @@
     day = load(script)
     day.seconds = min(day.seconds, 25)
     policies.Balancer = Recorder  # type: ignore[attr-defined]
-    emulator_play.Day(day, seed).play()
+    DaySimulation(day, seed).play()
     first = Recorder.made[0]
     first.stream.name = f"{script}-{seed}"
     if not first.stream.learned:
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -18,7 +18,7 @@
 from msgspec import inspect
 
 from merlinbay.access import tokens
-from merlinbay.access.settings import Access
+from merlinbay.access.settings import AccessSettings
 from merlinbay.config import ConfigurationFile
 from merlinbay.control import keyspace
 from merlinbay.control.consensus import messages as consensus
@@ -28,8 +28,8 @@
 from merlinbay.control_service.settings import ControlFile
 from merlinbay.core.messages import AttemptFinished, AttemptProgress, AttemptStarted
 from merlinbay.drmaa import schema as drmaa
-from merlinbay.emulator.play import Result
-from merlinbay.emulator.spec import Script
+from merlinbay.emulator.simulation import SimulationResult
+from merlinbay.emulator.spec import Scenario
 from merlinbay.experiment.grid import Cell, Grid
 from merlinbay.experiment.store import Store
 from merlinbay.fleet import members, wire
@@ -37,8 +37,8 @@
 from merlinbay.handover import messages as handover
 from merlinbay.operator_file import Operator
 from merlinbay.platform import messages as platform
-from merlinbay.rig.script import Script as RigScript
-from merlinbay.scale.plan import Plan
+from merlinbay.rig.script import FaultSchedule as RigScript
+from merlinbay.scale.plan import ScalePlan
 from merlinbay.scale.results import ScaleRun
 from merlinbay.store.engine import StorageEngine
 
@@ -110,16 +110,16 @@
     "schema.machine": Form(schema.ControlMachine, "json"),
     # What members have promised, keys, results.
     "fleet.kept": Form(AcceptorState, "json"),
-    "access.ring": Form(tokens.Ring, "json"),
+    "access.ring": Form(tokens.KeyRing, "json"),
     "scale.run": Form(ScaleRun, "json"),
     # Files of settings, and scripts.
     "file.node": Form(ConfigurationFile, "names"),
     "file.operator": Form(Operator, "names"),
-    "file.access": Form(Access, "names"),
+    "file.access": Form(AccessSettings, "names"),
     "file.control": Form(ControlFile, "names"),
-    "file.script": Form(Script, "names"),
+    "file.script": Form(Scenario, "names"),
     "file.rig-script": Form(RigScript, "names"),
-    "file.plan": Form(Plan, "names"),
+    "file.plan": Form(ScalePlan, "names"),
     "file.grid": Form(Grid, "names"),
     # JSON of the platform, of the submission front and of operators' calls.
     "platform.listing": Form(platform.Listing, "json"),
@@ -253,11 +253,11 @@
 CELL = Cell("monday", "{}", "module", 3, "a1b2")
 
 
-def result() -> Result:
+def result() -> SimulationResult:
     """Return a day's result, each field with a value of its own."""
     kinds: dict[str, Callable[[int], Any]] = {"str": lambda n: f"text-{n}", "int": int, "float": float}
-    names = Result.__dataclass_fields__.items()
-    return Result(**{name: kinds[str(one.type)](n) for n, (name, one) in enumerate(names, 1)})
+    names = SimulationResult.__dataclass_fields__.items()
+    return SimulationResult(**{name: kinds[str(one.type)](n) for n, (name, one) in enumerate(names, 1)})
 
 
 def make_results(path: Path) -> None:
--- a/tests/support.py
+++ b/tests/support.py
@@ -22,7 +22,7 @@
     RequestReceived,
     TimerFired,
 )
-from merlinbay.decision.request_state import Request
+from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings
 
 NEVER = {3, 5, 8}
@@ -278,7 +278,7 @@
                 self.broken.append(f"1: {job.answers} answers for {number}")
 
 
-def request_of(made: Balancer, job_class: str, **changes: Any) -> Request:
+def request_of(made: Balancer, job_class: str, **changes: Any) -> TrackedRequest:
     """Return a request of a class, not offered; some of its fields may be told."""
     state = made.parts.run_times.classes[job_class]
     fields: dict[str, Any] = {
@@ -288,4 +288,4 @@
         "priority_weight": 1.0,
         "deadline_at_us": 9_000_000,
     }
-    return Request(**{**fields, **changes})
+    return TrackedRequest(**{**fields, **changes})
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -22,8 +22,8 @@
 
 from merlinbay.access import tokens
 from merlinbay.access.grants import Grant, Scope
-from merlinbay.access.settings import Access
-from merlinbay.access.tokens import Key, KeyRingError, Ring, TokenGate
+from merlinbay.access.settings import AccessSettings
+from merlinbay.access.tokens import KeyRing, KeyRingError, SigningKey, TokenGate
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.cli.main import main
 from merlinbay.errors import ConfigurationError
@@ -33,11 +33,11 @@
 from tests.test_front import Scheduler
 
 NOW_S = 1_800_000_000
-RING = Ring(
+RING = KeyRing(
     [
-        Key("new", base64.b64encode(b"n" * 32).decode()),
-        Key("old", base64.b64encode(b"o" * 32).decode(), NOW_S + 100),
-        Key("ended", base64.b64encode(b"e" * 32).decode(), NOW_S - 1),
+        SigningKey("new", base64.b64encode(b"n" * 32).decode()),
+        SigningKey("old", base64.b64encode(b"o" * 32).decode(), NOW_S + 100),
+        SigningKey("ended", base64.b64encode(b"e" * 32).decode(), NOW_S - 1),
     ]
 )
 
@@ -53,7 +53,7 @@
     )
 
 
-def ask(token: str, at_s: float = NOW_S, ring: Ring = RING) -> Grant:
+def ask(token: str, at_s: float = NOW_S, ring: KeyRing = RING) -> Grant:
     """Have a token checked."""
     return TokenGate(ring).grant({"authorization": f"Bearer {token}"}, int(at_s * 1e6))
 
@@ -202,13 +202,13 @@
     with pytest.raises(ConfigurationError) as found:
         read(str(path))
     assert f"{path}: drmaa.{says}" in str(found.value)
-    assert Access(open=True).wrong() == ""
+    assert AccessSettings(open=True).wrong() == ""
 
 
 # Over sockets.
 
 TEMPLATE = {"jobTemplate": {"remoteCommand": "x", "submitAsHold": True}}
-Body = Callable[[Stage, Callable[..., Awaitable[Reply]], Ring], Awaitable[None]]
+Body = Callable[[Stage, Callable[..., Awaitable[Reply]], KeyRing], Awaitable[None]]
 
 
 def scene(tmp_path: Path, body: Body, more: str = "") -> None:
@@ -216,7 +216,7 @@
 
     async def whole() -> None:
         async with stage(tmp_path) as s:
-            ring, path = Ring([tokens.new_key()]), tmp_path / "keys.json"
+            ring, path = KeyRing([tokens.new_key()]), tmp_path / "keys.json"
             tokens.save(path, ring)
             s.operator = (
                 f"[drmaa]\nfront = true\nservers = true\n"
@@ -240,7 +240,7 @@
     play(whole)
 
 
-def token_of(ring: Ring, account: str, *scopes: Scope, life: float = 100) -> str:
+def token_of(ring: KeyRing, account: str, *scopes: Scope, life: float = 100) -> str:
     """Return a token that is good by the real clock."""
     return tokens.issue(ring, account, scopes or tuple(Scope), int(life), int(time.time()))
 
@@ -248,7 +248,7 @@
 def test_nothing_leaks_of_anothers_job_not_even_that_it_is_there(tmp_path: Path) -> None:
     """Every call on it gets the bytes that it gets on a job that never was; lists and events leave it out."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         ann, bob, all_of_them = (token_of(ring, name) for name in ("ann", "bob", "*"))
         job = json.loads((await call(ann, "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)).body)["jobId"]
         array = json.loads(
@@ -319,7 +319,7 @@
 def test_scopes_and_strangers(tmp_path: Path) -> None:
     """A call without a token is nobody's (401), one beyond its scopes is denied (403), and both say so."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         taken = await call(token_of(ring, "a"), "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)
         job = json.loads(taken.body)["jobId"]
         looks, acts = token_of(ring, "a", Scope.MONITOR), token_of(ring, "a", Scope.CONTROL)
@@ -338,7 +338,7 @@
 def test_a_token_that_ends_in_the_middle_of_a_wait_ends_the_wait(tmp_path: Path) -> None:
     """With 401 and no word of the job, though the job has not moved; so does a poll for events."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         long = token_of(ring, "a")
         job = json.loads((await call(long, "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)).body)["jobId"]
         short, replies = token_of(ring, "a", life=2), []
@@ -359,7 +359,7 @@
 def test_machines_are_shown_as_the_module_believes_them(tmp_path: Path) -> None:
     """Each with its state and pace, paged by name; queues and jobs beside them."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "*")
         found = json.loads((await call(token, "GET", "/drmaa2/monitor/machines")).body)["machines"]
         assert [(row["name"], row["state"], row["available"], row["held"]) for row in found] == [
@@ -438,7 +438,7 @@
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setenv("LB_OPERATOR", str(tmp_path / "operator.toml"))
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "a")
         open_one = await tls.connect()
         assert (await tls.ask(open_one, token)).startswith(b"HTTP/1.1 200")
@@ -460,7 +460,7 @@
     """Those that begin and say nothing more make room for others, oldest first."""
     tls = Tls(tmp_path)
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token, half = token_of(ring, "a"), []
         for number in range(120):
             stream = await trio.open_tcp_stream("127.0.0.2", tls.port)
@@ -484,7 +484,7 @@
     tls = Tls(tmp_path)
     tls.ca.cert_pem.write_to_path(tmp_path / "ca.pem")
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: Ring) -> None:
+    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "a")
         good = await tls.connect(tls.ca.issue_cert(common_name="ann"))
         assert (await tls.ask(good, token)).startswith(b"HTTP/1.1 200")
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -13,26 +13,34 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from merlinbay.batch.engine import Engine
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.errors import DrmaaError
-from merlinbay.batch.jobs import Backlog, Job, Session, Stage, Submission
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds, Control, Effect, Offer, Recall, Reply, Withdraw
-from merlinbay.batch.states import ENDED, HELD, TABLE, Event, InvalidStateError, State, after
+from merlinbay.batch.jobs import Backlog, Job, JobSession, JobStage, Submission
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import (
+    BatchLimits,
+    CallReply,
+    ControlJob,
+    Effect,
+    OfferJob,
+    RecallJob,
+    WithdrawJob,
+)
+from merlinbay.batch.states import ENDED, HELD, TABLE, InvalidStateError, JobState, JobTransition, after
 
 T0 = 1_800_000_000_000_000
 SECOND = 1_000_000
 
 
-def engine(**bounds: int) -> Engine:
+def engine(**bounds: int) -> BatchEngine:
     """Return an engine whose ids count."""
     numbers = itertools.count(1)
-    return Engine(Bounds(**bounds), lambda: f"j{next(numbers)}")
+    return BatchEngine(BatchLimits(**bounds), lambda: f"j{next(numbers)}")
 
 
-def opened(e: Engine, name: str = "s", **backlog: float) -> Session:
+def opened(e: BatchEngine, name: str = "s", **backlog: float) -> JobSession:
     """Return a session with a backlog."""
-    return e.create(name, "", Allowance(jobs=100_000, size=1 << 40), Backlog(**backlog), T0)  # type: ignore[arg-type]
+    return e.create(name, "", SessionLimits(jobs=100_000, size=1 << 40), Backlog(**backlog), T0)  # type: ignore[arg-type]
 
 
 def what(job_class: str = "c", **more: object) -> Submission:
@@ -42,7 +50,7 @@
 
 def offers(effects: list[Effect]) -> list[Job]:
     """Return the jobs offered."""
-    return [effect.job for effect in effects if isinstance(effect, Offer)]
+    return [effect.job for effect in effects if isinstance(effect, OfferJob)]
 
 
 def replies(effects: list[Effect]) -> dict[object, str]:
@@ -50,20 +58,20 @@
     return {
         effect.call: effect.error.name if effect.error else effect.job.state.value if effect.job else ""
         for effect in effects
-        if isinstance(effect, Reply)
+        if isinstance(effect, CallReply)
     }
 
 
-@pytest.mark.parametrize("state", State)
-@pytest.mark.parametrize("event", Event)
-def test_the_table_has_a_word_for_every_pair(state: State, event: Event) -> None:
+@pytest.mark.parametrize("state", JobState)
+@pytest.mark.parametrize("event", JobTransition)
+def test_the_table_has_a_word_for_every_pair(state: JobState, event: JobTransition) -> None:
     """A transition leads to a state; what is not listed is refused; what has ended stays so."""
     if (state, event) in TABLE:
         assert state not in ENDED and after(state, event) is TABLE[state, event] is not state
     else:
         with pytest.raises(InvalidStateError, match=f"cannot {event.value} a job that is {state.value}"):
             after(state, event)
-    assert ((state, Event.FAIL) in TABLE) == (state not in ENDED)
+    assert ((state, JobTransition.FAIL) in TABLE) == (state not in ENDED)
 
 
 def test_a_hold_that_crosses_the_placement_waits_for_it() -> None:
@@ -73,18 +81,18 @@
         job = e.submit(opened(e), what(), T0)
         assert offers(e.take(T0)) == [job]
         e.hold(job, T0, "call")
-        assert e.take(T0) == [] and job.state is State.QUEUED
+        assert e.take(T0) == [] and job.state is JobState.QUEUED
         if outcome == "refused":
             e.refused(job, SECOND, T0)
         else:
             e.placed(job, "s-1", T0)
-            assert [type(effect) for effect in e.take(T0)] == [Recall]
+            assert [type(effect) for effect in e.take(T0)] == [RecallJob]
             if outcome == "started":
                 e.started(job, "s-1", T0)
             e.recalled(job, outcome == "given back", T0)
         held = outcome != "started"
         assert replies(e.take(T0)) == {"call": "QUEUED_HELD" if held else "InvalidStateException"}
-        assert job.state is (State.QUEUED_HELD if held else State.RUNNING)
+        assert job.state is (JobState.QUEUED_HELD if held else JobState.RUNNING)
         e.tick(T0 + 10 * SECOND)
         assert offers(e.take(T0 + 10 * SECOND)) == []
 
@@ -99,7 +107,7 @@
         with pytest.raises(DrmaaError) as caught:
             e.release(job, T0 + SECOND, "call")
         assert caught.value.name == "InvalidStateException"
-        assert (job.state, job.exception) == (State.FAILED, "TimeoutException")
+        assert (job.state, job.exception) == (JobState.FAILED, "TimeoutException")
         assert offers(e.take(T0 + SECOND)) == []
 
 
@@ -111,11 +119,11 @@
     e.placed(job, "s-1", T0)
     e.started(job, "s-1", T0)
     e.control(job, "suspend", T0, "call")
-    assert [type(effect) for effect in e.take(T0)] == [Control]
+    assert [type(effect) for effect in e.take(T0)] == [ControlJob]
     with pytest.raises(DrmaaError, match="under way"):
         e.control(job, "suspend", T0, "other")
     e.controlled(job, "suspend", DrmaaError("UnsupportedOperationException", "no"), T0)
-    assert replies(e.take(T0)) == {"call": "UnsupportedOperationException"} and job.state is State.RUNNING
+    assert replies(e.take(T0)) == {"call": "UnsupportedOperationException"} and job.state is JobState.RUNNING
 
 
 def test_no_member_starts_after_its_array_was_terminated() -> None:
@@ -128,7 +136,7 @@
     assert len(first) + len(more) > 1
     e.on_array(array, "terminate", T0, "call")
     effects = e.take(T0)
-    assert {effect.job for effect in effects if isinstance(effect, Withdraw)} == {*first, *more}
+    assert {effect.job for effect in effects if isinstance(effect, WithdrawJob)} == {*first, *more}
     assert replies(effects) == {"call": ""} and offers(effects) == []
     assert array.counts() == {"FAILED": 10_000} and e.jobs == 0
     e.tick(T0 + 100 * SECOND)
@@ -253,13 +261,15 @@
                 e.finished(job, b"", now)
                 done[job] = now
     assert len(done) == len(others) and max(done.values()) < T0 + 2 * SECOND
-    assert 5 <= tries <= 50 and refusals < 5 * 8 * 10 + 2 and all(job.state is State.QUEUED for job in wide)
+    assert (
+        5 <= tries <= 50 and refusals < 5 * 8 * 10 + 2 and all(job.state is JobState.QUEUED for job in wide)
+    )
 
 
 def test_limits_of_a_session_refuse_with_when_to_come_back() -> None:
     """Jobs, bytes and rate; nothing is taken of what is refused, and what ends makes room."""
     e = engine(jobs=50)
-    session = e.create("s", "", Allowance(jobs=6, size=100, rate=1.0, burst=4), Backlog(), T0)
+    session = e.create("s", "", SessionLimits(jobs=6, size=100, rate=1.0, burst=4), Backlog(), T0)
     jobs = [e.submit(session, what(size=30), T0) for _ in range(3)]
     with pytest.raises(DrmaaError, match="has 3 jobs, and the session 3 of 6") as caught:
         e.submit(session, what(size=30), T0)
@@ -357,7 +367,7 @@
 def test_nothing_starves_at_twice_what_the_servers_do() -> None:
     """Each job that was due is placed or given up with when to come back; the backlog stays bounded."""
     rng, e = random.Random(5), engine(finished=1)
-    session = e.create("s", "", Allowance(jobs=1000), Backlog(wait_most_us=60 * SECOND), T0)
+    session = e.create("s", "", SessionLimits(jobs=1000), Backlog(wait_most_us=60 * SECOND), T0)
     now, running, refused, jobs = T0, list[tuple[int, int, Job]](), 0, list[Job]()
     placed: dict[Job, int] = {}
     for step in range(12_000):
@@ -407,11 +417,11 @@
         self.now = T0
         self.e = engine(jobs=40, finished=5, waits=4, window=3, array=12)
         self.queued = self.e.create(
-            "q", "", Allowance(jobs=30, size=1000), Backlog(wait_most_us=9 * SECOND), T0
+            "q", "", SessionLimits(jobs=30, size=1000), Backlog(wait_most_us=9 * SECOND), T0
         )
-        self.plain = self.e.create("p", "", Allowance(jobs=25, size=1000), None, T0)
+        self.plain = self.e.create("p", "", SessionLimits(jobs=25, size=1000), None, T0)
         self.out: dict[Job, int] = {}  # what the core has, by offer
-        self.finals: dict[Job, State] = {}
+        self.finals: dict[Job, JobState] = {}
         self.seen: list[Job] = []
         self.calls: set[int] = set()  # open ones
         self.numbers = itertools.count()
@@ -438,15 +448,15 @@
         """Take the effects as the front does."""
         while effects := self.e.take(self.now):
             for effect in effects:
-                if isinstance(effect, Offer):
+                if isinstance(effect, OfferJob):
                     assert effect.job not in self.out and effect.job.state not in HELD | ENDED
                     assert effect.job.what.start_us <= self.now
                     self.out[effect.job] = effect.job.offer
-                elif isinstance(effect, Withdraw):
+                elif isinstance(effect, WithdrawJob):
                     del self.out[effect.job]
-                elif isinstance(effect, Recall):
+                elif isinstance(effect, RecallJob):
                     self.recalls.add(effect.job)
-                elif isinstance(effect, Control):
+                elif isinstance(effect, ControlJob):
                     self.controls[effect.job] = effect.action
                 else:
                     assert isinstance(effect.call, int)
@@ -577,7 +587,7 @@
         """Let the core tell something of a job that it has."""
         job = data.draw(st.sampled_from(sorted(self.out, key=lambda job: job.order)))
         e, now = self.e, self.now
-        if job.stage is Stage.OFFERED and news not in ("placed", "refused", "failed"):
+        if job.stage is JobStage.OFFERED and news not in ("placed", "refused", "failed"):
             return
         match news:
             case "placed" | "started":
@@ -601,7 +611,7 @@
                     )
             case _:
                 getattr(e, news)(job, now)
-        if job.stage not in (Stage.OFFERED, Stage.PLACED):
+        if job.stage not in (JobStage.OFFERED, JobStage.PLACED):
             del self.out[job]
             self.recalls.discard(job)
         self.drain()
@@ -623,9 +633,9 @@
                 assert self.finals[job] is job.state
             elif job.ended:
                 self.finals[job] = job.state
-            assert job.ended == (job.stage is Stage.ENDED)
-            assert (job.stage in (Stage.OFFERED, Stage.PLACED)) == (job in self.out)
-            if job.stage is Stage.PARKED and job.state not in HELD and job.array is None:
+            assert job.ended == (job.stage is JobStage.ENDED)
+            assert (job.stage in (JobStage.OFFERED, JobStage.PLACED)) == (job in self.out)
+            if job.stage is JobStage.PARKED and job.state not in HELD and job.array is None:
                 assert job.timer is not None  # nothing but a timer would ever look at it again
         alive = [job for job in jobs if not job.ended]
         unmade = sum(1 for array in self.queued.arrays.values() for _ in array.unmade())
@@ -635,12 +645,12 @@
             out = [job for job in self.out if job.array is array]
             assert len(out) == array.out and (not array.max_parallel or len(out) <= array.max_parallel)
             assert sum(array.counts().values()) == len(array.range)
-            waits = [job for job in array.made.values() if job.stage is Stage.WAITING]
+            waits = [job for job in array.made.values() if job.stage is JobStage.WAITING]
             assert len(waits) == array.queued <= 3
-        waiting = Counter(job.shape for job in alive if job.stage is Stage.WAITING)
+        waiting = Counter(job.shape for job in alive if job.stage is JobStage.WAITING)
         assert waiting == e.waiting and e.root.waiting == waiting.total()
         undecided = Counter(
-            job.job_class for job in alive if job.stage is Stage.OFFERED and job.session is self.queued
+            job.job_class for job in alive if job.stage is JobStage.OFFERED and job.session is self.queued
         )
         assert {name: pace.undecided for name, pace in e.pace.classes.items() if pace.undecided} == undecided
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,16 +16,16 @@
 from merlinbay.capacity import page
 from merlinbay.capacity.fit import GROWTH, Fit, Form, TooFewSizesError, choose
 from merlinbay.capacity.formula import FormulaError, evaluate
-from merlinbay.capacity.needs import Basis, Prediction, Reckoner, Row
+from merlinbay.capacity.needs import Basis, NeedRow, NeedsCalculator, Prediction
 from merlinbay.capacity.plan import (
     NO_MODULE,
+    CapacityPlan,
     CapacityPlanError,
+    CapacityRole,
     Input,
     Measure,
     Mechanism,
-    Need,
-    Plan,
-    Role,
+    RoleNeed,
     RolesFile,
     read_plan,
 )
@@ -62,19 +62,21 @@
     return RunFile(name, ScaleRun(FORMAT, plan, "c", "m", "2026-12-02T05:00:00+00:00", 1.0, "none", rows))
 
 
-def plan_of(*needs: Need, mechanisms: tuple[Mechanism, ...] = (), **inputs: float) -> Plan:
+def plan_of(*needs: RoleNeed, mechanisms: tuple[Mechanism, ...] = (), **inputs: float) -> CapacityPlan:
     """Return a plan of one role, with a measure ``sent`` at ``n``."""
     made = tuple(Input(name, "", "taken", value) for name, value in inputs.items())
     measure = Measure("sent", "r", "bytes_sent_per_s", "n", "B/s")
     memory = Measure("memory", "r", "memory_bytes", "n", "B")
-    return Plan(
-        made, RolesFile((measure, memory), mechanisms, (Role("Agent", "n", "", "", needs),)), failures=()
+    return CapacityPlan(
+        made,
+        RolesFile((measure, memory), mechanisms, (CapacityRole("Agent", "n", "", "", needs),)),
+        failures=(),
     )
 
 
-def rows_of(plan: Plan, *files: RunFile) -> list[Row]:
+def rows_of(plan: CapacityPlan, *files: RunFile) -> list[NeedRow]:
     """Return the plan's rows over some runs."""
-    return Reckoner(plan, files).rows()
+    return NeedsCalculator(plan, files).rows()
 
 
 @given(
@@ -203,7 +205,7 @@
     if real is not None:
         rows.append(measurement(100, True, **{metric: hollow * 50}, **step))
         rows.append(measurement(100, False, **{metric: real * 50 + base}, **step))
-    reckoner = Reckoner(plan_of(n=800.0), [run_file(*rows)])
+    reckoner = NeedsCalculator(plan_of(n=800.0), [run_file(*rows)])
     return reckoner.predictions["memory" if metric == "memory_bytes" else "sent"]
 
 
@@ -237,7 +239,7 @@
     """The run has taken it off both."""
     rows = [measurement(size, True, memory_bytes=1000 * size) for size in SIZES]
     rows.append(measurement(100, False, memory_bytes=150_000, base_memory_bytes=30_000_000))
-    found = Reckoner(plan_of(n=800.0), [run_file(*rows)]).predictions["memory"]
+    found = NeedsCalculator(plan_of(n=800.0), [run_file(*rows)]).predictions["memory"]
     assert found.estimate is not None and found.estimate.value == pytest.approx(1_200_000)
 
 
@@ -247,7 +249,7 @@
     rows = [measurement(size, True, bytes_sent_per_s=1.5 * size, ratios_applied=True) for size in SIZES]
     rows.append(measurement(100, True, bytes_sent_per_s=100.0, **step))
     rows.append(measurement(100, False, bytes_sent_per_s=150.0, **step))
-    found = Reckoner(plan_of(n=800.0), [run_file(*rows)]).predictions["sent"]
+    found = NeedsCalculator(plan_of(n=800.0), [run_file(*rows)]).predictions["sent"]
     assert found.estimate is not None and found.estimate.value == pytest.approx(1200)
     assert found.correction == "hollow x 1.50 in the run, the ratio to real"
 
@@ -255,11 +257,11 @@
 def test_a_row_says_what_it_rests_on() -> None:
     """Measured, from runs, reckoned or not known; without a fit the other formula counts, or nothing."""
     plan = plan_of(
-        Need("a", "B/s", "m", formula="sent", otherwise="n", budget="1000"),
-        Need("b", "B/s", "m", formula="sent * 2", budget="1000"),
-        Need("c", "B/s", "m", formula="n * 2", budget="1000"),
-        Need("d", "B/s", "m", budget="1000"),
-        Need("e", "/s", "m", formula="n", budget="1000", budget_is="least"),
+        RoleNeed("a", "B/s", "m", formula="sent", otherwise="n", budget="1000"),
+        RoleNeed("b", "B/s", "m", formula="sent * 2", budget="1000"),
+        RoleNeed("c", "B/s", "m", formula="n * 2", budget="1000"),
+        RoleNeed("d", "B/s", "m", budget="1000"),
+        RoleNeed("e", "/s", "m", formula="n", budget="1000", budget_is="least"),
         n=500.0,
     )
     file = run_file(*(measurement(size, bytes_sent_per_s=2.0 * size) for size in SIZES))
@@ -283,25 +285,28 @@
     """Ten times the largest size, and no further; nor is a difference of fits that comes out below zero."""
     file = run_file(*(measurement(size, bytes_sent_per_s=2.0 * size) for size in SIZES))
     for size, basis in ((8000.0, Basis.MEASURED), (8001.0, Basis.NOT_KNOWN)):
-        (row,) = rows_of(plan_of(Need("a", "B/s", "m", formula="sent"), n=size), file)
+        (row,) = rows_of(plan_of(RoleNeed("a", "B/s", "m", formula="sent"), n=size), file)
         assert row.basis is basis
-    (row,) = rows_of(plan_of(Need("a", "B/s", "m", formula="n - sent", otherwise="n"), n=500.0), file)
+    (row,) = rows_of(plan_of(RoleNeed("a", "B/s", "m", formula="n - sent", otherwise="n"), n=500.0), file)
     assert row.basis is Basis.RECKONED and row.estimate is not None and row.estimate.value == 500
 
 
 def test_a_fit_that_falls_to_nothing_is_no_figure() -> None:
     """A share that falls with the size does not become negative need."""
     file = run_file(*(measurement(size, bytes_sent_per_s=1000.0 - size) for size in SIZES))
-    (row,) = rows_of(plan_of(Need("a", "B/s", "m", formula="sent", budget="1"), n=2500.0), file)
+    (row,) = rows_of(plan_of(RoleNeed("a", "B/s", "m", formula="sent", budget="1"), n=2500.0), file)
     assert row.basis is Basis.NOT_KNOWN and row.margin is None
 
 
 def test_inputs_at_half_and_at_double() -> None:
     """Needs and margins move; rows that an input is not in stay out."""
     plan = plan_of(
-        Need("a", "", "m", formula="n * k", budget="100"), Need("b", "", "m", formula="n"), n=2.0, k=5.0
+        RoleNeed("a", "", "m", formula="n * k", budget="100"),
+        RoleNeed("b", "", "m", formula="n"),
+        n=2.0,
+        k=5.0,
     )
-    (turn,) = Reckoner(plan, []).turns("k")
+    (turn,) = NeedsCalculator(plan, []).turns("k")
     assert (turn.at_half.value, turn.taken.value, turn.at_double.value) == (5, 10, 20)
     assert (turn.at_half.margin, turn.at_double.margin) == (20, 5)
 
@@ -317,12 +322,12 @@
         Mechanism("dark", "dark", "w.py"),
     )
     plan = plan_of(
-        Need("a", "", "few", formula="n"),
-        Need("b", "", "many", formula="n"),
-        Need("c", "", "over", formula="n", budget="0.5 * n"),
-        Need("d", "", "fits", formula="n", budget="2 * n"),
-        Need("e", "", "old", formula="n", budget="0.01 * n"),
-        Need("f", "", "dark", formula="n"),
+        RoleNeed("a", "", "few", formula="n"),
+        RoleNeed("b", "", "many", formula="n"),
+        RoleNeed("c", "", "over", formula="n", budget="0.5 * n"),
+        RoleNeed("d", "", "fits", formula="n", budget="2 * n"),
+        RoleNeed("e", "", "old", formula="n", budget="0.01 * n"),
+        RoleNeed("f", "", "dark", formula="n"),
         mechanisms=mechanisms,
         n=10.0,
     )
@@ -345,7 +350,7 @@
 
 def test_the_page_is_what_the_command_writes() -> None:
     """From the committed files alone; to mend it, call ``merlinbay scale capacity``."""
-    reckoner = Reckoner(PLAN, read_folder(ROOT / "bench" / "scale-runs"))
+    reckoner = NeedsCalculator(PLAN, read_folder(ROOT / "bench" / "scale-runs"))
     text = (ROOT / "docs" / "CAPACITY.md").read_text()
     assert page.write(text, reckoner) == text
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -24,11 +24,11 @@
     Policy,
     UnreachableError,
 )
-from merlinbay.client.operations import Ask, Failed, Operations, Reply, Sleep
+from merlinbay.client.operations import Ask, ClientReply, Failed, Operations, Sleep
 from merlinbay.client.policy import Fault
 
-LATER = Reply(503, b'{"exception":"TryLaterException","message":"full","retryAfter":2}')
-TAKEN = Reply(201, b'{"jobId":"j","jobState":"QUEUED"}')
+LATER = ClientReply(503, b'{"exception":"TryLaterException","message":"full","retryAfter":2}')
+TAKEN = ClientReply(201, b'{"jobId":"j","jobState":"QUEUED"}')
 LOST, UNSENT = Failed(Fault.LOST, "lost"), Failed(Fault.NOT_SENT, "unsent")
 JOB = JobTemplate(remoteCommand="x")
 
@@ -36,7 +36,7 @@
 class World:
     """Carries an operation out by a script; its clock moves by what is slept."""
 
-    def __init__(self, *script: Reply | Failed) -> None:
+    def __init__(self, *script: ClientReply | Failed) -> None:
         self.script, self.now = list(script), 0.0
         self.asked: list[Ask] = []
         self.slept: list[float] = []
@@ -44,7 +44,7 @@
 
     def __call__(self, doing: Any) -> Any:
         """Carry it out; what the script lacks counts as unsent."""
-        got: Reply | Failed | None = None
+        got: ClientReply | Failed | None = None
         while True:
             try:
                 step = doing.send(got)
@@ -75,17 +75,17 @@
         (LATER, None, 1),
         (LATER, 1.0, 1),
         (LATER, 9.0, 5),
-        (Reply(503, b'{"exception":"TryLaterException"}'), 9.0, 1),
-        (Reply(503, b'{"retryAfter":1000}'), 9999.0, 1),
-        (Reply(409, b'{"retryAfter":1}'), 9.0, 1),
-        (Reply(500, b"<html>"), 9.0, 1),
-        (Reply(503, b'{"retryAfter":"x"}'), 9.0, 1),
-        (Reply(503, b'{"retryAfter":-1}'), 9.0, 1),
-        (Reply(200, b"not json"), 9.0, 0),
+        (ClientReply(503, b'{"exception":"TryLaterException"}'), 9.0, 1),
+        (ClientReply(503, b'{"retryAfter":1000}'), 9999.0, 1),
+        (ClientReply(409, b'{"retryAfter":1}'), 9.0, 1),
+        (ClientReply(500, b"<html>"), 9.0, 1),
+        (ClientReply(503, b'{"retryAfter":"x"}'), 9.0, 1),
+        (ClientReply(503, b'{"retryAfter":-1}'), 9.0, 1),
+        (ClientReply(200, b"not json"), 9.0, 0),
     ],
 )
 def test_refusals_are_waited_out_only_within_the_time_and_as_they_say(
-    reply: Reply, within: float | None, tries: int
+    reply: ClientReply, within: float | None, tries: int
 ) -> None:
     """And no other answer is."""
     world = World(*[reply] * 20)
@@ -112,11 +112,11 @@
 
 @settings(derandomize=True, deadline=None)
 @given(
-    st.lists(st.sampled_from([LATER, LOST, UNSENT, TAKEN, Reply(500, b"{}")]), max_size=12),
+    st.lists(st.sampled_from([LATER, LOST, UNSENT, TAKEN, ClientReply(500, b"{}")]), max_size=12),
     st.one_of(st.none(), st.floats(0, 30)),
 )
 def test_whatever_the_network_does_a_lost_submission_is_the_last(
-    script: list[Reply | Failed], within: float | None
+    script: list[ClientReply | Failed], within: float | None
 ) -> None:
     """After a try that may have run nothing more is sent, and the call ends in its time."""
     world = World(*script)
@@ -131,12 +131,12 @@
 
 def test_a_long_wait_goes_on_over_many_calls_and_a_restart() -> None:
     """Each call lasts 25 s; a broken one is made again; the end is the caller's."""
-    timeout = Reply(504, b'{"exception":"TimeoutException","message":"x"}')
-    done = Reply(200, b'{"jobId":"j","jobState":"DONE","exitStatus":0}')
+    timeout = ClientReply(504, b'{"exception":"TimeoutException","message":"x"}')
+    done = ClientReply(200, b'{"jobId":"j","jobState":"DONE","exitStatus":0}')
     world = World(timeout, LOST, UNSENT, timeout, LATER, done)
     assert world(world.operations.wait("j")).exitStatus == 0
     assert [ask.path for ask in world.asked] == ["/drmaa2/jobs/j/waitTerminated?timeout=25.000"] * 6
-    world = World(*[Reply(404, b'{"exception":"InvalidArgumentException"}')])
+    world = World(*[ClientReply(404, b'{"exception":"InvalidArgumentException"}')])
     with pytest.raises(DrmaaRemoteError) as found:
         world(world.operations.wait("j", timeout=5))
     assert found.value.missing
