--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -40,7 +40,7 @@
 from merlinbay.control.simulation.linearizability import Verdict, check_key
 from merlinbay.control.simulation.ports import CoreUnderTest, LogView, VoterPort, VoterStart
 from merlinbay.control.simulation.regions import REGIONS
-from merlinbay.control.simulation.scenario import CUT_OFF_AT_S, HOUR_S, Scenario, draw, draw_partition
+from merlinbay.control.simulation.scenario import CUT_OFF_AT_S, HOUR_S, ControlScenario, draw, draw_partition
 from merlinbay.control.simulation.sequences import (
     handover_and_cut,
     overwritten_majority,
@@ -349,7 +349,7 @@
 
 
 @pytest.mark.parametrize("made", [overwritten_majority, handover_and_cut, voters_of_two_leaders])
-def test_a_sequence_made_for_one_rule_breaks_nothing(made: Callable[[int], Scenario]) -> None:
+def test_a_sequence_made_for_one_rule_breaks_nothing(made: Callable[[int], ControlScenario]) -> None:
     """What finds the mutants of a rule passes with the rule."""
     assert play(made(5), raft(5, one_entry_a_message=True)).violations == []
 
@@ -390,7 +390,7 @@
     """Faults that a violation does not need are left out."""
     mutant = next(one for one in MUTANTS if one.name == "half is a majority")
 
-    def broken(scenario: Scenario) -> SimulationRun:
+    def broken(scenario: ControlScenario) -> SimulationRun:
         with mutant.applied():
             return play(scenario, raft(3))
 
--- a/tests/test_copies_and_probes.py
+++ b/tests/test_copies_and_probes.py
@@ -18,7 +18,7 @@
     RequestReceived,
 )
 from merlinbay.decision.outcomes import Outcome
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 from tests.support import entry, request_of, settings
 
 RUN_US = 100_000
@@ -37,7 +37,7 @@
     return made
 
 
-def job_of(made: Balancer, worth: float = 5.0, slots: float = 1.0) -> Request:
+def job_of(made: Balancer, worth: float = 5.0, slots: float = 1.0) -> TrackedRequest:
     """Return a job that has just arrived; it is in time if it starts within 200 ms."""
     now_us = made.parts.context.now_us
     return request_of(
@@ -51,7 +51,7 @@
     )
 
 
-def waiting(made: Balancer, job: Request, since_us: int) -> tuple[Attempt, Endpoint]:
+def waiting(made: Balancer, job: TrackedRequest, since_us: int) -> tuple[Attempt, Endpoint]:
     """Return an attempt that has not started for so long, and a near endpoint with room."""
     attempt = Attempt(made.parts.endpoints.by_name["w0"], made.parts.context.now_us)
     job.attempts, job.open_attempts = [attempt], 1
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -12,11 +12,11 @@
 import pytest
 import trio
 
-from merlinbay.batch.engine import Engine
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.errors import DrmaaError
 from merlinbay.batch.jobs import Backlog
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds, Offer
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import BatchLimits, OfferJob
 from merlinbay.core.messages import AttemptFinished, AttemptStarted
 from merlinbay.core.values import Answer, AnswerStatus, RequestSpec
 from merlinbay.decision.outcomes import Outcome
@@ -43,15 +43,15 @@
 
 def spec_of(template: schema.JobTemplate, index: int = 0) -> RequestSpec:
     """Return what the core is offered of a template, of an array member if there is an index."""
-    engine = Engine(Bounds(), lambda: "j")
-    session = engine.create("s", "", Allowance(), Backlog(), NOW)
+    engine = BatchEngine(BatchLimits(), lambda: "j")
+    session = engine.create("s", "", SessionLimits(), Backlog(), NOW)
     what = templates.submission(template, RULES, NOW)
     if index:
         engine.submit_array(session, what, index, index, 1, 0, NOW)
     else:
         engine.submit(session, what, NOW)
     offer = engine.take(NOW)[0]
-    assert isinstance(offer, Offer)
+    assert isinstance(offer, OfferJob)
     return templates.job_spec(offer.job, RULES, NOW)
 
 
@@ -364,8 +364,8 @@
     """Each with the standard's exception."""
     with pytest.raises(DrmaaError) as caught:
         template = schema.read_run_job(body)
-        engine = Engine(Bounds(), lambda: "j")
-        session = engine.create("s", "", Allowance(), None, NOW)
+        engine = BatchEngine(BatchLimits(), lambda: "j")
+        session = engine.create("s", "", SessionLimits(), None, NOW)
         engine.submit(session, templates.submission(template, RULES, NOW), NOW)
     assert caught.value.name == name
 
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -31,7 +31,7 @@
     SlotsReserved,
 )
 from merlinbay.decision.outcomes import Outcome
-from merlinbay.decision.request_state import Attempt, Request
+from merlinbay.decision.request_state import Attempt, TrackedRequest
 from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 from merlinbay.site_settings import settings_from
 from tests.support import Checker, Seen, entry, request_of, settings
@@ -273,7 +273,7 @@
     return made, sorted(made.parts.endpoints.by_name.values(), key=lambda endpoint: endpoint.name)
 
 
-def allowed(made: Balancer, job: Request, endpoints: list[Endpoint]) -> str:
+def allowed(made: Balancer, job: TrackedRequest, endpoints: list[Endpoint]) -> str:
     """Return the numbers of the endpoints that may take the job."""
     return "".join(endpoint.name[1:] for endpoint in made.parts.eligibility.eligible(job, endpoints))
 
@@ -309,7 +309,9 @@
     assert allowed(made, job, endpoints) == expected
 
 
-def job_of(made: Balancer, job_class: str, *sent: tuple[Endpoint, int], keyless: bool = False) -> Request:
+def job_of(
+    made: Balancer, job_class: str, *sent: tuple[Endpoint, int], keyless: bool = False
+) -> TrackedRequest:
     """Return a job of a class whose attempts went to these endpoints at these times, and are out."""
     job = request_of(made, job_class, deadline_at_us=90_000_000, lacks_idempotency_key=keyless)
     job.attempts, job.open_attempts = [Attempt(endpoint, at) for endpoint, at in sent], len(sent)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -23,12 +23,12 @@
 from merlinbay.decision.events import Event
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.emulator import spec, theory
-from merlinbay.emulator.checker import Checker, RuleViolationError
+from merlinbay.emulator.checker import RuleChecker, RuleViolationError
 from merlinbay.emulator.live import play_live
 from merlinbay.emulator.loop import Loop, Order
-from merlinbay.emulator.play import Result, play
-from merlinbay.emulator.servers import Rack, Server, Work
-from merlinbay.emulator.spec import ScenarioError, Script
+from merlinbay.emulator.servers import EmulatedAttempt, EmulatedServer, Rack
+from merlinbay.emulator.simulation import SimulationResult, play
+from merlinbay.emulator.spec import Scenario, ScenarioError
 from merlinbay.experiment import grid, stats
 from merlinbay.experiment.run import run
 from merlinbay.experiment.store import Store
@@ -37,13 +37,13 @@
 S = 1_000_000
 
 
-def script(**parts: Any) -> Script:
+def script(**parts: Any) -> Scenario:
     """Return a short day."""
     base: dict[str, Any] = {"name": "t", "seconds": 6.0, "hall": {"servers": 6}}
     return spec.read_value({**base, **parts}, "t")
 
 
-def one(name: str, policy: str) -> Result:
+def one(name: str, policy: str) -> SimulationResult:
     """Play a script of the library."""
     return play(spec.load(name), 3, policy)
 
@@ -68,8 +68,8 @@
 def test_the_same_seed_gives_the_same_day_in_any_process() -> None:
     """Whatever the hash seed; another seed gives another day."""
     code = (
-        "from merlinbay.emulator import spec, play; "
-        "print(play.play(spec.load('wednesday'), 5), play.play(spec.load('friday'), 5, 'idle'))"
+        "from merlinbay.emulator import spec; from merlinbay.emulator.simulation import play; "
+        "print(play(spec.load('wednesday'), 5), play(spec.load('friday'), 5, 'idle'))"
     )
     texts = {
         subprocess.run(
@@ -102,28 +102,28 @@
     def __init__(self) -> None:
         self.told: list[tuple[int, str, Outcome | None]] = []
 
-    def reached(self, server: Server, node: int, work_us: float) -> None:
+    def reached(self, server: EmulatedServer, node: int, work_us: float) -> None:
         """Let it pass."""
 
-    def ran(self, work: Work, server: Server) -> None:
+    def ran(self, work: EmulatedAttempt, server: EmulatedServer) -> None:
         """Let it pass."""
 
-    def tell(self, work: Work, what: str, outcome: Outcome | None) -> None:
+    def tell(self, work: EmulatedAttempt, what: str, outcome: Outcome | None) -> None:
         """Note it."""
         self.told.append((work.job, what, outcome))
 
 
-def server_of(loop: Loop, judge: Nobody, slots: int = 2, **hall: Any) -> Server:
+def server_of(loop: Loop, judge: Nobody, slots: int = 2, **hall: Any) -> EmulatedServer:
     """Return a server of speed 1."""
-    kind = spec.Kind(name="k", slots=slots, memory=float(slots))
-    return Server(
+    kind = spec.MachineKind(name="k", slots=slots, memory=float(slots))
+    return EmulatedServer(
         "s0",
         kind,
         1.0,
         0,
         "z",
-        spec.Hall(**hall),
-        spec.Reports(noise=0.0, delay_ms=0.0),
+        spec.ServerPool(**hall),
+        spec.ReportProfile(noise=0.0, delay_ms=0.0),
         Rack(7 * S),
         loop,
         Random(1),
@@ -131,9 +131,9 @@
     )
 
 
-def job(judge: Nobody, number: int, work_s: float, slots: int = 1, key: str = "") -> Work:
+def job(judge: Nobody, number: int, work_s: float, slots: int = 1, key: str = "") -> EmulatedAttempt:
     """Return a job."""
-    return Work(0, number, 0, work_s * S, slots, 0.5 * slots, key, judge.tell)
+    return EmulatedAttempt(0, number, 0, work_s * S, slots, 0.5 * slots, key, judge.tell)
 
 
 @pytest.mark.parametrize(
@@ -228,13 +228,13 @@
     assert held == [1, 2, 3, 2, 3, 5]
 
 
-def checked(**limits: Any) -> tuple[Checker, Loop, Server, Server]:
+def checked(**limits: Any) -> tuple[RuleChecker, Loop, EmulatedServer, EmulatedServer]:
     """Return a checker, and two servers of two racks."""
     loop = Loop()
     day = script(hall={"servers": 2, "rack": 1}, limits=limits)
-    checker = Checker(day, loop)
+    checker = RuleChecker(day, loop)
     servers = [
-        Server(
+        EmulatedServer(
             f"s{n}", day.hall.kinds[0], 1.0, n, "z", day.hall, day.reports, Rack(S), loop, Random(n), checker
         )
         for n in (0, 1)
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -15,7 +15,7 @@
     RequestReceived,
     TimerFired,
 )
-from merlinbay.decision.request_state import Request, RequestClassState
+from merlinbay.decision.request_state import TrackedRequest, RequestClassState
 from merlinbay.decision.settings import RequestClass
 from tests.support import entry, request_of, settings
 
@@ -27,7 +27,7 @@
     return made
 
 
-def job_of(made: Balancer, cls: str, worth: float | None = None) -> Request:
+def job_of(made: Balancer, cls: str, worth: float | None = None) -> TrackedRequest:
     """Return a job of a class, not offered."""
     state = made.parts.run_times.classes[cls]
     weight = state.spec.worth if worth is None else worth
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -13,13 +13,13 @@
 import trio.testing
 
 from merlinbay.batch.errors import DrmaaError
-from merlinbay.batch.states import Event, State
+from merlinbay.batch.states import JobState, JobTransition
 from merlinbay.clock import Clock
 from merlinbay.counters import Counters
 from merlinbay.drmaa.schema import JobTemplate
-from merlinbay.executor.child import Child, ProcessStartError
+from merlinbay.executor.child import ChildProcess, ProcessStartError
 from merlinbay.executor.server import Executor
-from merlinbay.executor.slots import Job, Slots
+from merlinbay.executor.slots import ExecutorJob, Slots
 from merlinbay.http.connection import Request
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -35,7 +35,7 @@
         return False
 
 
-def add(slots: Slots, wide: int = 1) -> Job:
+def add(slots: Slots, wide: int = 1) -> ExecutorJob:
     """Hand a job in."""
     return slots.add(JobTemplate("x", minSlots=wide), "s", "")
 
@@ -47,8 +47,8 @@
     assert slots.startable() == [first] and slots.free == 2
     wide, small = add(slots, 3), add(slots)
     assert slots.startable() == [] and slots.free == 2
-    slots.move(first, Event.SUSPEND)
-    slots.end(first, Event.FAIL)
+    slots.move(first, JobTransition.SUSPEND)
+    slots.end(first, JobTransition.FAIL)
     assert slots.startable() == [wide, small] and slots.free == 0
     queued = [add(slots) for _ in range(3)]
     with pytest.raises(DrmaaError) as caught:
@@ -61,17 +61,17 @@
     with pytest.raises(DrmaaError, match="RUNNING"):
         slots.recall(wide)
     assert list(slots.queue) == [queued[0], queued[2]]
-    slots.end(wide, Event.FINISH)
-    slots.end(small, Event.FINISH)
-    assert wide.state is State.DONE and slots.startable() == [queued[0], queued[2]] and slots.free == 2
+    slots.end(wide, JobTransition.FINISH)
+    slots.end(small, JobTransition.FINISH)
+    assert wide.state is JobState.DONE and slots.startable() == [queued[0], queued[2]] and slots.free == 2
 
 
-def run_child(tmp_path: Path, **template: object) -> tuple[int, Child]:
+def run_child(tmp_path: Path, **template: object) -> tuple[int, ChildProcess]:
     """Run a shell command to its end."""
-    found: list[tuple[int, Child]] = []
+    found: list[tuple[int, ChildProcess]] = []
 
     async def body() -> None:
-        child = Child(JobTemplate("sh", **template), tmp_path)  # type: ignore[arg-type]
+        child = ChildProcess(JobTemplate("sh", **template), tmp_path)  # type: ignore[arg-type]
         with trio.fail_after(10):
             found.append((await child.run(), child))
 
@@ -133,14 +133,14 @@
         JobTemplate("true", inputPath="none"),
     ):
 
-        async def body(child: Child) -> None:
+        async def body(child: ChildProcess) -> None:
             with pytest.raises(ProcessStartError, match="No such file"):
                 await child.run()
 
-        play(body, Child(template, tmp_path))
+        play(body, ChildProcess(template, tmp_path))
 
 
-def state_of(child: Child) -> str:
+def state_of(child: ChildProcess) -> str:
     """Return the letter by which the system tells what a process does: S it waits, T it is stopped."""
     assert child.process is not None
     return Path(f"/proc/{child.process.pid}/stat").read_text().rpartition(")")[2].split()[0]
@@ -150,7 +150,7 @@
     """The signal reaches it once it is there, and so does the one to go on."""
 
     async def body() -> None:
-        child = Child(JobTemplate("sleep", args=["0.5"]), tmp_path)
+        child = ChildProcess(JobTemplate("sleep", args=["0.5"]), tmp_path)
         statuses: list[int] = []
 
         async def run() -> None:
@@ -176,7 +176,7 @@
     """By the signal, and not at the end of what it was to do."""
 
     async def body() -> None:
-        child = Child(JobTemplate("sleep", args=["600"]), tmp_path)
+        child = ChildProcess(JobTemplate("sleep", args=["600"]), tmp_path)
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(child.stop)
@@ -191,7 +191,7 @@
     """There is nothing to wait for."""
 
     async def body() -> None:
-        child = Child(JobTemplate("/nowhere"), tmp_path)
+        child = ChildProcess(JobTemplate("/nowhere"), tmp_path)
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(child.stop)
@@ -220,7 +220,7 @@
             while not all((tmp_path / name).exists() and (tmp_path / name).read_text() for name in "12"):
                 await trio.sleep(0.01)
             await executor.request(connection, Request("POST", "/drmaa2/jobs/2/suspend", {}, b""))
-            assert executor.slots.job("2").state is State.SUSPENDED
+            assert executor.slots.job("2").state is JobState.SUSPENDED
             nursery.cancel_scope.cancel()
 
     play(body)
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -16,24 +16,24 @@
 from merlinbay.decision.events import CallFailure
 from merlinbay.decision.load_estimates import LoadEstimates
 from merlinbay.emulator import gate
-from merlinbay.emulator.play import Result
+from merlinbay.emulator.simulation import SimulationResult
 
 PLAN, BROKEN = DiscoveryPolling._plan_poll, DiscoveryPolling.poll_failed
 
 
-def played(name: str, seed: int = 1) -> Result:
+def played(name: str, seed: int = 1) -> SimulationResult:
     """Play a day as its script says."""
     return gate.one((f"fleet-{name}", "module", seed, 0, 0, 0))
 
 
 @pytest.fixture(scope="module")
-def true() -> dict[str, Result]:
+def true() -> dict[str, SimulationResult]:
     """Play this build."""
     return {name: played(name) for name in ("calm", "roll", "herd", "zone", "silent")}
 
 
 @pytest.mark.parametrize("name", ["calm", "roll", "zone", "silent"])
-def test_this_build_passes_the_gate(true: dict[str, Result], name: str) -> None:
+def test_this_build_passes_the_gate(true: dict[str, SimulationResult], name: str) -> None:
     """Two hundred nodes and thirty servers, 22 s: no rule broken, and the share that the terms want."""
     others = [gate.one((f"fleet-{name}", policy, 1, 0, 0, 0)) for policy in gate.POLICIES[1:]]
     day = gate.Played(f"fleet-{name}", true[name], *others)
@@ -56,7 +56,7 @@
 
 
 def test_calls_spread_beyond_the_time_to_ask_cost_service_and_without_the_lease_break_the_rule(
-    monkeypatch: pytest.MonkeyPatch, true: dict[str, Result]
+    monkeypatch: pytest.MonkeyPatch, true: dict[str, SimulationResult]
 ) -> None:
     """The fault that the bench found at full size: nodes that have not asked count as told."""
     monkeypatch.setattr(DiscoveryPolling, "_plan_poll", unbounded)
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("name", ["roll", "herd"])
 def test_calls_without_a_spread_rank_below(
-    monkeypatch: pytest.MonkeyPatch, true: dict[str, Result], name: str
+    monkeypatch: pytest.MonkeyPatch, true: dict[str, SimulationResult], name: str
 ) -> None:
     """All nodes ask at once, again and again: those that restart stay with an old list."""
     monkeypatch.setattr(DiscoveryPolling, "_plan_poll", no_spread)
@@ -96,7 +96,7 @@
 
 
 def test_gates_by_own_counts_alone_rank_below_on_the_zone_day(
-    monkeypatch: pytest.MonkeyPatch, true: dict[str, Result]
+    monkeypatch: pytest.MonkeyPatch, true: dict[str, SimulationResult]
 ) -> None:
     """Scaled by all balancers, whatever reports show: nodes with more than their share refuse."""
     monkeypatch.setattr(LoadEstimates, "peer_count", lambda self: self._context.settings.balancers - 1)
@@ -108,7 +108,7 @@
 
 
 def test_gates_by_own_counts_alone_rank_below_on_herd_days(
-    monkeypatch: pytest.MonkeyPatch, true: dict[str, Result]
+    monkeypatch: pytest.MonkeyPatch, true: dict[str, SimulationResult]
 ) -> None:
     """As on the zone day, in the mean of some days: on one alone, chance is larger than the margin."""
     builds = [true["herd"], *(played("herd", seed) for seed in HERD_SEEDS[1:])]
@@ -119,7 +119,7 @@
     assert sum(result.refused for result in worse) > 1.5 * sum(result.refused for result in builds)
 
 
-def test_the_terms(true: dict[str, Result]) -> None:
+def test_the_terms(true: dict[str, SimulationResult]) -> None:
     """Half of what sees late; on the calm day nearly what chance or that reaches, whichever is lower."""
     one = true["calm"]
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -18,18 +18,18 @@
 from merlinbay.decision.settings import RequestClass
 from merlinbay.drmaa import schema
 from merlinbay.drmaa.front import DrmaaFront
-from merlinbay.drmaa.listening import Register
-from merlinbay.drmaa.settings import Drmaa, NamedSession
+from merlinbay.drmaa.listening import RegisterListener
+from merlinbay.drmaa.settings import DrmaaSettings, NamedSession
 from merlinbay.http.connection import Request, Response
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from merlinbay.notify.settings import Events
+from merlinbay.notify.settings import EventSettings
 
 CLASSES = [RequestClass("admit", 1, 3_000_000), RequestClass("print", 1, 9_000_000, effect="once")]
-SETTINGS = Drmaa(
+SETTINGS = DrmaaSettings(
     front=True,
     memory_unit_kib=1024,
-    events=Events(keep=50, to=["0.0.0.0/0"]),
+    events=EventSettings(keep=50, to=["0.0.0.0/0"]),
     session=[NamedSession(name="q", backlog=True, jobs=50)],
 )
 
@@ -155,7 +155,9 @@
         st.just("POST"), st.sampled_from(["/arrays", "/sessions/q/arrays"]), bodies(schema.RunBulkJobs)
     ),
     st.tuples(st.just("POST"), st.just("/sessions"), bodies(schema.CreateSession)),
-    st.tuples(st.just("POST"), st.sampled_from(["/listeners", "/sessions/q/listeners"]), bodies(Register)),
+    st.tuples(
+        st.just("POST"), st.sampled_from(["/listeners", "/sessions/q/listeners"]), bodies(RegisterListener)
+    ),
     st.tuples(
         st.just("GET"),
         st.tuples(
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from merlinbay.batch.engine import Engine
+from merlinbay.batch.engine import BatchEngine
 from merlinbay.batch.jobs import Backlog, Submission
-from merlinbay.batch.quota import Allowance
-from merlinbay.batch.registry import Bounds
+from merlinbay.batch.quota import SessionLimits
+from merlinbay.batch.registry import BatchLimits
 from merlinbay.monitor import filters, view
 
 KINDS: dict[str, type] = {"state": str, "exit": float, "at": datetime, "machines": list, "note": str}
@@ -146,8 +146,8 @@
 def test_pages_go_over_all_sessions_in_order_and_are_bounded() -> None:
     """Whatever the session; a page that looked at enough jobs says where to go on."""
     count = iter(range(10**6))
-    engine = Engine(Bounds(), lambda: f"j{next(count)}")
-    sessions = [engine.create(name, "", Allowance(), Backlog(), 0) for name in "ab"]
+    engine = BatchEngine(BatchLimits(), lambda: f"j{next(count)}")
+    sessions = [engine.create(name, "", SessionLimits(), Backlog(), 0) for name in "ab"]
     for number in range(50):
         what = Submission(b"", "print", account="x" if number % 10 == 0 else "y", held=True)
         engine.submit(sessions[number % 3 % 2], what, 0)
--- a/tests/test_notify.py
+++ b/tests/test_notify.py
@@ -9,47 +9,47 @@
 from hypothesis import strategies as st
 
 from merlinbay.batch.errors import DrmaaError
-from merlinbay.batch.timers import Timers
+from merlinbay.batch.timers import TimerQueue
 from merlinbay.notify import signing
-from merlinbay.notify.hub import Answer, Hub, wanted_of
-from merlinbay.notify.journal import Journal, JournalGapError, News, Wanted
-from merlinbay.notify.listeners import Batch, Bounds, Listener
-from merlinbay.notify.targets import Allowed, TargetError
+from merlinbay.notify.hub import EventHub, PollAnswer, wanted_of
+from merlinbay.notify.journal import EventFilter, EventJournal, JobEventKind, JournalGapError
+from merlinbay.notify.listeners import CallbackBatch, EventListener, ListenerLimits
+from merlinbay.notify.targets import AllowedTargets, TargetError
 
-ALL = Wanted()
+ALL = EventFilter()
 MS = 1000
 OWN = (("10.0.0.1", 8080),)
 
 
-def made(most: int = 1000, bounds: Bounds | None = None, polls: int = 10) -> Hub:
+def made(most: int = 1000, bounds: ListenerLimits | None = None, polls: int = 10) -> EventHub:
     """Return a hub whose ids count up."""
     count = iter(range(10**6))
-    allowed = Allowed.read(["10.0.0.0/24", "10.9.0.0/16:9000"], OWN)
-    return Hub(
-        Journal(most, 10**9, lambda: f"s{next(count)}"),
-        bounds or Bounds(),
+    allowed = AllowedTargets.read(["10.0.0.0/24", "10.9.0.0/16:9000"], OWN)
+    return EventHub(
+        EventJournal(most, 10**9, lambda: f"s{next(count)}"),
+        bounds or ListenerLimits(),
         polls,
         allowed,
-        Timers(),
+        TimerQueue(),
         lambda: f"l{next(count)}",
         Random(7),
     )
 
 
-def tell(hub: Hub, number: int, account: str = "a", session: str = "q") -> None:
+def tell(hub: EventHub, number: int, account: str = "a", session: str = "q") -> None:
     """Have so many jobs change."""
     for job in range(number):
-        hub.tell(session, News.NEW_STATE, f"j{job}", "RUNNING", account, 1)
+        hub.tell(session, JobEventKind.NEW_STATE, f"j{job}", "RUNNING", account, 1)
 
 
-def listen(hub: Hub, port: int = 1, account: str | None = None, cursor: str = "") -> Listener:
+def listen(hub: EventHub, port: int = 1, account: str | None = None, cursor: str = "") -> EventListener:
     """Register one."""
     return hub.register("q", f"http://10.0.0.7:{port}/x", wanted_of([], account), b"k" * 24, cursor, "")
 
 
-def batches(hub: Hub, now: int = 0) -> list[Batch]:
+def batches(hub: EventHub, now: int = 0) -> list[CallbackBatch]:
     """Return the call-backs that are to be made."""
-    return [found for found in hub.take(now) if isinstance(found, Batch)]
+    return [found for found in hub.take(now) if isinstance(found, CallbackBatch)]
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -64,15 +64,15 @@
     accounts: list[str], most: int, limit: int, after: int, account: str | None
 ) -> None:
     """Against a plain list, whatever the bound, the page and the place to begin."""
-    journal = Journal(most, 10**9, lambda: "s")
+    journal = EventJournal(most, 10**9, lambda: "s")
     stream = journal.open("q")
     for number, owner in enumerate(accounts):
-        journal.add("q", News.NEW_STATE, f"j{number}", "QUEUED", owner, number)
+        journal.add("q", JobEventKind.NEW_STATE, f"j{number}", "QUEUED", owner, number)
     kept = list(enumerate(accounts, 1))[-most:]
     after = min(after, len(accounts))
     got, missed, at = [], 0, after
     while at < stream.last:
-        page = stream.since(at, limit, 5, Wanted(account=account))
+        page = stream.since(at, limit, 5, EventFilter(account=account))
         assert page.upto > at and len(page.entries) <= limit
         got += [entry.number for entry in page.entries]
         missed, at = missed + page.missed, page.upto
@@ -83,9 +83,9 @@
 
 def test_the_bytes_of_events_are_bounded_too() -> None:
     """Long names of accounts push others out."""
-    journal = Journal(10**6, 100_000, lambda: "s")
+    journal = EventJournal(10**6, 100_000, lambda: "s")
     for number in range(300):
-        journal.add("q", News.NEW_STATE, f"j{number}", "QUEUED", "x" * 2000, 0)
+        journal.add("q", JobEventKind.NEW_STATE, f"j{number}", "QUEUED", "x" * 2000, 0)
     assert journal.bytes <= 100_000 and len(journal.order) < 30
     assert journal.dropped == 300 - len(journal.order)
 
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize("cursor", ["", "s", "s.", "s.9", "s.-1", "t.1", "s.1x", "s." + "1" * 30])
 def test_a_cursor_that_was_never_given_out_is_refused(cursor: str) -> None:
     """Another stream's, a later one, and nonsense."""
-    journal = Journal(9, 10**9, lambda: "s")
-    journal.add("q", News.NEW_STATE, "j", "QUEUED", "", 0)
+    journal = EventJournal(9, 10**9, lambda: "s")
+    journal.add("q", JobEventKind.NEW_STATE, "j", "QUEUED", "", 0)
     assert journal.open("q").number("s.1") == 1
     with pytest.raises(JournalGapError):
         journal.open("q").number(cursor)
@@ -105,16 +105,16 @@
     hub = made()
     hub.poll("c", "q", "", 9, wanted_of([], "a", "arr"), 500 * MS, 0)
     tell(hub, 2, "b")
-    hub.tell("q", News.NEW_STATE, "arr.4", "DONE", "b", 0)
-    hub.tell("q", News.NEW_STATE, "array", "DONE", "a", 0)
+    hub.tell("q", JobEventKind.NEW_STATE, "arr.4", "DONE", "b", 0)
+    hub.tell("q", JobEventKind.NEW_STATE, "array", "DONE", "a", 0)
     assert hub.take(0) == []
-    hub.tell("q", News.NEW_STATE, "arr.4", "DONE", "a", 0)
+    hub.tell("q", JobEventKind.NEW_STATE, "arr.4", "DONE", "a", 0)
     (answer,) = hub.take(0)
-    assert isinstance(answer, Answer) and [e.number for e in answer.page.entries] == [5]
+    assert isinstance(answer, PollAnswer) and [e.number for e in answer.page.entries] == [5]
     hub.poll("d", "q", answer.stream.cursor(answer.page.upto), 9, ALL, 500 * MS, 0)
     hub.timers.run(500 * MS)
     (late,) = hub.take(500 * MS)
-    assert isinstance(late, Answer) and (late.call, late.page.entries, late.page.upto) == ("d", [], 5)
+    assert isinstance(late, PollAnswer) and (late.call, late.page.entries, late.page.upto) == ("d", [], 5)
     assert not hub.polls and not hub.waiting
 
 
@@ -129,7 +129,7 @@
     hub.forget("c")
     hub.poll("e", "q", "", 9, ALL, 10**9, 0)
     tell(hub, 1)
-    assert [answer.call for answer in hub.take(0) if isinstance(answer, Answer)] == ["d", "e"]
+    assert [answer.call for answer in hub.take(0) if isinstance(answer, PollAnswer)] == ["d", "e"]
 
 
 def test_a_registration_that_crosses_an_event_gets_it_once() -> None:
@@ -137,7 +137,7 @@
     hub = made()
     tell(hub, 3)
     late, early = listen(hub, 1), listen(hub, 2, cursor=hub.journal.open("q").cursor(1))
-    hub.tell("q", News.MIGRATED, "j9", "RUNNING", "a", 0)
+    hub.tell("q", JobEventKind.MIGRATED, "j9", "RUNNING", "a", 0)
     assert {batch.listener: [e.number for e in batch.entries] for batch in batches(hub)} == {
         late: [4],
         early: [2, 3, 4],
@@ -146,7 +146,7 @@
 
 def test_a_repeat_is_the_same_call_back_and_order_holds() -> None:
     """Until a batch is taken nothing later goes out; its id and its events do not change."""
-    hub = made(bounds=Bounds(batch=2))
+    hub = made(bounds=ListenerLimits(batch=2))
     listener = listen(hub)
     tell(hub, 2)
     (first,) = batches(hub)
@@ -181,13 +181,13 @@
 
 def test_a_thousand_dead_listeners_cost_the_good_one_nothing() -> None:
     """Each round the good one's events go out, whatever the dead hold; those come back ever less often."""
-    hub = made(bounds=Bounds(quick=2, trial=4))
+    hub = made(bounds=ListenerLimits(quick=2, trial=4))
     good = listen(hub, 1)
     tell(hub, 1)
     (batch,) = batches(hub)
     hub.listeners.delivered(batch, 1, 0)
     dead = [listen(hub, port) for port in range(2, 1001)]
-    held: list[Batch] = []
+    held: list[CallbackBatch] = []
     tries = 0
     for step in range(300):
         now = step * 100 * MS
@@ -210,7 +210,7 @@
 
 def test_failures_are_repeated_later_and_later_and_given_up() -> None:
     """Half a second, doubling, drawn apart; the listener's wish counts; after its time it is dropped."""
-    hub = made(bounds=Bounds(again_us=500 * MS, again_most_us=8000 * MS, give_up_us=60_000 * MS))
+    hub = made(bounds=ListenerLimits(again_us=500 * MS, again_most_us=8000 * MS, give_up_us=60_000 * MS))
     listener, now, waits = listen(hub), 0, []
     tell(hub, 1)
     while out := batches(hub, now):
@@ -240,7 +240,7 @@
     old = hub.journal.open("q").cursor(1)
     hub.close("q")
     answer, batch = hub.take(0)
-    assert isinstance(answer, Answer) and answer.call == "c" and isinstance(batch, Batch)
+    assert isinstance(answer, PollAnswer) and answer.call == "c" and isinstance(batch, CallbackBatch)
     hub.listeners.delivered(batch, 1, 0)
     assert listener.id not in hub.listeners.all
     with pytest.raises(DrmaaError):
@@ -249,7 +249,7 @@
 
 def test_both_keys_sign_while_they_are_changed() -> None:
     """A receiver with either key believes it, until the old one's time is over."""
-    hub = made(bounds=Bounds(overlap_us=1000 * MS))
+    hub = made(bounds=ListenerLimits(overlap_us=1000 * MS))
     listener = listen(hub)
     hub.listeners.rotate(listener, b"n" * 24, 0)
     for now, old_good in ((0, True), (1000 * MS, False)):
@@ -345,7 +345,7 @@
 )
 def test_call_backs_go_only_where_the_operator_allows(url: str, addr: str) -> None:
     """Never to the node's own address, never to a name."""
-    allowed = Allowed.read(["10.0.0.0/24", "10.9.0.0/16:9000", "0.0.0.0/32"], OWN)
+    allowed = AllowedTargets.read(["10.0.0.0/24", "10.9.0.0/16:9000", "0.0.0.0/32"], OWN)
     if addr:
         assert allowed.target(url).addr == addr
     else:
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -12,11 +12,17 @@
 from hypothesis import strategies as st
 
 from merlinbay.batch.errors import DrmaaError
-from merlinbay.batch.timers import Timers
+from merlinbay.batch.timers import TimerQueue
 from merlinbay.decision import Balancer
 from merlinbay.decision.actions import Dispatch
 from merlinbay.decision.events import EndpointsChanged, RequestReceived, SlotsReserved
-from merlinbay.reserve.book import Bounds, Phase, Reservation, SlotBook, Wish
+from merlinbay.reserve.calendar import (
+    Phase,
+    Reservation,
+    ReservationCalendar,
+    ReservationLimits,
+    ReservationSpec,
+)
 from merlinbay.reserve.timeline import Timeline
 from tests import support
 from tests.net import Stage, StandIn
@@ -60,10 +66,10 @@
 
     def __init__(self, slots: int = 4, servers: int = 2, **bounds: Any) -> None:
         self.words: list[tuple[str, str]] = []
-        self.timers, count = Timers(), iter(range(10**6))
+        self.timers, count = TimerQueue(), iter(range(10**6))
         wish: dict[str, Any] = dict(share=1.0, unused_us=0, lead_us=10 * S)
-        self.book = SlotBook(
-            Bounds(**{**wish, **bounds}),
+        self.book = ReservationCalendar(
+            ReservationLimits(**{**wish, **bounds}),
             self.timers,
             lambda: f"r{next(count)}",
             lambda found, what: self.words.append((found.id, what)),
@@ -75,7 +81,7 @@
         self, low: int, start: int, length: int, high: int = 0, now: int = 0, **more: Any
     ) -> Reservation:
         """Reserve; times in seconds."""
-        wish = Wish(low, high or low, start * S, 0, length * S, **more)
+        wish = ReservationSpec(low, high or low, start * S, 0, length * S, **more)
         return self.book.reserve(wish, None, "d", now * S)
 
 
@@ -134,27 +140,27 @@
     with pytest.raises(DrmaaError) as found:
         told.reserve(1, 14, 5)
     assert found.value.name == "OutOfResourceException"
-    slid = told.book.reserve(Wish(1, 1, 10 * S, 30 * S, 5 * S), None, "d", 0)
+    slid = told.book.reserve(ReservationSpec(1, 1, 10 * S, 30 * S, 5 * S), None, "d", 0)
     assert (slid.start_us, slid.end_us) == (15 * S, 20 * S)
-    soon = told.book.reserve(Wish(1, 1, 0, 0, 10 * S), None, "d", 0)
+    soon = told.book.reserve(ReservationSpec(1, 1, 0, 0, 10 * S), None, "d", 0)
     assert (soon.start_us, soon.end_us) == (0, 10 * S)
 
 
 @pytest.mark.parametrize(
     "wish",
     [
-        Wish(1, 1),
-        Wish(2, 1, 0, 0, S),
-        Wish(0, 1, 0, 0, S),
-        Wish(1, 1, 10 * S, 5 * S),
-        Wish(1, 1, 0, 0, 10**15),
-        Wish(1, 1, 10**15, 0, S),
-        Wish(1, 1, 10 * S, 12 * S, 3 * S),
-        Wish(1, 1, 0, 0, S, ("nobody",)),
-        Wish(1, 1, S, 2 * S),
+        ReservationSpec(1, 1),
+        ReservationSpec(2, 1, 0, 0, S),
+        ReservationSpec(0, 1, 0, 0, S),
+        ReservationSpec(1, 1, 10 * S, 5 * S),
+        ReservationSpec(1, 1, 0, 0, 10**15),
+        ReservationSpec(1, 1, 10**15, 0, S),
+        ReservationSpec(1, 1, 10 * S, 12 * S, 3 * S),
+        ReservationSpec(1, 1, 0, 0, S, ("nobody",)),
+        ReservationSpec(1, 1, S, 2 * S),
     ],
 )
-def test_a_window_that_cannot_be_is_refused(wish: Wish) -> None:
+def test_a_window_that_cannot_be_is_refused(wish: ReservationSpec) -> None:
     """Nothing is booked then."""
     told = Told()
     with pytest.raises(DrmaaError) as found:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from merlinbay.scale.registry import NAMES
 from merlinbay.scale.results import RoleMeasurement, ScaleRun
 from merlinbay.scale.roles import MemberNeed
-from merlinbay.scale.sockets import CURRENT, Endpoint, Network
+from merlinbay.scale.sockets import CURRENT, MemberSockets, MeteredNetwork
 from tests.net import ROOT
 
 ROLE = '[[role]]\nrole = "view-member"\n'
@@ -109,7 +109,10 @@
     found = plan.read(text, "some.toml")
     events = schedule.schedule(found, list(range(50)), 60.0)
     kinds = [event.kind for event in events]
-    assert kinds.count(schedule.Kind.FAIL) == 6 and kinds.count(schedule.Kind.RESTART) == 12
+    assert (
+        kinds.count(schedule.DisturbanceKind.FAIL) == 6
+        and kinds.count(schedule.DisturbanceKind.RESTART) == 12
+    )
     assert len({event.number for event in events}) == len(events)
     assert all(0 <= event.at_s <= 60 for event in events)
     assert events == schedule.schedule(found, list(range(50)), 60.0)
@@ -174,10 +177,10 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            network = Network(net, topology, frozenset(), nursery)
+            network = MeteredNetwork(net, topology, frozenset(), nursery)
             trio.socket.set_custom_socket_factory(network)
             nursery.start_soon(network.run)
-            ends = [Endpoint(number, address_of(net, number), number) for number in (0, 1)]
+            ends = [MemberSockets(number, address_of(net, number), number) for number in (0, 1)]
             CURRENT.set(ends[0])
             server, udp = trio.socket.socket(), trio.socket.socket(type=trio.socket.SOCK_DGRAM)
             await server.bind((ends[0].address, 0))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -20,7 +20,7 @@
 from merlinbay.decision.events import BalancerCountChanged, EndpointsChanged
 from merlinbay.fleet import messages, random_walk, scenarios, simulation, wire, wiring
 from merlinbay.fleet.broadcast_queue import BroadcastQueue
-from merlinbay.fleet.effects import EventKind, MembershipEvent, SendDatagram
+from merlinbay.fleet.effects import MembershipEvent, MembershipEventKind, SendDatagram
 from merlinbay.fleet.epoch_messages import (
     Accept,
     Accepted,
@@ -43,7 +43,7 @@
 from merlinbay.fleet.members import TRANSITIONS, Health, MemberState, decode_state, encode_state, supersedes
 from merlinbay.fleet.settings import FleetSettings, timing
 from merlinbay.fleet.simulated_node import KEYS, SimulatedNode
-from merlinbay.fleet.simulation import Simulation
+from merlinbay.fleet.simulation import FleetSimulation
 from merlinbay.fleet.view import View, initial_state
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -438,15 +438,15 @@
     """Of one to whom nothing was done, by one who could reach it; not of one that was killed, nor cut off."""
     sim = fleet(4)
     observer = sim.observe = scenarios.DeathObserver(sim, is_lossless=True)
-    accuser, harmless = sim.nodes["n0"], MembershipEvent(1.0, EventKind.DIED, "n1")
+    accuser, harmless = sim.nodes["n0"], MembershipEvent(1.0, MembershipEventKind.DIED, "n1")
     sim.nodes["n2"].kill()
-    observer(accuser, MembershipEvent(1.0, EventKind.DIED, "n2"))
+    observer(accuser, MembershipEvent(1.0, MembershipEventKind.DIED, "n2"))
     observer.excuse(["n3"], sim.now_s, sim.now_s)
-    observer(accuser, MembershipEvent(1.0, EventKind.DIED, "n3"))
+    observer(accuser, MembershipEvent(1.0, MembershipEventKind.DIED, "n3"))
     with pytest.raises(simulation.InvariantViolationError, match="n0 reports that n1 died"):
         observer(accuser, harmless)
     with pytest.raises(simulation.InvariantViolationError, match="n1 suspected"):
-        observer(accuser, MembershipEvent(1.0, EventKind.SUSPECTED, "n1"))
+        observer(accuser, MembershipEvent(1.0, MembershipEventKind.SUSPECTED, "n1"))
 
 
 def test_a_seed_gives_one_history() -> None:
@@ -456,9 +456,9 @@
     assert [node.log for node in one.nodes.values()] == [node.log for node in two.nodes.values()]
 
 
-def fleet(count: int, seed: int = 1) -> Simulation:
+def fleet(count: int, seed: int = 1) -> FleetSimulation:
     """Return a fleet that has come up: all started in the same instant."""
-    sim = Simulation(seed, count)
+    sim = FleetSimulation(seed, count)
     for node in sim.nodes.values():
         sim.schedule(0.0, node.start)
     sim.run(20)
@@ -466,21 +466,21 @@
     return sim
 
 
-def names(sim: Simulation, node: str) -> set[str]:
+def names(sim: FleetSimulation, node: str) -> set[str]:
     """Return whom a node sees."""
     view = sim.nodes[node].view
     assert view is not None
     return {member.name for member in view.table.active()}
 
 
-def logged(sim: Simulation, what: str) -> list[tuple[str, str]]:
+def logged(sim: FleetSimulation, what: str) -> list[tuple[str, str]]:
     """Return who was told of it by whom."""
     return [
         (node.name, event.subject) for node in sim.nodes.values() for event in node.log if event.kind == what
     ]
 
 
-def cut(sim: Simulation, pairs: list[tuple[str, str]]) -> None:
+def cut(sim: FleetSimulation, pairs: list[tuple[str, str]]) -> None:
     """Cut links, from and to."""
     sim.net.cut_links |= {(sim.nodes[a].addr, sim.nodes[b].addr) for a, b in pairs}
 
--- a/tests/test_wire_and_configuration.py
+++ b/tests/test_wire_and_configuration.py
@@ -8,13 +8,13 @@
 import msgspec
 import pytest
 
-from merlinbay.access.settings import Access
+from merlinbay.access.settings import AccessSettings
 from merlinbay.config import read_operator_file
 from merlinbay.core.values import ServiceEntry
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.settings import RequestClass, SafetyMargins, Settings
 from merlinbay.dnssd.settings import DnsSd
-from merlinbay.drmaa.settings import Drmaa
+from merlinbay.drmaa.settings import DrmaaSettings
 from merlinbay.errors import ConfigurationError, parse_address
 from merlinbay.http.client import Reply
 from merlinbay.limits import limits_from
@@ -203,12 +203,12 @@
     """As it stands under deploy/; without one, all of it is off."""
     operator = read_operator_file(str(ROOT / "deploy" / "drmaa.toml"))
     assert operator is not None
-    assert operator.drmaa == Drmaa(front=True, servers=True, access=Access(open=True))
+    assert operator.drmaa == DrmaaSettings(front=True, servers=True, access=AccessSettings(open=True))
     assert isinstance(operator.dnssd, DnsSd) and parse_address(operator.dnssd.nameserver) == (
         "127.0.0.1",
         5353,
     )
-    assert read_operator_file("") is None and not Drmaa().front and not Drmaa().servers
+    assert read_operator_file("") is None and not DrmaaSettings().front and not DrmaaSettings().servers
 
 
 @pytest.mark.parametrize(
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -30,7 +30,7 @@
 from merlinbay.decision.outcomes import NEVER_RAN, Outcome
 from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 from merlinbay.drmaa.front import DrmaaFront
-from merlinbay.drmaa.settings import Drmaa, NamedSession
+from merlinbay.drmaa.settings import DrmaaSettings, NamedSession
 from merlinbay.http.connection import Request, Response
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -138,7 +138,7 @@
             tells_start=True,
             limits=DispatchLimits(cancelling=True, second_copies=True, send_cap=4, retry_after=True),
         )
-        drmaa = Drmaa(
+        drmaa = DrmaaSettings(
             front=True,
             session=[NamedSession(name="q", backlog=True, jobs=60, wait_most=20)],
             finished=500,
