--- a/merlinbay/batch/engine.py
+++ b/merlinbay/batch/engine.py
@@ -6,7 +6,7 @@
     client's calls  ->  submit, submit_array, hold, release, control, terminate, reap, wait; on_array
     the core's news ->  placed, started, suspended, unplaced, lost_sight, found_queued, finished, refused,
                         failed, recalled, controlled
-    effects         ->  Offer, WithdrawJob, RecallJob, ControlJob, Reply
+    effects         ->  OfferJob, WithdrawJob, RecallJob, ControlJob, CallReply
 
 News may only be told of a job that is with the core: the caller drops what belongs to an earlier offer.
 """
--- a/merlinbay/batch/queue.py
+++ b/merlinbay/batch/queue.py
@@ -21,7 +21,7 @@
     look_us = 0  # when the backlog is looked at next, though nothing else happens
 
     def take(self, now_us: int) -> list[Effect]:
-        """OfferJob what may be offered now; return the effects so far, and forget them."""
+        """Offer what may be offered now; return the effects so far, and forget them."""
         if self.waiting:
             self._offer(now_us)
         effects, self.effects = self.effects, []
@@ -91,7 +91,7 @@
                 del session.lanes[account]
 
     def _offer(self, now_us: int) -> None:
-        """OfferJob what comes next, as far as the pace allows."""
+        """Offer what comes next, as far as the pace allows."""
         while may := self.pace.open(self.waiting, now_us):
             found = self.root.first(may.__contains__)
             assert found is not None
--- a/merlinbay/batch/registry.py
+++ b/merlinbay/batch/registry.py
@@ -55,7 +55,7 @@
 
 
 class OfferJob(msgspec.Struct, frozen=True):
-    """OfferJob the job to the core."""
+    """Offer the job to the core."""
 
     job: Job
 
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -57,7 +57,7 @@
 
 
 class ControlSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """ControlSection ``control`` of a node's operator's file: the node follows the configuration."""
+    """Section ``control`` of a node's operator's file: the node follows the configuration."""
 
     fleet: Name = "fleet"
     region: Name = "region"
--- a/merlinbay/drmaa/front.py
+++ b/merlinbay/drmaa/front.py
@@ -277,7 +277,7 @@
     # The wire's side.
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """PollAnswer one call, or leave it to be answered by what becomes of the job."""
+        """Answer one call, or leave it to be answered by what becomes of the job."""
         path, _, query = request.target.partition("?")
         parts = path.strip("/").split("/")[1:]
         if "%" in path:
--- a/merlinbay/emulator/discovery.py
+++ b/merlinbay/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""DiscoveryProfile: a list that is seconds late, and tells a node what has changed since it asked last."""
+"""Discovery: a list that is seconds late, and tells a node what has changed since it asked last."""
 
 from __future__ import annotations
 
--- a/merlinbay/emulator/servers.py
+++ b/merlinbay/emulator/servers.py
@@ -1,9 +1,8 @@
 """The model of one real server: slots, memory, an ordered queue, cold starts, and what goes wrong. No I/O.
 
-EmulatedAttempt is measured in microseconds of the yardstick. A server does ``speed`` of it a microsecond in
-each slot,
-less while it is cold, slowed, crowded or shares its machine. Where that changes, what is left of each running
-job is counted anew.
+Work is measured in microseconds of the yardstick. A server does ``speed`` of it a microsecond in
+each slot, less while it is cold, slowed, crowded or shares its machine. Where that changes,
+what is left of each running job is counted anew.
 """
 
 from __future__ import annotations
--- a/merlinbay/emulator/spec.py
+++ b/merlinbay/emulator/spec.py
@@ -135,7 +135,7 @@
 
 
 class ReportProfile(Strict):
-    """LoadProfile reports in answers."""
+    """Load reports in answers."""
 
     on: bool = True
     refresh_ms: Draw = (600.0, 1300.0)
--- a/merlinbay/fleet/simulation.py
+++ b/merlinbay/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""FleetSimulation of a fleet in virtual time, and its invariants; ``scenarios`` injects faults by a seed.
+"""Simulation of a fleet in virtual time, and its invariants; ``scenarios`` injects faults by a seed.
 
 One seed gives one history, in any process. Network and clocks are simulated, the view is the real one.
 """
--- a/merlinbay/notify/hub.py
+++ b/merlinbay/notify/hub.py
@@ -102,7 +102,7 @@
         until_us: int,
         now_us: int,
     ) -> None:
-        """PollAnswer the call with what came after the cursor, now or once something comes.
+        """Answer the call with what came after the cursor, now or once something comes.
 
         Without a cursor all that is kept comes; ``now`` means only what comes from now on, and is answered
         at once. Raises ``DrmaaError``.
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -15,6 +15,17 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.notify.targets import AllowedTargets
 
+# Names of section types in the printed schema, by the names of the types.
+SCHEMA_NAMES = {
+    "AccessSettings": "Access",
+    "ControlSection": "Section",
+    "DrmaaSettings": "Drmaa",
+    "EventSettings": "Events",
+    "FleetSettings": "Fleet",
+    "ReservationSettings": "Reservations",
+    "SessionsSettings": "Sessions",
+}
+
 
 class LogSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """How events are written to standard error."""
@@ -82,5 +93,9 @@
 
 
 def schema() -> dict[str, object]:
-    """Return the file's JSON schema."""
-    return msgspec.json.schema(Operator)
+    """Return the file's JSON schema, with the names of sections that it has always had."""
+    text = msgspec.json.encode(msgspec.json.schema(Operator)).decode()
+    for name, earlier in SCHEMA_NAMES.items():
+        text = text.replace(f'"{name}"', f'"{earlier}"').replace(f'/{name}"', f'/{earlier}"')
+    found: dict[str, object] = msgspec.json.decode(text)
+    return found
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,6 +18,7 @@
 from merlinbay.cli.main import EARLIER_NAMES, main
 from merlinbay.event_log import EventLog, EventRate
 from merlinbay.limits import ResourceLimits
+from merlinbay.operator_file import SCHEMA_NAMES
 from tests.net import ROOT, free_port
 from tests.test_executor import alive
 
@@ -273,6 +274,8 @@
     """The schema names every section; each shell's script names the program."""
     schema = json.loads(CliRunner().invoke(main, ["config", "schema"]).output)
     assert {"Drmaa", "DnsSd", "LogSection", "SessionSection"} <= set(schema["$defs"])
+    earlier = {"Access", "Events", "Fleet", "Reservations", "Section", "Sessions"}  # by names of their own
+    assert earlier <= set(schema["$defs"]) and not set(SCHEMA_NAMES) & set(schema["$defs"])
     for shell in ("bash", "zsh", "fish"):
         assert "_MERLINBAY_COMPLETE" in CliRunner().invoke(main, ["completion", shell]).output
 
