--- a/merlinbay/core/request_lifecycle.py
+++ b/merlinbay/core/request_lifecycle.py
@@ -56,7 +56,7 @@
         """Close a request whose client has disconnected."""
         self.counters.add("requests_withdrawn")
         request.is_answered = True
-        self._report_disconnect(request)
+        self._close_in_module(request)
 
     def mark_recalled(self, request: OpenRequest) -> None:
         """Close a request that its client has taken back unstarted."""
@@ -65,9 +65,9 @@
     def fail_overdue(self, request: OpenRequest) -> None:
         """Fail a request that is open past its deadline."""
         self.answer(request, Answer(AnswerStatus.FAILED))
-        self._report_disconnect(request)
+        self._close_in_module(request)
 
-    def _report_disconnect(self, request: OpenRequest) -> None:
+    def _close_in_module(self, request: OpenRequest) -> None:
         self.batch.add(ClientDisconnected(request.number))
         self.requests.remove_if_finished(request)
 
--- a/merlinbay/decision/actions.py
+++ b/merlinbay/decision/actions.py
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: refused, trying again is harmless."""
+    """Final answer: rejected, trying again is harmless."""
 
     id: int
     retry_after_us: int = 0
-    reason: str = "no_room"  # for the counters
+    reason: str = "no_room"  # for the counters: ``no_room`` or ``list_overdue``
 
 
 @dataclass(slots=True)
@@ -55,9 +55,9 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """WatchEndpoints to changes of the endpoint list."""
+    """Watch the endpoint list: poll discovery now, and take its changes."""
 
-    patience_us: int = 0  # its first answer is waited for so long; 0: as long as is usual
+    patience_us: int = 0  # how long the first answer is waited for; 0: as long as is usual
 
 
 @dataclass(slots=True)
--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -237,7 +237,7 @@
         # A pushed list is watched again by itself.
         poll_now = event.moved and self.parts.context.settings.must_subscribe
         self.parts.context.emit_all(
-            self.parts.polling.discovery_changed(self.parts.context.now_us, event.told_us, poll_now)
+            self.parts.polling.discovery_changed(self.parts.context.now_us, event.notified_after_us, poll_now)
         )
 
     def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
@@ -259,11 +259,13 @@
     def _take_failed_poll(self, event: EndpointsChanged) -> None:
         now_us = self.parts.context.now_us
         if not self.parts.context.settings.must_subscribe:
-            self.parts.lease.push_agent_failed(now_us, event.heard_us, event.failure)
+            self.parts.lease.push_agent_failed(now_us, event.last_answer_at_us, event.failure)
         elif event.former:
-            self.parts.polling.former_watch_ended(now_us, event.heard_us)
+            self.parts.polling.former_watch_ended(now_us, event.last_answer_at_us)
         else:
-            self.parts.context.emit_all(self.parts.polling.poll_failed(now_us, event.heard_us, event.failure))
+            self.parts.context.emit_all(
+                self.parts.polling.poll_failed(now_us, event.last_answer_at_us, event.failure)
+            )
 
     def _on_balancer_count_changed(self, event: BalancerCountChanged) -> None:
         before = self.parts.context.settings.balancers
--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -101,8 +101,9 @@
         """Tell whether a hedge is worth the work that it adds."""
         settings, offered, load = self._context.settings, self._offered, self._load
         if not settings.asks_first:
-            # Guards against fleets whose nodes hear little of each other, where weighed hedges lost more than
-            # hedges cost: each answer reports what its endpoint holds, uncancelled work included.
+            # Each answer reports what its endpoint holds, uncancelled hedges included, so their cost is seen
+            # at
+            # the next choice. Guards against fleets of many nodes, where weighing hedges served less.
             return True
         run_us = request.run_time_us
         if attempt.started_at_us:  # it runs at a slow endpoint, and would start over elsewhere
--- a/merlinbay/decision/discovery_polling.py
+++ b/merlinbay/decision/discovery_polling.py
@@ -77,8 +77,9 @@
     ) -> list[Action]:
         """Plan the next poll after one that failed, or after a watch that ended or fell silent.
 
-        Guards against a whole new time after each of them: it began with the last answer. A poll that was not
-        answered at all says nothing of how many there are.
+        The time to poll runs from the last answer, not anew from each failure. An unanswered poll says
+        nothing
+        of how many balancers poll.
         """
         if self.is_polling:
             self.failed_polls = min(self.failed_polls + 1, MAX_DOUBLINGS)
@@ -198,8 +199,8 @@
     def _widest_us(self, now_us: int, width_us: float) -> float:
         """Return the width that polls are spread over, bounded by what is left of the lease."""
         # Guards against a poll that comes too late: who has not polled in time counts as notified all the
-        # same. What is overdue leaves as much time as there was at first: discovery may be back at any
-        # moment. It is more where polls queue in vain for long: where not all fit, some must be answered.
+        # same. An overdue poll has as much time as the first one: discovery may be back at any moment.
+        # Where polls queue and fail they are spread wider, so that at least some are answered.
         left_us, is_overdue = self.deadline_us - now_us, now_us >= self.deadline_us
         if is_overdue or self.queued_in_vain:
             delay_us = self.lease.notification_delay_us
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -77,7 +77,7 @@
 
     def may_reject(self, request: TrackedRequest, wait_us: int = 0) -> bool:
         """Tell whether the request may be rejected, and so be sent again by its client after a wait."""
-        unresolved, spec = request.first_unresolved, request.class_state.spec
+        unresolved, spec = request.first_that_may_have_run, request.class_state.spec
         if unresolved is None or request.idempotency is Idempotency.ALWAYS:
             return True
         if request.idempotency is not Idempotency.BY_KEY or spec.group != "all":
@@ -89,7 +89,7 @@
         if not self.may_dispatch(request):
             return []
         by_key = request.idempotency is Idempotency.BY_KEY
-        unresolved = request.first_unresolved if by_key else None
+        unresolved = request.first_that_may_have_run if by_key else None
         return [
             endpoint
             for endpoint in endpoints
@@ -100,7 +100,7 @@
 
     def scope_of_repeat(self, request: TrackedRequest) -> list[Endpoint] | None:
         """Return the usable endpoints that drop a repeat of the request, or None where any may take it."""
-        spec, unresolved = request.class_state.spec, request.first_unresolved
+        spec, unresolved = request.class_state.spec, request.first_that_may_have_run
         if unresolved is None or request.idempotency is not Idempotency.BY_KEY or spec.group == "all":
             return None
         if spec.group == "cell":
--- a/merlinbay/decision/endpoint_lease.py
+++ b/merlinbay/decision/endpoint_lease.py
@@ -8,12 +8,13 @@
 the start, with a known list    the lease expires so long after it
 an answer                       renews it; it stands while the watch does
 a watch that broke              it expires so long after the last answer on that watch
-a new configuration             it expires at a fixed moment, which only an answer of the new
-                                discovery lifts that comes then or later: all that it has by
-                                then counts as notified
+a new configuration             it expires at a fixed moment: all that the new discovery has by
+                                then counts as notified. Only an answer of the new discovery that
+                                comes at that moment or later lifts it
 proof of an outage              changes made before count from then on: a list that nobody could
                                 have does not stop a node that serves
 a poll that failed otherwise    nothing: it gives no more time
+a pushed list's agent is silent  it does not expire: what the agent gets later counts from then on
 ==============================  ===============================================================
 """
 
@@ -36,7 +37,9 @@
     poll_within_us: int  # the rules' time to poll; 0: none is stated
     grace_us: int  # after being notified, sends to a draining endpoint are allowed for so long
     expires_at_us: float = math.inf  # when what discovery had last counts as notified
-    reloads_due_at_us: list[int] = field(default_factory=list)  # when all that discovery has counts so
+    reloads_due_at_us: list[int] = field(
+        default_factory=list
+    )  # when all that discovery had at a reload counts as notified
 
     @property
     def notification_delay_us(self) -> int:
--- a/merlinbay/decision/endpoint_state.py
+++ b/merlinbay/decision/endpoint_state.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointInFlight:
-    """Our requests at an endpoint; written by ``RequestTable``."""
+    """Our requests at an endpoint; written by ``TrackedRequests``."""
 
     in_flight_slots: float = 0.0  # slots of our open attempts
     running_slots: float = 0.0  # those of them that have started
--- a/merlinbay/decision/endpoint_views.py
+++ b/merlinbay/decision/endpoint_views.py
@@ -10,14 +10,22 @@
 from merlinbay.decision.warm_up import WarmUp
 
 
+def ejection_reason(last_failure: int, consecutive_failures: int) -> str:
+    """Return why an endpoint is ejected, for people."""
+    # Guards against an endpoint that has failed no request: a health check without an answer ejects it too.
+    if not last_failure:
+        return "no answer to a health check"
+    outcome = Outcome(last_failure).name.lower().replace("_", " ")
+    return f"{outcome}, {consecutive_failures} in a row"
+
+
 def endpoint_view(endpoint: Endpoint, load: LoadEstimates, warm_up: WarmUp, now_us: int) -> dict[str, Any]:
     """Return one endpoint's slots, times and the reason of an ejection."""
     failures = endpoint.failures
     is_ejected = failures.ejected_until_us > now_us
     reason = ""
     if is_ejected:
-        outcome = Outcome(failures.last_failure).name.lower().replace("_", " ")
-        reason = f"{outcome}, {failures.consecutive_failures} in a row"
+        reason = ejection_reason(failures.last_failure, failures.consecutive_failures)
     return {
         "name": endpoint.name,
         "zone": endpoint.zone,
--- a/merlinbay/decision/events.py
+++ b/merlinbay/decision/events.py
@@ -34,7 +34,7 @@
 
     scope: str
     entries: list[EndpointEntry]
-    heard_us: int = -1  # of a watch that broke: when its last answer came; -1: when it broke
+    last_answer_at_us: int = -1  # of a watch that broke: when its last answer came; -1: when it broke
     failure: CallFailure = CallFailure.BROKEN  # of a call or watch that failed
     former: bool = False  # it comes from a discovery that the configuration names no more
 
@@ -43,7 +43,7 @@
 class DiscoveryChanged:
     """A new configuration has come; all that its discovery has counts as notified after ``told_us``."""
 
-    told_us: int
+    notified_after_us: int
     moved: bool = True  # it names another discovery, which is to be called
 
 
--- a/merlinbay/decision/load_estimates.py
+++ b/merlinbay/decision/load_estimates.py
@@ -69,7 +69,8 @@
 
     def add_peer_report(self, endpoint: Endpoint, held: float) -> None:
         """Take note of what a report shows of peers' slots."""
-        # A count made up from free slots ends where an endpoint is full; of unknown slots there is no share.
+        # A count derived from free slots cannot exceed the slots, so it misses queues. Without known slots no
+        # share can be computed.
         if self._context.settings.held_field and endpoint.kind.capacity.slots_are_reported:
             peers = max(0.0, held - endpoint.in_flight.in_flight_slots)
             share = max(self._warm_up.capacity_share(endpoint), LEAST_CAPACITY_SHARE)
@@ -77,7 +78,7 @@
 
     def weigh_peer_reports(self) -> None:
         """Take the median of the recent reports, by slots as they are known now."""
-        # Guards against a first verdict that stands for ever: who rejects all gets no more reports.
+        # Guards against old reports that are never replaced: a node that rejects all gets no new ones.
         reports, oldest_us = self.peer_reports, self._context.now_us - PEER_REPORT_MEMORY_US
         while reports and (len(reports) > MAX_PEER_REPORTS or reports[0][0] < oldest_us):
             reports.popleft()
@@ -190,7 +191,8 @@
 
     def utilization(self, kind: Kind) -> float:
         """Return O2A's r: the offered load over the service rate."""
-        # Guards against gates that shut on who has more than his share: his peers offer less than he does.
+        # Guards against a node with more than its share of the traffic, which would overrate the fleet's
+        # load.
         own = self._offered.arrival_rate.per_us * self._offered.mean_work_us
         load = own * self._context.settings.balancers
         if self.peer_reports:
--- a/merlinbay/decision/offered_load.py
+++ b/merlinbay/decision/offered_load.py
@@ -20,13 +20,13 @@
 class DecayingRate:
     """Events per microsecond, forgotten exponentially."""
 
-    rate_at_us: int
+    last_event_at_us: int
     per_us: float = 0.0
 
     def add(self, now_us: int) -> float:
         """Count one event; return the share that is left of what was counted before."""
-        left = math.exp((self.rate_at_us - now_us) / RATE_MEMORY_US)
-        self.per_us, self.rate_at_us = self.per_us * left + 1 / RATE_MEMORY_US, now_us
+        left = math.exp((self.last_event_at_us - now_us) / RATE_MEMORY_US)
+        self.per_us, self.last_event_at_us = self.per_us * left + 1 / RATE_MEMORY_US, now_us
         return left
 
 
--- a/merlinbay/decision/request_state.py
+++ b/merlinbay/decision/request_state.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One dispatch of a request; written by ``RequestTable`` but where a field says otherwise."""
+    """One dispatch of a request; written by ``TrackedRequests`` but where a field says otherwise."""
 
     endpoint: Endpoint
     dispatched_at_us: int
@@ -31,7 +31,7 @@
     recheck_at_us: int = 0  # when to check that it still runs; written by ``AttemptTimers``
     paused_at_us: int = 0  # it is suspended since then; 0: it is not
     is_open: bool = True
-    may_have_executed: bool = False  # it has ended, and may have run
+    ended_possibly_run: bool = False  # it has ended, and may have run
 
     def __post_init__(self) -> None:
         self.zone, self.cell = self.endpoint.zone, self.endpoint.cell
@@ -39,12 +39,12 @@
     @property
     def may_have_run(self) -> bool:
         """Whether it is open, or has ended in a way that does not exclude that it has run."""
-        return self.is_open or self.may_have_executed
+        return self.is_open or self.ended_possibly_run
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class TrackedRequest:
-    """A request, from its arrival until its last attempt has ended; written by ``RequestTable``."""
+    """A request, from its arrival until its last attempt has ended; written by ``TrackedRequests``."""
 
     id: int
     class_state: RequestClassState
@@ -74,6 +74,6 @@
         return Idempotency.NONE if declared is Idempotency.BY_KEY and self.lacks_idempotency_key else declared
 
     @property
-    def first_unresolved(self) -> Attempt | None:
+    def first_that_may_have_run(self) -> Attempt | None:
         """The first attempt that may have run."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
--- a/merlinbay/decision/requests.py
+++ b/merlinbay/decision/requests.py
@@ -60,10 +60,10 @@
         attempt.started_at_us += self._context.now_us - attempt.paused_at_us
         attempt.paused_at_us = 0
 
-    def end_attempt(self, request: TrackedRequest, attempt: Attempt, may_have_executed: bool) -> None:
+    def end_attempt(self, request: TrackedRequest, attempt: Attempt, ended_possibly_run: bool) -> None:
         """Count the end of an attempt."""
         attempt.is_open = False
-        attempt.may_have_executed = may_have_executed
+        attempt.ended_possibly_run = ended_possibly_run
         request.open_attempts -= 1
         self._count(attempt.endpoint, -request.slots)
         if attempt.started_at_us:
--- a/merlinbay/decision/settings.py
+++ b/merlinbay/decision/settings.py
@@ -79,15 +79,15 @@
 
 @dataclass(slots=True)
 class SafetyMargins:
-    """Figures of the four rules."""
-
-    drain_grace_us: int = 0
-    cold_from: float = 1.0
-    cold_us: int = 0
-    tip_multiple: float = 1.0
-    overload_for_us: int = 1_000_000
-    answer_slack_us: int = 0
-    must_ask_in_us: int = 0
+    """Margins of the rules: on answers, repeats, draining endpoints, and endpoints in slow start."""
+
+    drain_grace_us: int = 0  # after a drain is notified, requests may still be sent for so long
+    cold_from: float = 1.0  # share of its capacity that an endpoint has at its start; it grows evenly
+    cold_us: int = 0  # how long after its start an endpoint warms up
+    tip_multiple: float = 1.0  # a warming endpoint is overloaded by work of so many times its capacity
+    overload_for_us: int = 1_000_000  # in a span of this length
+    answer_slack_us: int = 0  # how much later than its deadline an answer may come
+    must_ask_in_us: int = 0  # how often discovery is to be polled at the least; 0: not stated
 
     def __post_init__(self) -> None:
         require(0 < self.cold_from <= 1, "safety.cold_from", self.cold_from)
--- a/merlinbay/decision/snapshots.py
+++ b/merlinbay/decision/snapshots.py
@@ -55,7 +55,7 @@
         offered, capacity = self._offered, self._capacity
         return LoadSnapshot(
             offered.arrival_rate.per_us,
-            offered.arrival_rate.rate_at_us,
+            offered.arrival_rate.last_event_at_us,
             self._reports.capacity_hit_rate,
             offered.offered_requests,
             capacity.unreported_slots,
--- a/merlinbay/drmaa/status_polling.py
+++ b/merlinbay/drmaa/status_polling.py
@@ -31,7 +31,7 @@
     """One job at a scheduler."""
 
     deadline_us: int
-    heard_us: int
+    last_answer_at_us: int
     wait_us: int
     due_us: int = 0
     misses: int = 0
@@ -68,7 +68,7 @@
         if asked is None:
             return False
         was, asked.unseen = asked.unseen, False
-        asked.heard_us, asked.misses = now_us, 0  # ``take`` looks at it when the question comes up
+        asked.last_answer_at_us, asked.misses = now_us, 0  # ``take`` looks at it when the question comes up
         return was
 
     def hasten(self, key: Hashable, now_us: int) -> None:
@@ -91,8 +91,8 @@
             due_us, _, key, asked = heapq.heappop(self.due)
             if self.jobs.get(key) is not asked or asked.due_us != due_us or asked.asking:
                 continue
-            if asked.heard_us + asked.wait_us > now_us and not asked.hasty:
-                self._plan(key, asked, asked.heard_us)
+            if asked.last_answer_at_us + asked.wait_us > now_us and not asked.hasty:
+                self._plan(key, asked, asked.last_answer_at_us)
                 continue
             asked.asking, asked.hasty = True, False
             self.out += 1
@@ -117,7 +117,7 @@
             return ""
         self._settle(asked)
         asked.misses += 1
-        if now_us - asked.heard_us >= self.limits.gone_after_us:
+        if now_us - asked.last_answer_at_us >= self.limits.gone_after_us:
             return "gone"
         self._plan(key, asked, now_us)
         if asked.misses >= self.limits.unseen_after and not asked.unseen:
--- a/merlinbay/emulator/checker.py
+++ b/merlinbay/emulator/checker.py
@@ -46,7 +46,7 @@
 class DiscoveryStanding:
     """How a node stands with discovery."""
 
-    heard_us: int  # when it knew all that the list said
+    last_answer_at_us: int  # when it knew all that the list said
     started_us: int = 0
     watching: bool = False
     moved_us: float = math.inf  # from when on all counts as told since it was sent to another discovery
@@ -63,7 +63,7 @@
         self.gone: dict[tuple[int, str], int] = {}  # by node and server: since when it is known to be gone
         self.listings: dict[str, list[tuple[int, bool]]] = {}  # by server: when, and whether it is gone
         self.asking: dict[int, DiscoveryStanding] = {}
-        self.told_us = min(int(script.discovery.ask_in * 1e6) or TOLD_US, TOLD_US)
+        self.notified_after_us = min(int(script.discovery.ask_in * 1e6) or TOLD_US, TOLD_US)
         self.down_us: list[list[float]] = []  # when discovery was down, from and until
         self.told_start: dict[tuple[int, str], int] = {}  # the start that a node was told of
         self.pushes: dict[str, deque[tuple[int, float, bool]]] = {}  # work that came to a cold server
@@ -110,13 +110,15 @@
     def node_started(self, node: int, stale: bool) -> None:
         """Take it that a node starts, with the list as it is or, ``stale``, as it remembers it."""
         now, known = self.loop.now, self.asking.get(node)
-        self.asking[node] = DiscoveryStanding(known.heard_us if stale and known is not None else now, now)
+        self.asking[node] = DiscoveryStanding(
+            known.last_answer_at_us if stale and known is not None else now, now
+        )
 
-    def list_moved(self, node: int, told_us: int) -> None:
+    def list_moved(self, node: int, notified_after_us: int) -> None:
         """Take it that a node is sent to another discovery, which counts as told after so long."""
         asking = self.asking.get(node)
         if asking is not None:
-            asking.moved_us = self.loop.now + told_us
+            asking.moved_us = self.loop.now + notified_after_us
             self.list_closed(node)
 
     def list_answered(self, node: int, failed: bool) -> None:
@@ -128,7 +130,7 @@
         """Take it that its watch was closed."""
         asking = self.asking.get(node)
         if asking is not None and asking.watching:
-            asking.watching, asking.heard_us = False, self.loop.now
+            asking.watching, asking.last_answer_at_us = False, self.loop.now
 
     def list_silent(self, node: int) -> None:
         """Take it that its watch fell silent."""
@@ -155,8 +157,10 @@
         if asking is None or asking.watching or server not in self.listings:
             return None
         for at, gone in self.listings[server]:
-            told = min(self._reached(max(at, asking.started_us)) + self.told_us, max(at, asking.moved_us))
-            if asking.heard_us < at and told <= self.loop.now:
+            told = min(
+                self._reached(max(at, asking.started_us)) + self.notified_after_us, max(at, asking.moved_us)
+            )
+            if asking.last_answer_at_us < at and told <= self.loop.now:
                 found = None if not gone else int(told) if found is None else found
         return found
 
--- a/merlinbay/emulator/discovery.py
+++ b/merlinbay/emulator/discovery.py
@@ -23,7 +23,7 @@
 class ListObserver(Protocol):
     """Who wants to know when nodes ask, and what is listed."""
 
-    def list_moved(self, node: int, told_us: int) -> None:
+    def list_moved(self, node: int, notified_after_us: int) -> None:
         """Take it that a node is sent to another discovery, which counts as told after so long."""
 
     def list_down(self, down: bool) -> None:
@@ -151,12 +151,12 @@
                 continue
             if self.watcher is not None:
                 self.watcher.list_silent(node)
-            heard_us = self.loop.now - int(self.rng.uniform(0, self.spec.watch) * 1e6)
+            last_answer_at_us = self.loop.now - int(self.rng.uniform(0, self.spec.watch) * 1e6)
             self.loop.at(
-                heard_us + int(self.spec.notice_silent * 1e6),
+                last_answer_at_us + int(self.spec.notice_silent * 1e6),
                 Order.DISCOVERY,
                 told,
-                EndpointsChanged("refused", [], heard_us, CallFailure.SILENT),
+                EndpointsChanged("refused", [], last_answer_at_us, CallFailure.SILENT),
             )
 
     def fail(self) -> None:
--- a/merlinbay/emulator/host.py
+++ b/merlinbay/emulator/host.py
@@ -169,10 +169,10 @@
         if life == self.life:
             self._handle([TimerFired(token)])
 
-    def moved(self, told_us: int) -> None:
+    def moved(self, notified_after_us: int) -> None:
         """Take it that discovery is somewhere else."""
         if self.alive:
-            self._handle([DiscoveryChanged(told_us)])
+            self._handle([DiscoveryChanged(notified_after_us)])
 
     def take(self, request: EmulatedRequest) -> None:
         """Take a request."""
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -157,7 +157,8 @@
             event = self.stream.h11.next_event()
         except h11.RemoteProtocolError as error:
             if self.has_request_in_progress:
-                # Guards against a request that fails for bytes behind it: it said that it was the last.
+                # Guards against a request that fails for the bytes behind it: it carried ``Connection:
+                # close``.
                 return await self._read_ahead()
             await self._reject(error.error_status_hint if error.error_status_hint >= 400 else 400)
             return False
@@ -211,8 +212,8 @@
     async def _read_more(self) -> bool:
         """Read more of a request; tell whether the connection goes on."""
         if self.is_closing and not self._has_more_to_read():
-            # Guards against a request that is read and gets no answer: it closes at once, and what comes from
-            # now on is reset unread, by which its client knows that it was not taken.
+            # Guards against a request that is read and gets no answer: closed at once, later bytes are reset
+            # unread, so the client knows that they were not processed.
             return False
         if self.is_idle and self.give_away is not None and self.give_away(self):
             return False
@@ -286,7 +287,7 @@
     async def _send_response(self, response: Response) -> None:
         """Write a response, and make ready for the next request or end the connection."""
         self.lifetime.begin_write()
-        # Guards against clients that ask for what there is not, and stay: each would hold a descriptor.
+        # Guards against clients that stay after a 4xx: each would hold a descriptor.
         close = (self.closes_after_response and not self.carries_callbacks) or 400 <= response.status < 500
         # Guards against a request that is read behind this one and gets no answer: the end comes after it.
         close = close and not self.stream.has_head_behind
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -15,8 +15,9 @@
     RequestReceived,
     TimerFired,
 )
+from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.request_state import RequestClassState, TrackedRequest
-from merlinbay.decision.settings import RequestClass
+from merlinbay.decision.settings import DispatchLimits, RequestClass
 from tests.support import entry, request_of, settings
 
 
@@ -297,3 +298,12 @@
     assert endpoint.kind.capacity.slots == pytest.approx(
         12 * (1 - endpoint.kind.capacity.queued_share), rel=0.05
     )
+
+
+def test_operators_see_an_endpoint_that_a_health_check_has_ejected() -> None:
+    """It has failed no request, so there is no outcome to name; the view of it used to raise an error."""
+    made = Balancer(settings(limits=DispatchLimits(probes=True)), 1, 0)
+    made.handle(0, [EndpointsChanged("all", [entry(0)])])
+    made.handle(1_000_000, [HealthCheckEnded("w0", int(Outcome.TIMEOUT), 150_000)])
+    (view,) = made.endpoint_views(1_000_001)
+    assert (view["why"], view["out_until_us"]) == ("no answer to a health check", 2_000_000)
