--- a/merlinbay/decision/admission.py
+++ b/merlinbay/decision/admission.py
@@ -1,10 +1,10 @@
 """The O2A gate: how many requests may wait at an endpoint; and what answer is given where none is open.
 
-O2A ("Optimal Admission Control Mechanism Design for Time-Sensitive Services in Edge Computing") admits a
-request to a queue of N waiting ones at the most, and to the next place with probability q. N and q follow
-from r, the offered load over the service rate, and from (R-p)/c, what an answer is worth over what waiting costs:
-here the latency objective in mean times between two departures, times the priority weight as far as slots are
-scarce.
+O2A is "Optimal Admission Control Mechanism Design for Time-Sensitive Services in Edge Computing". It
+admits a request to a queue of N waiting ones at the most, and to the next place with probability q. Both
+follow from r, the offered load over the service rate, and from (R-p)/c, what an answer is worth over what
+waiting costs: here the latency objective in mean times between departures, times the priority weight as
+far as slots are scarce.
 """
 
 from __future__ import annotations
