--- a/merlinbay/cli/rig.py
+++ b/merlinbay/cli/inject_faults.py
@@ -1,4 +1,4 @@
-"""``merlinbay rig``: many processes of the program, and faults between them by a script."""
+"""``merlinbay inject-faults``: many processes of the program, and faults between them by a script."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     wrong: list[str]
 
 
-@click.group()
-def rig() -> None:
+@click.group("inject-faults")
+def inject_faults() -> None:
     """Start many processes of the program and put faults between them."""
 
 
-@rig.command("list")
+@inject_faults.command("list")
 def list_scripts() -> None:
     """List the scripts of the library."""
     from importlib import resources
@@ -44,7 +44,7 @@
     )
 
 
-@rig.command("run")
+@inject_faults.command("run")
 @click.argument("name")
 @click.option("--seed", type=int, help="In place of the script's.")
 @click.option("--nodes", type=click.IntRange(1, 60), help="In place of the script's.")
--- a/merlinbay/cli/main.py
+++ b/merlinbay/cli/main.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import copy
 import json
 import os
 import sys
@@ -13,6 +14,7 @@
 from merlinbay.cli.caller import DONE, Caller, end_with
 from merlinbay.client.policy import DrmaaRemote
 
+EARLIER_NAMES = {"rehearse": "simulate", "rig": "inject-faults"}  # of commands; taken for one release more
 LOCAL = "http://127.0.0.1:8181"
 
 
@@ -130,15 +132,16 @@
     from merlinbay.cli.conformance import conformance
     from merlinbay.cli.control import control
     from merlinbay.cli.events import events
+    from merlinbay.cli.experiment import experiment, report_page
     from merlinbay.cli.fleet import fleet
+    from merlinbay.cli.inject_faults import inject_faults
     from merlinbay.cli.jobs import job
     from merlinbay.cli.monitor import monitor
     from merlinbay.cli.operate import operate
-    from merlinbay.cli.rehearse import experiment, rehearse, report_page
     from merlinbay.cli.reservations import reservation
-    from merlinbay.cli.rig import rig
     from merlinbay.cli.scale import scale
     from merlinbay.cli.sessions import session
+    from merlinbay.cli.simulate import simulate
     from merlinbay.cli.store import store
 
     try:
@@ -148,23 +151,35 @@
     else:
         main.add_command(keys)
         main.add_command(tls)
-    main.add_command(control)
-    main.add_command(fleet)
-    main.add_command(operate)
-    main.add_command(store)
-    main.add_command(job)
-    main.add_command(session)
-    main.add_command(conformance)
-    main.add_command(events)
-    main.add_command(monitor)
-    main.add_command(reservation)
-    main.add_command(rehearse)
-    main.add_command(rig)
     scale.add_command(capacity)
     scale.add_command(fit_runs)
-    main.add_command(scale)
-    main.add_command(experiment)
-    main.add_command(report_page)
+    for command in (
+        control,
+        fleet,
+        operate,
+        store,
+        job,
+        session,
+        conformance,
+        events,
+        monitor,
+        reservation,
+        simulate,
+        inject_faults,
+        scale,
+        experiment,
+        report_page,
+    ):
+        main.add_command(command)
+    add_aliases()
+
+
+def add_aliases() -> None:
+    """Keep the earlier names of commands, out of sight."""
+    for earlier, name in EARLIER_NAMES.items():
+        command = copy.copy(main.commands[name])
+        command.hidden = True
+        main.add_command(command, earlier)
 
 
 attach()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner, Result
 
 from merlinbay.cli.local import prompt_stop
-from merlinbay.cli.main import main
+from merlinbay.cli.main import EARLIER_NAMES, main
 from merlinbay.events import EventLog
 from merlinbay.limits import ResourceLimits
 from tests.net import ROOT, free_port
@@ -317,3 +317,13 @@
     assert local("events", "rotate", listener).output.split()[1].startswith("whsec_")
     assert listener in local("events", "listeners").output
     assert local("events", "remove", listener).exit_code == 0
+
+
+@pytest.mark.parametrize(("earlier", "name"), EARLIER_NAMES.items())
+def test_commands_keep_their_earlier_names_out_of_sight(earlier: str, name: str) -> None:
+    """A script that calls a command by its earlier name goes on working."""
+    assert (
+        CliRunner().invoke(main, [earlier, "list"]).output == CliRunner().invoke(main, [name, "list"]).output
+    )
+    commands = CliRunner().invoke(main, ["--help"]).output
+    assert f"  {name} " in commands and f"  {earlier} " not in commands
