--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -118,7 +118,7 @@
         request = self._new_request(event)
         decay = self.parts.offered.count_arrival()
         self.parts.load.smooth_in_flight(decay)
-        self.parts.load.weigh_peer_reports()
+        self.parts.load.update_median_peer_share()
         self.parts.load.recount_if_due()
         self.parts.offered.learn_mean_request(request)
         self._decide(request)
@@ -216,7 +216,7 @@
         request = self.parts.health_checks.take_waiting(event.endpoint)
         if endpoint is not None:
             self.parts.outliers.note_health_check(endpoint, is_ok)
-        self.parts.reports.take(event, is_awaited=request is not None)
+        self.parts.reports.apply_report(event, is_awaited=request is not None)
         if request is not None:
             self.parts.health_checks.add_answer(request, endpoint if is_ok else None)
             self.parts.dispatching.decide(request)
@@ -271,7 +271,7 @@
         before = self.parts.context.settings.balancers
         self.parts.context.set_balancer_count(event.count, event.me)
         if self.parts.context.settings.balancers > before:
-            self.parts.slow_start.balancers_were_added()
+            self.parts.slow_start.postpone_admissions()
         self.parts.polling.set_balancer_count(event.me, self.parts.context.settings.balancers)
 
     def _on_maintenance_changed(self, event: MaintenanceChanged) -> None:
@@ -290,4 +290,4 @@
     def _begin_warm_up(self, endpoint: Endpoint) -> None:
         """Take it that an endpoint has just started, empty."""
         self.parts.load.observe_peers(endpoint, 0.0)
-        self.parts.slow_start.begin(endpoint)
+        self.parts.slow_start.schedule_first_admission(endpoint)
--- a/merlinbay/decision/capacity_learning.py
+++ b/merlinbay/decision/capacity_learning.py
@@ -11,11 +11,11 @@
 from merlinbay.decision.warm_up import WarmUp
 
 START_WEIGHT = 0.01  # the least weight of one start: the count of running requests is noise
-LEAST_LATE_SHARE = 0.1  # the least share of late starts that is told from none
+MIN_LATE_SHARE = 0.1  # the least share of late starts that is told from none
 REPORT_WEIGHT = 0.03  # the least weight of one report, or of one run time in the queued share
-FREE_SLOT = 0.75  # reported free slots that count as one: reports are a little off
+WHOLE_SLOT_THRESHOLD = 0.75  # reported free slots that count as one: reports are a little off
 MIN_REPORTS = 5  # reports that an endpoint's slots rest on at the least
-RELATIVE_LIMITS = (0.1, 10.0)  # of a kind's slots over the fleet's
+RELATIVE_SLOTS_LIMITS = (0.1, 10.0)  # of a kind's slots over the fleet's
 
 
 class CapacityLearning:
@@ -27,7 +27,7 @@
         self.late_start_share = 0.0  # smoothed share of starts that came late
         self.starts = 0
 
-    def seen_slots(self, kind: Kind) -> float:
+    def observed_slots(self, kind: Kind) -> float:
         """Return the slots that a kind was seen to have, one at the least: no guess, nor another kind's."""
         capacity = kind.capacity
         return capacity.slots if capacity.slots_are_reported else max(capacity.most_running_slots, 1.0)
@@ -43,14 +43,16 @@
             weight = max(REPORT_WEIGHT, 1 / capacity.half_empty_reports)
             capacity.slots += (free + held - capacity.slots) * weight
         elif held is not None and not capacity.half_empty_reports:
-            if free >= FREE_SLOT:  # with one slot free, requests wait only where they need more
+            if free >= WHOLE_SLOT_THRESHOLD:  # with one slot free, requests wait only where they need more
                 reported = free + held
                 capacity.slots = min(capacity.slots, reported) if capacity.slots_are_reported else reported
         elif not capacity.half_empty_reports:
             self._learn_from_free_slots(endpoint, free)
         # Guards against a full endpoint's report: that nothing is free says nothing of how much there is. Nor
         # does what is free at a warming one, where the count held is not told beside it.
-        informative = free >= FREE_SLOT if held is not None else not self._warm_up.is_warming(endpoint)
+        informative = (
+            free >= WHOLE_SLOT_THRESHOLD if held is not None else not self._warm_up.is_warming(endpoint)
+        )
         if not (capacity.slots_are_reported or informative):
             return
         capacity.slots_are_reported = True
@@ -63,7 +65,7 @@
         """Learn where reports tell what is held and what of it waits, not what is free."""
         # Guards against one slot believed where nothing is ever rejected: no rejection shows that it is more.
         capacity = kind.capacity
-        seen = float(math.floor(running + 1 - FREE_SLOT))
+        seen = float(math.floor(running + 1 - WHOLE_SLOT_THRESHOLD))
         capacity.most_running_slots = max(capacity.most_running_slots, seen)
         capacity.slots = max(capacity.slots, capacity.most_running_slots)
 
@@ -101,7 +103,7 @@
         weight = max(START_WEIGHT, 1 / self.starts)
         self.late_start_share += (was_late - self.late_start_share) * weight
         exponent = 1 / (math.sqrt(2 * (self.unreported_slots + 1)) - 1)
-        busy = max(self.late_start_share, LEAST_LATE_SHARE) ** exponent
+        busy = max(self.late_start_share, MIN_LATE_SHARE) ** exponent
         usable = max(len(self._endpoints.usable), 1)
         by_running = our_running * self._context.settings.balancers / usable / busy
         self.unreported_slots = max(
@@ -111,7 +113,7 @@
         capacity = endpoint.kind.capacity
         capacity.most_running_slots = max(capacity.most_running_slots, endpoint.in_flight.running_slots)
         relative = capacity.relative_slots * (1 + START_WEIGHT * (self.late_start_share - was_late))
-        capacity.relative_slots = min(max(relative, RELATIVE_LIMITS[0]), RELATIVE_LIMITS[1])
+        capacity.relative_slots = min(max(relative, RELATIVE_SLOTS_LIMITS[0]), RELATIVE_SLOTS_LIMITS[1])
         for one in (kind.capacity for kind in self._endpoints.kinds.values()):
             if not one.slots_are_reported:
                 one.slots = max(one.most_running_slots, self.unreported_slots * one.relative_slots)
--- a/merlinbay/decision/endpoint_state.py
+++ b/merlinbay/decision/endpoint_state.py
@@ -49,7 +49,7 @@
     observed_peer_slots: float = 0.0  # at the last observation
     peer_slots_at_us: int = -1  # when that was; -1: never
     mean_peer_slots: float = 0.0  # smoothed over reports that nobody waited for
-    unasked_reports: int = 0  # how many these were
+    unawaited_reports: int = 0  # how many these were
 
 
 @dataclass(slots=True, eq=False)
--- a/merlinbay/decision/hedging.py
+++ b/merlinbay/decision/hedging.py
@@ -83,7 +83,7 @@
         # Guards against hedges that never go out: where balancers are many, peers' requests are unseen.
         is_only = request.open_attempts == 1
         free_only = self._offered.priority_density(request) < 1 or not is_only
-        target = self._placement.choose(request, free_only, spread_share=0.0)
+        target = self._placement.choose(request, free_only, uncertainty_margin=0.0)
         is_worthwhile = target is not None and self._costs.is_hedge_worthwhile(request, attempt, target)
         if target is not None and is_worthwhile and (is_only or self._give_up(request, attempt, number)):
             self._dispatching.dispatch(request, target)
--- a/merlinbay/decision/lambert.py
+++ b/merlinbay/decision/lambert.py
@@ -4,7 +4,7 @@
 
 import math
 
-STEPS = 60  # many more than it takes; each step triples the digits
+MAX_STEPS = 60  # many more than it takes; each step triples the digits
 
 
 def lambertw(x: float, branch: int) -> float:
@@ -19,7 +19,7 @@
         w = math.log1p(x) if x > 0 else x
     else:
         w = math.log(-x) - math.log(-math.log(-x))
-    for _ in range(STEPS):
+    for _ in range(MAX_STEPS):
         e = math.exp(w)
         off = w * e - x
         slope = e * (w + 1)
--- a/merlinbay/decision/load_estimates.py
+++ b/merlinbay/decision/load_estimates.py
@@ -20,13 +20,13 @@
 from merlinbay.decision.requests import TrackedRequests
 from merlinbay.decision.warm_up import WarmUp
 
-SPREAD_SHARE = 0.65  # share of the spread of an unseen count that counts as held
+UNCERTAINTY_MARGIN = 0.65  # share of the spread of an unseen count that counts as held
 MAX_PEER_REPORTS = 64  # reports that the median of what peers hold rests on, at the most
 PEER_REPORT_MEMORY_US = 2_000_000  # the age of the oldest report that counts: a queue is gone within a second
-UNASKED_REPORT_WEIGHT = 0.1  # the least weight of one report in what peers hold at an endpoint in the mean
+MIN_MEAN_PEER_WEIGHT = 0.1  # the least weight of one report in what peers hold at an endpoint in the mean
 PRIOR_REPORTS = 4  # so many reports count as much as the configured count of balancers
-RECOUNT_SLOTS_US = 200_000  # slots are learned on the way, so all are counted anew after this
-LEAST_CAPACITY_SHARE = 0.1  # no share of a warming endpoint's capacity counts as less
+RECOUNT_INTERVAL_US = 200_000  # slots are learned on the way, so all are counted anew after this
+MIN_CAPACITY_SHARE = 0.1  # no share of a warming endpoint's capacity counts as less
 
 
 class PeerReport(NamedTuple):
@@ -73,10 +73,10 @@
         # share can be computed.
         if self._context.settings.held_field and endpoint.kind.capacity.slots_are_reported:
             peers = max(0.0, held - endpoint.in_flight.in_flight_slots)
-            share = max(self._warm_up.capacity_share(endpoint), LEAST_CAPACITY_SHARE)
+            share = max(self._warm_up.capacity_share(endpoint), MIN_CAPACITY_SHARE)
             self.peer_reports.append(PeerReport(self._context.now_us, peers / share, endpoint.kind))
 
-    def weigh_peer_reports(self) -> None:
+    def update_median_peer_share(self) -> None:
         """Take the median of the recent reports, by slots as they are known now."""
         # Guards against old reports that are never replaced: a node that rejects all gets no new ones.
         reports, oldest_us = self.peer_reports, self._context.now_us - PEER_REPORT_MEMORY_US
@@ -92,11 +92,11 @@
         load = endpoint.peer_load
         load.observed_peer_slots, load.peer_slots_at_us = max(0.0, peer_slots), self._context.now_us
 
-    def observe_peers_unasked(self, endpoint: Endpoint, peer_slots: float) -> None:
+    def observe_peers_unawaited(self, endpoint: Endpoint, peer_slots: float) -> None:
         """Count a report that no request waited for in the mean of what peers hold at its endpoint."""
         load = endpoint.peer_load
-        load.unasked_reports += 1
-        weight = max(UNASKED_REPORT_WEIGHT, 1 / load.unasked_reports)
+        load.unawaited_reports += 1
+        weight = max(MIN_MEAN_PEER_WEIGHT, 1 / load.unawaited_reports)
         load.mean_peer_slots += (max(peer_slots, 0.0) - load.mean_peer_slots) * weight
 
     def observe_full(self, endpoint: Endpoint) -> None:
@@ -117,7 +117,7 @@
         """Count the slots of the endpoints in use, and ours at those that are lost, from time to time."""
         if self._context.now_us >= self._recount_at_us:
             self.recount()
-            self._recount_at_us = self._context.now_us + RECOUNT_SLOTS_US
+            self._recount_at_us = self._context.now_us + RECOUNT_INTERVAL_US
 
     def recount(self) -> None:
         """Count the slots of the endpoints in use, and ours at those that are lost."""
@@ -167,7 +167,7 @@
             / self.total_slots
         )
         # Guards against zones that are not used alike: peers may hold much here, and nothing there.
-        reports = load.unasked_reports
+        reports = load.unawaited_reports
         mean += (load.mean_peer_slots - mean) * reports / (reports + PRIOR_REPORTS)
         return mean + (load.observed_peer_slots - mean) * weight
 
@@ -178,7 +178,7 @@
             return 0.0
         return math.exp((at_us - self._context.now_us) / self._offered.mean_work_us)
 
-    def free_slots(self, endpoint: Endpoint, spread_share: float = SPREAD_SHARE) -> float:
+    def free_slots(self, endpoint: Endpoint, uncertainty_margin: float = UNCERTAINTY_MARGIN) -> float:
         """Return the free slots, below 0 the waiting ones. A warming endpoint has a part of its slots."""
         weight = self._observation_weight(endpoint)
         peers = self._peer_slots(endpoint, weight)
@@ -187,7 +187,7 @@
         spread = peers * math.sqrt((1 - weight) / (1 + peers))
         slots = endpoint.kind.capacity.slots * self._warm_up.capacity_share(endpoint)
         ours = endpoint.in_flight.in_flight_slots
-        return slots - ours - endpoint.reserved_slots - peers - spread_share * spread
+        return slots - ours - endpoint.reserved_slots - peers - uncertainty_margin * spread
 
     def utilization(self, kind: Kind) -> float:
         """Return O2A's r: the offered load over the service rate."""
--- a/merlinbay/decision/load_reports.py
+++ b/merlinbay/decision/load_reports.py
@@ -39,7 +39,7 @@
         self.capacity_hit_rate = 1.0  # how often an endpoint that seemed to have free slots took the request
         self.stale_estimate_rate = 0.5  # how often a report contradicted whether there is a free slot
 
-    def learn_hit(self, attempt: Attempt, outcome: int) -> None:
+    def learn_capacity_hit(self, attempt: Attempt, outcome: int) -> None:
         """Learn from an attempt that was sent to free slots: whether they were there."""
         # Guards against reports that are frozen or lie: where free slots are answered with a rejection, the
         # mean counts for more, and what they say for less.
@@ -54,7 +54,7 @@
             self._context.now_us < last.free_memory_at_us + FREE_MEMORY_RUNS * self._offered.mean_work_us
         )
 
-    def take(self, event: AttemptEnded | HealthCheckEnded, is_awaited: bool = False) -> None:
+    def apply_report(self, event: AttemptEnded | HealthCheckEnded, is_awaited: bool = False) -> None:
         """Take a report; a repeated or absurd value is ignored. ``is_awaited``: a request waits for it."""
         endpoint, report = self._endpoints.by_name.get(event.endpoint), event.report
         if endpoint is None or report is None:
@@ -66,11 +66,11 @@
         last.report_values = report
         last.free_memory = values.get(settings.free_memory_field, last.free_memory)
         last.free_memory_at_us = self._context.now_us
-        held = self._take_slots(endpoint, values)
+        held = self._learn_slots(endpoint, values)
         if held is not None:
-            self._take_held(endpoint, held, is_awaited)
+            self._learn_held(endpoint, held, is_awaited)
 
-    def _take_slots(self, endpoint: Endpoint, values: dict[str, float]) -> float | None:
+    def _learn_slots(self, endpoint: Endpoint, values: dict[str, float]) -> float | None:
         """Learn slots from a report; return the slots that are held there, if it tells them."""
         settings = self._context.settings
         free, held = values.get(settings.free_slots_field), values.get(settings.held_field)
@@ -84,14 +84,14 @@
             self._capacity.learn_from_running(endpoint.kind, held - values[settings.queued_field])
         return held
 
-    def _take_held(self, endpoint: Endpoint, held: float, is_awaited: bool) -> None:
+    def _learn_held(self, endpoint: Endpoint, held: float, is_awaited: bool) -> None:
         """Learn what peers hold at the endpoint."""
         load, asks_first = self._load, self._context.settings.asks_first
         load.add_peer_report(endpoint, held)
         ours = endpoint.in_flight.in_flight_slots
         if asks_first and not is_awaited:
             ours = self._requests.in_flight_at(endpoint, self._context.now_us - HEALTH_CHECK_REPORT_AGE_US)
-            load.observe_peers_unasked(endpoint, held - ours)
+            load.observe_peers_unawaited(endpoint, held - ours)
         before = load.peer_slots(endpoint)
         if asks_first:
             believed = load.free_slots(endpoint) >= 1
--- a/merlinbay/decision/offered_load.py
+++ b/merlinbay/decision/offered_load.py
@@ -12,8 +12,8 @@
 RATE_MEMORY_US = 2_000_000  # of the arrival rate: longer than a stall, shorter than a burst
 MIN_ARRIVALS = 20  # requests that a mean rests on at the least: with fewer, one request would shut gates
 MEAN_REQUEST_WEIGHT = 0.01  # the least weight of one request in the mean request
-LEAST_SLOTS = 0.01  # no request counts as smaller
-LEAST_PRIORITY_WEIGHT = 1e-9  # the mean counts as no less
+MIN_SLOTS = 0.01  # no request counts as smaller
+MIN_PRIORITY_WEIGHT = 1e-9  # the mean counts as no less
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     def learn_mean_request(self, request: TrackedRequest) -> None:
         """Count the request in the mean one."""
         weight = max(MEAN_REQUEST_WEIGHT, 1 / self.offered_requests)
-        work_us = request.run_time_us * max(request.slots, LEAST_SLOTS)
+        work_us = request.run_time_us * max(request.slots, MIN_SLOTS)
         self.mean_work_us += (work_us - self.mean_work_us) * weight
         self.mean_priority_weight += (request.priority_weight - self.mean_priority_weight) * weight
         self.mean_slots += (request.slots - self.mean_slots) * weight
@@ -69,12 +69,12 @@
 
     def priority_density(self, request: TrackedRequest) -> float:
         """Return the request's priority weight for each slot and second, over the mean request's."""
-        work_us = request.run_time_us * max(request.slots, LEAST_SLOTS)
+        work_us = request.run_time_us * max(request.slots, MIN_SLOTS)
         return (
             request.priority_weight
             / work_us
             * self.mean_work_us
-            / max(self.mean_priority_weight, LEAST_PRIORITY_WEIGHT)
+            / max(self.mean_priority_weight, MIN_PRIORITY_WEIGHT)
         )
 
     def restore(self, learned: LoadSnapshot) -> None:
--- a/merlinbay/decision/outcome_learning.py
+++ b/merlinbay/decision/outcome_learning.py
@@ -10,7 +10,7 @@
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.outlier_detection import OutlierDetection
 from merlinbay.decision.request_state import Attempt, TrackedRequest
-from merlinbay.decision.run_times import LEAST_RUN_US, RunTimes
+from merlinbay.decision.run_times import MIN_RUN_TIME_US, RunTimes
 
 
 class OutcomeLearning:
@@ -30,8 +30,8 @@
 
     def learn(self, request: TrackedRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Learn from an attempt that has ended, and from the load report that came with its outcome."""
-        self._outliers.judge(attempt, event)
-        self._reports.learn_hit(attempt, event.outcome)
+        self._outliers.record_outcome(attempt, event)
+        self._reports.learn_capacity_hit(attempt, event.outcome)
         if event.outcome == Outcome.OK:
             self._learn_run_time(request, attempt, event.took_us)
         elif event.outcome == Outcome.FULL:
@@ -39,13 +39,13 @@
             held = endpoint.in_flight.in_flight_slots + self._load.peer_slots(endpoint)
             self._capacity.learn_from_rejection(endpoint, held)
             self._load.observe_full(endpoint)
-        self._reports.take(event)
+        self._reports.apply_report(event)
 
     def _learn_run_time(self, request: TrackedRequest, attempt: Attempt, took_us: int) -> None:
         """Learn from a request that was served. Where its start was reported, waiting does not count."""
         run_us, started_at_us = took_us, attempt.started_at_us
         if started_at_us:
             run_us = (attempt.paused_at_us or self._context.now_us) - started_at_us
-        ratio = self._run_times.learn_completed(request, attempt, max(run_us, LEAST_RUN_US))
+        ratio = self._run_times.learn_completed(request, attempt, max(run_us, MIN_RUN_TIME_US))
         if not attempt.found_free_slots and not started_at_us:
             self._capacity.learn_queued_share(attempt.endpoint.kind, ratio)
--- a/merlinbay/decision/outlier_detection.py
+++ b/merlinbay/decision/outlier_detection.py
@@ -57,7 +57,7 @@
         served_share = errors_per_s * self._offered.mean_work_us / 1e6
         return served_share >= FAULTY_ERROR_SHARE * endpoint.kind.capacity.slots
 
-    def judge(self, attempt: Attempt, event: AttemptEnded) -> None:
+    def record_outcome(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Learn from the outcome of an attempt."""
         endpoint, outcome = attempt.endpoint, event.outcome
         reports_errors = self.reports_errors(endpoint, event)
--- a/merlinbay/decision/parts.py
+++ b/merlinbay/decision/parts.py
@@ -146,5 +146,5 @@
 
     def _on_endpoints_reindexed(self) -> None:
         self.load.request_recount()
-        self.slow_start.index()
+        self.slow_start.refresh_warming()
         self.placement.forget_affinity()
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -12,7 +12,7 @@
 from merlinbay.decision.eligibility import Eligibility
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.endpoints import Endpoints
-from merlinbay.decision.load_estimates import SPREAD_SHARE, LoadEstimates
+from merlinbay.decision.load_estimates import UNCERTAINTY_MARGIN, LoadEstimates
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.slow_start import SlowStart
@@ -76,11 +76,12 @@
         ]
 
     def choose(
-        self, request: TrackedRequest, free_only: bool = False, spread_share: float = SPREAD_SHARE
+        self, request: TrackedRequest, free_only: bool = False, uncertainty_margin: float = UNCERTAINTY_MARGIN
     ) -> Endpoint | None:
         """Return an endpoint with free slots for the request, else one under its gate; nearer ones first.
 
-        ``free_only``: none where the request would wait. ``spread_share``: see ``LoadEstimates.free_slots``.
+        ``free_only``: none where the request would wait. ``uncertainty_margin``: see
+        ``LoadEstimates.free_slots``.
         """
         own_zone = self._context.settings.zone
         waits_for_checks = request.health_check_replies or request.pending_health_checks
@@ -89,7 +90,7 @@
         best, near, best_rank = None, None, (True, math.inf)
         for batch in batches:
             for endpoint in self._eligibility.eligible(request, batch):
-                free = self._free_for(request, endpoint, spread_share)
+                free = self._free_for(request, endpoint, uncertainty_margin)
                 rank = (self._run_times.is_slow(endpoint), -free)
                 if rank >= best_rank:
                     continue
@@ -105,10 +106,10 @@
                 near = best
         return self._weigh_crossing(request, best, near)
 
-    def _free_for(self, request: TrackedRequest, endpoint: Endpoint, spread_share: float) -> float:
+    def _free_for(self, request: TrackedRequest, endpoint: Endpoint, uncertainty_margin: float) -> float:
         if request.uses_reservation:
             return endpoint.reserved_slots
-        return self._load.free_slots(endpoint, spread_share)
+        return self._load.free_slots(endpoint, uncertainty_margin)
 
     def _may_wait(
         self, request: TrackedRequest, endpoint: Endpoint, free: float, gates: dict[int, float]
--- a/merlinbay/decision/run_times.py
+++ b/merlinbay/decision/run_times.py
@@ -11,7 +11,7 @@
 from merlinbay.decision.request_state import Attempt, RequestClassState, TrackedRequest
 from merlinbay.decision.settings import RequestClass
 
-LEAST_RUN_US = 1000.0  # no run time counts as less
+MIN_RUN_TIME_US = 1000.0  # no run time counts as less
 RUN_TIME_WEIGHT = 0.03  # the least weight of one run time in a mean: run times have long tails
 PACE_WEIGHT = 0.15  # weight of one request in its endpoint's pace: a few requests show a slowed machine
 PACE_MEMORY_US = 20_000_000  # an endpoint that is passed over gets no requests, so its pace is forgotten
@@ -20,7 +20,7 @@
 RATIO_LIMITS = (0.1, 10.0)  # no ratio of run times counts as less, or more
 
 
-def bounded(ratio: float) -> float:
+def clamp_ratio(ratio: float) -> float:
     """Return a ratio of run times within its limits."""
     return min(max(ratio, RATIO_LIMITS[0]), RATIO_LIMITS[1])
 
@@ -37,7 +37,7 @@
 
     @staticmethod
     def _new_class(spec: RequestClass) -> RequestClassState:
-        return RequestClassState(spec, max(spec.aim_us, LEAST_RUN_US))
+        return RequestClassState(spec, max(spec.aim_us, MIN_RUN_TIME_US))
 
     def class_state(self, name: str) -> RequestClassState:
         """Return a class's state; one that is not configured is never repeated."""
@@ -47,7 +47,7 @@
         """Return the run time to expect of a request that came with a hint, or with none (0)."""
         if not hint_us:
             return class_state.run_time_us
-        return max(hint_us * class_state.hint_ratio, LEAST_RUN_US)
+        return max(hint_us * class_state.hint_ratio, MIN_RUN_TIME_US)
 
     def pace(self, endpoint: Endpoint) -> float:
         """Return the endpoint's run time over its kind's, as its requests showed it lately."""
@@ -65,9 +65,9 @@
         state.completed += 1
         state.run_time_us += (run_us - state.run_time_us) * max(RUN_TIME_WEIGHT, 1 / state.completed)
         if request.hint_us:  # Guards against hints in another measure, as of a faster machine.
-            hint_ratio = bounded(run_us / request.hint_us)
+            hint_ratio = clamp_ratio(run_us / request.hint_us)
             state.hint_ratio += (hint_ratio - state.hint_ratio) * RUN_TIME_WEIGHT
-        ratio = bounded(run_us / state.run_time_us)
+        ratio = clamp_ratio(run_us / state.run_time_us)
         if attempt.found_free_slots or attempt.started_at_us > 0:  # else a wait in the queue is in it
             kind.kind_pace += (ratio - kind.kind_pace) * RUN_TIME_WEIGHT / 3
         if attempt.started_at_us and state.completed >= MIN_COMPLETED:
--- a/merlinbay/decision/threshold.py
+++ b/merlinbay/decision/threshold.py
@@ -7,7 +7,7 @@
 
 from merlinbay.decision.lambert import lambertw
 
-MOST_SUMMED = 10_000  # beyond so many waiting jobs the threshold's fraction decides nothing
+MAX_SUMMED_JOBS = 10_000  # beyond so many waiting jobs the threshold's fraction decides nothing
 
 
 @lru_cache(maxsize=65536)
@@ -27,8 +27,8 @@
     if abs(r - 1) >= 1e-4:
         y = (k - 1 / (1 - r)) * math.log(r)
         n = (lambertw(-y * math.exp(-y), -1 if r < 1 else 0) + y) / math.log(r)
-    if not n < MOST_SUMMED:
-        return float(MOST_SUMMED), 0.0
+    if not n < MAX_SUMMED_JOBS:
+        return float(MAX_SUMMED_JOBS), 0.0
     top, sums = max(0, math.floor(n)), [0.0]
     while len(sums) <= top + 1 or sums[-1] >= 0:
         sums.append((sums[-1] + k - len(sums)) / r)
--- a/merlinbay/decision/warm_up.py
+++ b/merlinbay/decision/warm_up.py
@@ -7,7 +7,7 @@
 from merlinbay.decision.context import Context
 from merlinbay.decision.endpoint_state import Endpoint
 
-LEAST_GROWTH_PER_US = 1e-12  # keeps the inverse finite where the capacity does not grow
+MIN_GROWTH_PER_US = 1e-12  # keeps the inverse finite where the capacity does not grow
 
 
 class WarmUp:
@@ -28,7 +28,7 @@
         safety, age_us = self._safety, max(0, self._context.now_us - endpoint.ready_at_us)
         return safety.cold_from + (1 - safety.cold_from) * age_us / safety.cold_us
 
-    def capacity_us(self, endpoint: Endpoint, until_us: int) -> float:
+    def cumulative_capacity_us(self, endpoint: Endpoint, until_us: int) -> float:
         """Return the endpoint's share of its capacity, summed over time from its start."""
         age_us = max(0, until_us - endpoint.ready_at_us)
         return self._safety.cold_from * age_us + self._growth_per_us() * age_us * age_us / 2
@@ -36,9 +36,9 @@
     def reached_at_us(self, endpoint: Endpoint, since_us: int, amount_us: float) -> int:
         """Return when the share, summed over time since then, reaches an amount."""
         first_share, growth = self._safety.cold_from, self._growth_per_us()
-        amount_us += self.capacity_us(endpoint, since_us)
+        amount_us += self.cumulative_capacity_us(endpoint, since_us)
         past = math.sqrt(first_share**2 + 2 * growth * amount_us) - first_share
         return endpoint.ready_at_us + int(past / growth)
 
     def _growth_per_us(self) -> float:
-        return (1 - self._safety.cold_from) / max(self._safety.cold_us, 1) + LEAST_GROWTH_PER_US
+        return (1 - self._safety.cold_from) / max(self._safety.cold_us, 1) + MIN_GROWTH_PER_US
--- a/tests/test_copies_and_probes.py
+++ b/tests/test_copies_and_probes.py
@@ -8,7 +8,7 @@
 
 from merlinbay.decision import Balancer
 from merlinbay.decision.actions import CheckHealth, Dispatch
-from merlinbay.decision.costs import chance_to_end
+from merlinbay.decision.costs import chance_that_wait_ends
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.events import (
     AttemptEnded,
@@ -68,8 +68,11 @@
 
 def test_a_long_wait_lasts() -> None:
     """The chance falls with the wait, and there is none where no time is left."""
-    assert chance_to_end(0, 1) == 1 and chance_to_end(100, 0) == chance_to_end(0, -1) == 0
-    assert chance_to_end(100, 100) == 0.5 > chance_to_end(200, 100)
+    assert (
+        chance_that_wait_ends(0, 1) == 1
+        and chance_that_wait_ends(100, 0) == chance_that_wait_ends(0, -1) == 0
+    )
+    assert chance_that_wait_ends(100, 100) == 0.5 > chance_that_wait_ends(200, 100)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -344,7 +344,7 @@
     for number, share in enumerate(shares):
         held = 10 * share
         made.handle(now, [HealthCheckEnded("w0", 1, 9, [held, max(10.0 - held, 0.0) + number / 1e6])])
-    made.parts.load.weigh_peer_reports()
+    made.parts.load.update_median_peer_share()
 
 
 def told_of_ten(balancers: int = 40) -> Balancer:
@@ -402,7 +402,7 @@
     heard(made, 2 * SECOND, [0.1] * 30)
     assert made.parts.load.peer_count() < 10
     made.parts.context.now_us = int(4.1 * SECOND)
-    made.parts.load.weigh_peer_reports()
+    made.parts.load.update_median_peer_share()
     assert made.parts.load.peer_count() == 39
 
 
