--- a/merlinbay/decision/endpoint_views.py
+++ b/merlinbay/decision/endpoint_views.py
@@ -1,4 +1,7 @@
-"""What operators are shown of each endpoint, with the keys of the command line's JSON."""
+"""The view of each endpoint that operators are shown, with the keys of the JSON of the command line.
+
+``Balancer`` builds the views when they are asked for.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,8 @@
 
 
 def ejection_reason(last_failure: int, consecutive_failures: int) -> str:
-    """Return why an endpoint is ejected, for people."""
-    # Guards against an endpoint that has failed no request: a health check without an answer ejects it too.
+    """Return why an endpoint is ejected, as text for operators."""
+    # An endpoint that has failed no request may be ejected for not answering a health check.
     if not last_failure:
         return "no answer to a health check"
     outcome = Outcome(last_failure).name.lower().replace("_", " ")
@@ -20,7 +23,7 @@
 
 
 def endpoint_view(endpoint: Endpoint, load: LoadEstimates, warm_up: WarmUp, now_us: int) -> dict[str, Any]:
-    """Return one endpoint's slots, times and the reason of an ejection."""
+    """Return the slots and state of one endpoint and, if it is ejected, since when, until when and why."""
     failures = endpoint.failures
     is_ejected = failures.ejected_until_us > now_us
     reason = ""
--- a/merlinbay/decision/endpoints.py
+++ b/merlinbay/decision/endpoints.py
@@ -1,4 +1,8 @@
-"""The table of endpoints: the listed state, operators' maintenance, reserved slots, pools to choose from."""
+"""The table of endpoints: their listed state, maintenance by operators, reserved slots and pools.
+
+``Balancer`` applies endpoint lists, maintenance and reservations to it; placement and health checks choose
+from its pools. An endpoint that a complete list does not name is removed once no attempts are open there.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 
 class Endpoints:
-    """Owns which endpoints there are. Other parts are called back at a restart and after a new index."""
+    """Owns the set of endpoints. It calls other parts back when an endpoint restarts and after indexing."""
 
     def __init__(
         self, context: Context, on_restart: Callable[[Endpoint], None], on_reindex: Callable[[], None]
@@ -19,22 +23,24 @@
         self._context, self._on_restart, self._on_reindex = context, on_restart, on_reindex
         self.by_name: dict[str, Endpoint] = {}
         self.kinds = {name: Kind(name) for name in context.settings.kinds}
-        self.usable: list[Endpoint] = []  # those that are up, shuffled
-        self.pools: dict[int, tuple[list[Endpoint], list[Endpoint]]] = {}  # by kind: own zone, other zones
+        self.usable: list[Endpoint] = []  # endpoints that are up, shuffled
+        # By index of the kind (-1: any kind), the endpoints of the own zone and those of other zones.
+        self.pools: dict[int, tuple[list[Endpoint], list[Endpoint]]] = {}
         self.by_zone: dict[str, list[Endpoint]] = {}
         self.by_cell: dict[int, list[Endpoint]] = {}
-        self.recovering: list[Endpoint] = []  # enabled again, and not sent anything since
-        self._disabled_since_us: dict[str, int] = {}  # by operators
-        self._reserved_slots: dict[str, float] = {}  # also of endpoints that are not listed at present
+        self.recovering: list[Endpoint] = []  # endpoints enabled again and sent nothing since
+        self._disabled_since_us: dict[str, int] = {}  # by name, when operators disabled the endpoint
+        self._reserved_slots: dict[str, float] = {}  # by name, including endpoints not listed at present
 
     # The endpoint list.
 
     def apply_list(self, event: EndpointsChanged) -> list[Endpoint]:
-        """Take an endpoint list or changes to it; return the endpoints that have restarted."""
-        if event.scope != "changes":  # an endpoint that a complete list does not name is removed
+        """Apply an endpoint list or changes to it; return the endpoints that have restarted."""
+        if event.scope != "changes":
+            # An endpoint that a complete list does not name is removed.
             for endpoint in self.by_name.values():
                 endpoint.state = endpoint.listed_state = "removed"
-        restarted = [one for one in map(self._apply_entry, event.entries) if one is not None]
+        restarted = [started for started in map(self._apply_entry, event.entries) if started is not None]
         self.by_name = {
             endpoint.name: endpoint
             for endpoint in self.by_name.values()
@@ -44,12 +50,12 @@
         return restarted
 
     def _apply_entry(self, entry: EndpointEntry) -> Endpoint | None:
-        """Take one line of the list; return its endpoint if it has restarted."""
+        """Apply one entry of the list; return its endpoint if it has restarted."""
         kind = self.kinds.get(entry.kind)
         if kind is None:
             kind = self.kinds[entry.kind] = Kind(entry.kind)
-        known = self.by_name.get(entry.endpoint)
-        endpoint = known or Endpoint(entry.endpoint, kind)
+        existing = self.by_name.get(entry.endpoint)
+        endpoint = existing or Endpoint(entry.endpoint, kind)
         self.by_name[endpoint.name] = endpoint
         endpoint.kind, endpoint.zone, endpoint.cell = kind, entry.zone, entry.cell
         endpoint.listed_state = entry.state
@@ -65,7 +71,7 @@
         self._on_restart(endpoint)
 
     def _state_of(self, endpoint: Endpoint) -> str:
-        """Return the state as listed, but draining while operators disable the endpoint."""
+        """Return the listed state, but draining for a listed endpoint that operators have disabled."""
         if endpoint.listed_state == "up" and endpoint.name in self._disabled_since_us:
             return "draining"
         return endpoint.listed_state
@@ -73,13 +79,13 @@
     # Maintenance by operators.
 
     def knows(self, name: str) -> bool:
-        """Tell whether an endpoint is listed, or disabled by operators."""
+        """Return whether an endpoint is listed, or disabled by operators."""
         endpoint = self.by_name.get(name)
         listed = endpoint is not None and endpoint.listed_state != "removed"
         return listed or name in self._disabled_since_us
 
     def disable(self, name: str) -> None:
-        """Take an endpoint out of use for maintenance, whatever is listed."""
+        """Take an endpoint out of use for maintenance, whatever its listed state is."""
         self._disabled_since_us.setdefault(name, self._context.now_us)
         endpoint = self.by_name.get(name)
         if endpoint is not None:
@@ -88,10 +94,10 @@
             self._forget_recovering(endpoint)
 
     def enable(self, name: str) -> Endpoint | None:
-        """Put an endpoint back into use; return it if it is known and was disabled.
+        """Put an endpoint back into use; return it if it is in the table and was disabled.
 
-        Guards against a server that was restarted meanwhile, of which nothing is listed yet: it counts as
-        restarted now.
+        Its server may have been restarted meanwhile without the list showing it yet, so the endpoint counts
+        as restarted now unless the list has a later start.
         """
         endpoint, disabled_at_us = self.by_name.get(name), self._disabled_since_us.pop(name, None)
         if endpoint is None or disabled_at_us is None:
@@ -105,7 +111,7 @@
         return endpoint
 
     def note_dispatch(self, endpoint: Endpoint) -> None:
-        """Take note that an endpoint was sent a request: it is no longer recovering."""
+        """Record that an endpoint was sent a request, so that it is no longer recovering."""
         if self.recovering:
             self._forget_recovering(endpoint)
 
@@ -115,7 +121,7 @@
     # Reserved slots.
 
     def reserve(self, name: str, slots: float) -> Endpoint | None:
-        """Keep slots of an endpoint free, also of one that is not listed at present; 0: none any more."""
+        """Reserve slots of an endpoint, whether or not it is listed at present; 0 ends the reservation."""
         self._reserved_slots[name] = slots
         if not slots:
             del self._reserved_slots[name]
@@ -125,19 +131,23 @@
         return endpoint
 
     def take_reserved(self, endpoint: Endpoint, slots: float) -> None:
-        """Take reserved slots for an attempt of the request they are for."""
+        """Use reserved slots for an attempt of a request with a reservation."""
         endpoint.reserved_slots -= slots
 
     def return_reserved(self, endpoint: Endpoint, slots: float) -> None:
-        """Keep the slots of an attempt that has ended free again."""
+        """Reserve the slots of such an attempt again after it has ended."""
         endpoint.reserved_slots += slots
 
     # Choosing.
 
-    def sample(self, pool: list[Endpoint], most: int) -> list[Endpoint]:
-        """Return a few endpoints at a random place of a shuffled pool."""
-        at = self._context.rng.randrange(len(pool)) if len(pool) > most else 0
-        return pool[at : at + most] + pool[: max(0, at + most - len(pool))] if at else pool[:most]
+    def sample(self, pool: list[Endpoint], max_size: int) -> list[Endpoint]:
+        """Return up to ``max_size`` successive endpoints from a random place of a shuffled pool."""
+        start = self._context.rng.randrange(len(pool)) if len(pool) > max_size else 0
+        return (
+            pool[start : start + max_size] + pool[: max(0, start + max_size - len(pool))]
+            if start
+            else pool[:max_size]
+        )
 
     def reindex(self) -> None:
         """Index the endpoints that are up, shuffled so that a slice of a pool is a random sample."""
@@ -150,23 +160,23 @@
             self.by_zone.setdefault(endpoint.zone, []).append(endpoint)
         by_price, own = settings.cross_zone_price > 0, settings.zone
         for index, name in enumerate(["", *settings.kinds]):
-            fit = [one for one in self.usable if not index or one.kind is self.kinds[name]]
+            fitting = [usable for usable in self.usable if not index or usable.kind is self.kinds[name]]
             self.pools[index - 1] = (
-                [one for one in fit if not by_price or one.zone == own],
-                [one for one in fit if by_price and one.zone != own],
+                [near for near in fitting if not by_price or near.zone == own],
+                [far for far in fitting if by_price and far.zone != own],
             )
         self._on_reindex()
 
     # Handover.
 
     def disabled_since_us(self) -> dict[str, int]:
-        """Return the endpoints that operators disabled, and when."""
+        """Return the names of the endpoints that operators disabled, with the time of each."""
         return dict(self._disabled_since_us)
 
     def matching(self, snapshots: list[EndpointSnapshot]) -> list[tuple[Endpoint, EndpointSnapshot]]:
-        """Return each endpoint with its snapshot.
+        """Return each endpoint that is in the table with its snapshot.
 
-        Guards against the past of a server process that is no more: one that has restarted since is left out.
+        An endpoint that has restarted since is left out: its snapshot is of a server process that has ended.
         """
         return [
             (endpoint, learned)
@@ -176,11 +186,11 @@
         ]
 
     def restore(
-        self, disabled_since_us: dict[str, int], found: list[tuple[Endpoint, EndpointSnapshot]]
+        self, disabled_since_us: dict[str, int], matches: list[tuple[Endpoint, EndpointSnapshot]]
     ) -> None:
-        """Take over the start times and the maintenance of a former process."""
+        """Restore start times and maintenance from a snapshot of a former process."""
         self._disabled_since_us.update(disabled_since_us)
-        for endpoint, learned in found:
+        for endpoint, learned in matches:
             endpoint.ready_at_us = learned.ready_at_us
         for endpoint in self.by_name.values():
             endpoint.state = self._state_of(endpoint)
--- a/merlinbay/decision/handover_snapshot.py
+++ b/merlinbay/decision/handover_snapshot.py
@@ -1,7 +1,7 @@
-"""What a balancer has learned, for the process that takes its place.
+"""What a balancer has learned, as plain values for the process that replaces its own.
 
-Plain values: times are microseconds, counts are slots. How they are encoded is in
-``handover/snapshot_codec.py``.
+``Snapshots`` takes and restores them; ``handover/snapshot_codec.py`` encodes them. Times are microseconds,
+counts are slots; the records of the parts describe the values.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class KindSnapshot:
-    """What is learned of a machine kind."""
+    """What was learned about a machine kind."""
 
     slots: float
     pace: float
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointSnapshot:
-    """What is learned of one endpoint."""
+    """What was learned about one endpoint."""
 
     name: str
     ready_at_us: int
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ClassSnapshot:
-    """What is learned of a request class."""
+    """What was learned about a request class."""
 
     run_time_us: float
     completed: int
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class LoadSnapshot:
-    """What is learned of the work offered."""
+    """What was learned about the offered load and the fleet as a whole."""
 
     arrival_rate: float
     arrival_rate_at_us: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class HandoverSnapshot:
-    """All that is learned, and the endpoints that operators have disabled."""
+    """Everything that was learned, and the endpoints that operators have disabled."""
 
     load: LoadSnapshot
     kinds: dict[str, KindSnapshot]
--- a/merlinbay/decision/offered_load.py
+++ b/merlinbay/decision/offered_load.py
@@ -1,4 +1,8 @@
-"""The load that clients offer, rejected requests included: arrival rate, mean request, tenants' rates."""
+"""Measures the load that clients offer, including rejected requests.
+
+This is the arrival rate, the work and weight of the mean request, and the rate of each tenant. ``Balancer``
+counts each request here when it arrives, before it is decided on.
+"""
 
 from __future__ import annotations
 
@@ -9,49 +13,50 @@
 from merlinbay.decision.handover_snapshot import LoadSnapshot
 from merlinbay.decision.request_state import TrackedRequest
 
-RATE_MEMORY_US = 2_000_000  # of the arrival rate: longer than a stall, shorter than a burst
-MIN_ARRIVALS = 20  # requests that a mean rests on at the least: with fewer, one request would shut gates
-MEAN_REQUEST_WEIGHT = 0.01  # the least weight of one request in the mean request
-MIN_SLOTS = 0.01  # no request counts as smaller
-MIN_PRIORITY_WEIGHT = 1e-9  # the mean counts as no less
+RATE_MEMORY_US = 2_000_000  # time constant of arrival rates: longer than a stall, shorter than a burst
+MIN_ARRIVALS = 20  # minimum requests in a mean; with fewer, a single request would close gates
+MEAN_REQUEST_WEIGHT = 0.01  # minimum weight of one request in the mean request
+MIN_SLOTS = 0.01  # minimum slots that a request counts with
+MIN_PRIORITY_WEIGHT = 1e-9  # lower bound of the mean priority weight in a division
 
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Events per microsecond, forgotten exponentially."""
+    """A rate of events per microsecond that decays exponentially."""
 
     last_event_at_us: int
     per_us: float = 0.0
 
     def add(self, now_us: int) -> float:
-        """Count one event; return the share that is left of what was counted before."""
-        left = math.exp((self.last_event_at_us - now_us) / RATE_MEMORY_US)
-        self.per_us, self.last_event_at_us = self.per_us * left + 1 / RATE_MEMORY_US, now_us
-        return left
+        """Count one event; return the factor by which earlier events have decayed since the last one."""
+        decay = math.exp((self.last_event_at_us - now_us) / RATE_MEMORY_US)
+        self.per_us, self.last_event_at_us = self.per_us * decay + 1 / RATE_MEMORY_US, now_us
+        return decay
 
 
 class OfferedLoad:
-    """Owns what is known of the requests that arrive."""
+    """Owns the statistics of the requests that arrive."""
 
     def __init__(self, context: Context, mean_work_us: float) -> None:
         self._context = context
         self.arrival_rate = DecayingRate(context.now_us)
         self.offered_requests = 0
-        self.mean_work_us = mean_work_us  # slots times run time
+        self.mean_work_us = mean_work_us  # mean of slots times run time
         self.mean_priority_weight = 1.0
         self.mean_slots = 1.0
         self._tenant_rates: dict[str, DecayingRate] = {}
 
     def count_arrival(self) -> float:
-        """Count a request; return the factor by which a mean over the last run time decays."""
-        left, rate = self.arrival_rate.add(self._context.now_us), self.arrival_rate.per_us
+        """Count a request; return the factor by which a mean over about the last run time decays."""
+        decay, rate = self.arrival_rate.add(self._context.now_us), self.arrival_rate.per_us
         self.offered_requests += 1
-        # Guards against swings: a mean older than the requests it counts keeps gates shut, or open, too long.
+        # A mean that reaches back longer than its requests last keeps gates closed or open for too long, so
+        # that admission swings.
         span_us = max(self.mean_work_us, min(RATE_MEMORY_US, MIN_ARRIVALS / rate))
-        return math.pow(left, RATE_MEMORY_US / span_us)
+        return math.pow(decay, RATE_MEMORY_US / span_us)
 
     def learn_mean_request(self, request: TrackedRequest) -> None:
-        """Count the request in the mean one."""
+        """Add a request to the mean request."""
         weight = max(MEAN_REQUEST_WEIGHT, 1 / self.offered_requests)
         work_us = request.run_time_us * max(request.slots, MIN_SLOTS)
         self.mean_work_us += (work_us - self.mean_work_us) * weight
@@ -59,16 +64,19 @@
         self.mean_slots += (request.slots - self.mean_slots) * weight
 
     def count_tenant_request(self, tenant: str) -> bool:
-        """Count a tenant's request; tell whether it is over its quota, by our part of its requests."""
+        """Count a tenant's request; return whether the tenant is over its quota.
+
+        Its rate is estimated as the rate of its requests here times the number of balancers.
+        """
         settings, rate = self._context.settings, 0.0
         if tenant:
-            counted = self._tenant_rates.setdefault(tenant, DecayingRate(self._context.now_us))
-            counted.add(self._context.now_us)
-            rate = counted.per_us * settings.balancers * 1e6
-        return any(one.name == tenant and rate > one.quota_per_s for one in settings.tenants)
+            own_rate = self._tenant_rates.setdefault(tenant, DecayingRate(self._context.now_us))
+            own_rate.add(self._context.now_us)
+            rate = own_rate.per_us * settings.balancers * 1e6
+        return any(entry.name == tenant and rate > entry.quota_per_s for entry in settings.tenants)
 
     def priority_density(self, request: TrackedRequest) -> float:
-        """Return the request's priority weight for each slot and second, over the mean request's."""
+        """Return the request's priority weight per slot and second, relative to the mean request's."""
         work_us = request.run_time_us * max(request.slots, MIN_SLOTS)
         return (
             request.priority_weight
@@ -78,7 +86,7 @@
         )
 
     def restore(self, learned: LoadSnapshot) -> None:
-        """Take over what a former process has learned."""
+        """Restore the statistics from a snapshot of a former process."""
         self.arrival_rate = DecayingRate(
             min(learned.arrival_rate_at_us, self._context.now_us), learned.arrival_rate
         )
--- a/merlinbay/decision/outcome_learning.py
+++ b/merlinbay/decision/outcome_learning.py
@@ -1,4 +1,7 @@
-"""What the outcome of an attempt shows of its endpoint, for each part that learns from it."""
+"""Passes the outcome of each attempt on to the parts that learn from it.
+
+``Balancer`` calls it when an attempt has ended, whatever the outcome.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class OutcomeLearning:
-    """Passes outcomes on; no state of its own."""
+    """Selects what each outcome shows and which part learns it; it has no state of its own."""
 
     def __init__(
         self,
@@ -29,7 +32,7 @@
         self._capacity, self._load, self._reports = capacity, load, reports
 
     def learn(self, request: TrackedRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from an attempt that has ended, and from the load report that came with its outcome."""
+        """Learn from an attempt that has ended and from the load report that came with its outcome."""
         self._outliers.record_outcome(attempt, event)
         self._reports.learn_capacity_hit(attempt, event.outcome)
         if event.outcome == Outcome.OK:
@@ -42,7 +45,7 @@
         self._reports.apply_report(event)
 
     def _learn_run_time(self, request: TrackedRequest, attempt: Attempt, took_us: int) -> None:
-        """Learn from a request that was served. Where its start was reported, waiting does not count."""
+        """Learn the run time of a completed request, without its wait in the queue if the start is known."""
         run_us, started_at_us = took_us, attempt.started_at_us
         if started_at_us:
             run_us = (attempt.paused_at_us or self._context.now_us) - started_at_us
--- a/merlinbay/decision/outlier_detection.py
+++ b/merlinbay/decision/outlier_detection.py
@@ -1,4 +1,8 @@
-"""Which endpoints are left out because they fail, hang or do not answer, and until when."""
+"""Detects endpoints that fail, hang or do not answer health checks, and ejects them for a time.
+
+``OutcomeLearning`` passes on the outcome of each attempt, ``Balancer`` that of each health check.
+``Eligibility`` leaves out endpoints that are ejected or hung; an ejection ends by itself.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,11 @@
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.decision.request_state import Attempt
 
-HUNG_AFTER_US = 1_500_000  # an endpoint that answers nothing for so long after a dispatch hangs
-EJECTION_US = 1_000_000  # how long a failing endpoint is ejected; doubles with each failure in a row
-EJECTION_DOUBLINGS = 3  # the most doublings: no endpoint is ejected for good
-TOLERATED_FAILURES = {Outcome.ERROR: 1, Outcome.RESET: 2}  # failures in a row that eject nothing yet
-FAULTY_ERROR_SHARE = 0.1  # reported errors, over what a full endpoint can serve, from which one error ejects
+HUNG_AFTER_US = 1_500_000  # time without an answer after a dispatch from which an endpoint counts as hung
+EJECTION_US = 1_000_000  # duration of an ejection; it doubles with each failure in a row
+EJECTION_DOUBLINGS = 3  # maximum number of doublings, so that no endpoint is ejected for good
+TOLERATED_FAILURES = {Outcome.ERROR: 1, Outcome.RESET: 2}  # failures in a row that do not eject yet
+FAULTY_ERROR_SHARE = 0.1  # reported errors, as a share of a full endpoint's throughput, from which one ejects
 LOGGED_FAILURES = (2, 3)  # failures in a row at which an ejection is logged
 
 
@@ -26,11 +30,11 @@
         self._context, self._offered = context, offered
 
     def is_ejected(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint is left out for now."""
+        """Return whether an endpoint is ejected now."""
         return endpoint.failures.ejected_until_us > self._context.now_us
 
     def is_hung(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint holds requests of ours and has answered nothing for too long."""
+        """Return whether an endpoint holds our requests and has answered nothing for too long."""
         since_us = endpoint.failures.unanswered_since_us
         return (
             since_us > 0
@@ -39,26 +43,26 @@
         )
 
     def note_dispatch(self, endpoint: Endpoint) -> None:
-        """Take note that an answer is expected of an endpoint."""
+        """Record that an answer from an endpoint is expected from now on."""
         if not endpoint.failures.unanswered_since_us:
             endpoint.failures.unanswered_since_us = self._context.now_us
 
     def note_answer(self, endpoint: Endpoint) -> None:
-        """Take note of an answer. The request may fail yet, so failures in a row are kept."""
+        """Record an answer. Its request may still fail, so the failures in a row are kept."""
         record = endpoint.failures
         record.unanswered_since_us, record.answered_at_us = 0, self._context.now_us
 
     def reports_errors(self, endpoint: Endpoint, event: AttemptEnded) -> bool:
-        """Tell whether a load report counts errors of some share of what the endpoint can serve."""
-        # Guards against each balancer learning a faulty endpoint by its own losses: a report counts
-        # everybody's.
+        """Return whether the load report shows more errors than a share of what the endpoint can serve."""
+        # A report counts the errors of all balancers' requests. So a balancer detects a faulty endpoint
+        # without having to lose several requests of its own.
         settings = self._context.settings
         errors_per_s = settings.read(event.report or []).get(settings.errors_field, 0.0)
         served_share = errors_per_s * self._offered.mean_work_us / 1e6
         return served_share >= FAULTY_ERROR_SHARE * endpoint.kind.capacity.slots
 
     def record_outcome(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from the outcome of an attempt."""
+        """Record the outcome of an attempt as an answer or a failure of its endpoint."""
         endpoint, outcome = attempt.endpoint, event.outcome
         reports_errors = self.reports_errors(endpoint, event)
         if outcome in (Outcome.OK, Outcome.FULL):
@@ -66,15 +70,16 @@
             if not reports_errors:
                 endpoint.failures.consecutive_failures = 0
         elif outcome not in (Outcome.CANCELLED, Outcome.MOOT):
-            # A time-out on an endpoint that has answered since says nothing of it.
+            # A timeout says nothing about an endpoint that has answered since the dispatch.
             answered_since = endpoint.failures.answered_at_us > attempt.dispatched_at_us
             if outcome != Outcome.TIMEOUT or not answered_since:
                 self._count_failure(endpoint, Outcome(outcome), reports_errors)
 
     def _count_failure(self, endpoint: Endpoint, outcome: Outcome, reports_errors: bool) -> None:
-        """Count a failure; eject the endpoint where it is one too many."""
-        # Guards against an endpoint that fails at once and so looks free. A single error is tolerated, and
-        # so are two resets: a network that breaks connections says nothing of the endpoints behind it.
+        """Count a failure; eject the endpoint if more failures in a row than tolerated have occurred."""
+        # An endpoint that fails requests at once looks free and would attract more of them. A single error is
+        # tolerated, and so are two resets, since a network that breaks connections says nothing about the
+        # endpoints behind it.
         record, now_us = endpoint.failures, self._context.now_us
         record.consecutive_failures += 1
         record.last_failure, record.last_failure_at_us = int(outcome), now_us
@@ -87,8 +92,8 @@
             self._context.emit(LogNotice(f"ejected {endpoint.name}: {why}"))
 
     def note_health_check(self, endpoint: Endpoint, answered: bool) -> None:
-        """Eject an endpoint that does not answer a health check, for a while or until it answers one."""
-        # Guards against requests lost at an endpoint that has fallen silent, until the first is overdue.
+        """Eject an endpoint that does not answer a health check, for a time or until it answers one."""
+        # Otherwise requests would be lost at a silent endpoint until the first of them is overdue.
         record = endpoint.failures
         if not answered:
             record.ejected_until_us = max(record.ejected_until_us, self._context.now_us + EJECTION_US)
@@ -96,12 +101,12 @@
             record.ejected_until_us = 0
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Forget the failures of a server process that is no more."""
+        """Forget the failures of a server process that has ended."""
         record = endpoint.failures
         record.consecutive_failures = record.ejected_until_us = record.unanswered_since_us = 0
 
     def restore_endpoint(self, endpoint: Endpoint, learned: EndpointSnapshot) -> None:
-        """Take over an endpoint's failures."""
+        """Restore an endpoint's failure record from a snapshot."""
         record = endpoint.failures
         record.consecutive_failures = learned.consecutive_failures
         record.ejected_until_us = learned.ejected_until_us
--- a/merlinbay/decision/snapshots.py
+++ b/merlinbay/decision/snapshots.py
@@ -1,4 +1,8 @@
-"""Takes a handover snapshot from the parts that have learned, and restores one to them."""
+"""Takes a handover snapshot of what the parts have learned, and restores one.
+
+``Balancer`` takes it for the process that replaces this one, and restores that of its predecessor. Kinds,
+classes and endpoints of a snapshot that do not exist here are skipped.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 class Snapshots:
-    """Reads the parts' state; only the parts write it."""
+    """Reads the state of the parts. To restore it, each part is called to write its own."""
 
     def __init__(
         self,
@@ -39,13 +43,13 @@
         self._outliers, self._slow_start = outliers, slow_start
 
     def take(self) -> HandoverSnapshot:
-        """Return what has been learned up to now."""
+        """Return a snapshot of what has been learned up to now."""
         return HandoverSnapshot(
             self._load_snapshot(),
             {name: _kind_snapshot(kind) for name, kind in self._endpoints.kinds.items()},
             {
-                name: ClassSnapshot(one.run_time_us, one.completed)
-                for name, one in self._run_times.classes.items()
+                name: ClassSnapshot(class_state.run_time_us, class_state.completed)
+                for name, class_state in self._run_times.classes.items()
             },
             self._endpoints.disabled_since_us(),
             [_endpoint_snapshot(endpoint) for endpoint in self._endpoints.by_name.values()],
@@ -67,7 +71,7 @@
         )
 
     def restore(self, snapshot: HandoverSnapshot) -> None:
-        """Take over what another process has learned; what it knows of that is not here is passed over."""
+        """Restore what another process has learned, and skip what does not exist here."""
         self._offered.restore(snapshot.load)
         self._load.restore(snapshot.load)
         self._reports.restore(snapshot.load)
@@ -77,13 +81,13 @@
                 self._capacity.restore_kind(self._endpoints.kinds[name], learned)
                 self._run_times.restore_kind(self._endpoints.kinds[name], learned)
         self._run_times.restore_classes(snapshot.classes)
-        found = self._endpoints.matching(snapshot.endpoints)
-        for endpoint, known in found:
-            self._load.restore_endpoint(endpoint, known)
-            self._run_times.restore_endpoint(endpoint, known)
-            self._outliers.restore_endpoint(endpoint, known)
-            self._slow_start.restore_endpoint(endpoint, known)
-        self._endpoints.restore(snapshot.disabled_since_us, found)
+        matches = self._endpoints.matching(snapshot.endpoints)
+        for endpoint, endpoint_snapshot in matches:
+            self._load.restore_endpoint(endpoint, endpoint_snapshot)
+            self._run_times.restore_endpoint(endpoint, endpoint_snapshot)
+            self._outliers.restore_endpoint(endpoint, endpoint_snapshot)
+            self._slow_start.restore_endpoint(endpoint, endpoint_snapshot)
+        self._endpoints.restore(snapshot.disabled_since_us, matches)
 
 
 def _kind_snapshot(kind: Kind) -> KindSnapshot:
--- a/merlinbay/decision/threshold.py
+++ b/merlinbay/decision/threshold.py
@@ -1,4 +1,7 @@
-"""The admission threshold of O2A: how many jobs may wait at one endpoint."""
+"""Computes the admission threshold of O2A: how many requests may wait at one endpoint.
+
+``Admission``, whose module names the paper, asks for it with its own load and worth. It has no state.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,17 @@
 
 from merlinbay.decision.lambert import lambertw
 
-MAX_SUMMED_JOBS = 10_000  # beyond so many waiting jobs the threshold's fraction decides nothing
+MAX_SUMMED_JOBS = 10_000  # the largest N that is returned; beyond it the probability q has no effect
 
 
 @lru_cache(maxsize=65536)
 def threshold(r: float, k: float) -> tuple[float, float]:
     """Return O2A's N and q for r = offered load / service rate and k = (R-p)/c.
 
-    Admit below N waiting jobs, with probability q at N. The paper's Algorithm 1 swaps the Lambert
-    branches: W-1 serves r < 1 and W0 serves r > 1. Near r = 1 the closed form cancels and its terms
-    overflow for large r, so the weighted sum of utilities, scaled by r^-n, settles the floor and q.
+    A request is admitted if fewer than N wait, and with probability q if N wait. Algorithm 1 of the paper
+    swaps the branches of Lambert's W: W-1 belongs to r < 1 and W0 to r > 1. Near r = 1 the closed form loses
+    its digits by cancellation, and for large r its terms overflow. So it only gives a first value of N; the
+    final N and q come from the weighted sum of utilities, scaled by r^-n.
     """
     r = max(r, 1e-9)
     if k < 1:
