--- a/merlinbay/decision/capacity_learning.py
+++ b/merlinbay/decision/capacity_learning.py
@@ -28,9 +28,7 @@
 
     def __init__(self, context: Context, endpoints: Endpoints, warm_up: WarmUp) -> None:
         self._context, self._endpoints, self._warm_up = context, endpoints, warm_up
-        self.unreported_slots = (
-            1.0  # mean slots of an endpoint, learned from starts where no report shows them
-        )
+        self.unreported_slots = 1.0  # mean slots of an endpoint, learned where no report shows them
         self.late_start_share = 0.0  # smoothed share of the starts that were late
         self.starts = 0  # number of starts learned from
 
--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -114,8 +114,8 @@
         settings, offered, load = self._context.settings, self._offered, self._load
         if not settings.asks_first:
             # Every answer reports the load of its endpoint, including hedges that were not cancelled, so the
-            # next choice takes their cost into account. Hedges are not weighed here as well because fleets of
-            # many nodes then served fewer requests.
+            # next choice takes their cost into account. Hedges are not weighed here as well, because fleets
+            # of many nodes served fewer requests when they were.
             return True
         run_us = request.run_time_us
         if attempt.started_at_us:
--- a/tests/test_copies_and_probes.py
+++ b/tests/test_copies_and_probes.py
@@ -1,4 +1,7 @@
-"""Second copies, probes and crossings by their worth: docs/COPIES-AND-PROBES.md."""
+"""Hedges, health checks and dispatches to other zones go out only if they are worth their cost.
+
+The formulas are derived in ``docs/COPIES-AND-PROBES.md``.
+"""
 
 from __future__ import annotations
 
@@ -24,24 +27,24 @@
 RUN_US = 100_000
 
 
-def balancer(**changes: object) -> Balancer:
-    """Return a balancer that knows a fleet of four slots each, idle, and what a mean job is."""
-    made = Balancer(settings(**{"asks_first": True, **changes}), 1, 1_000_000)
-    made.handle(1_000_000, [EndpointsChanged("all", [entry(n) for n in range(8)])])
-    for kind in made.parts.endpoints.kinds.values():
+def new_balancer(**changes: object) -> Balancer:
+    """Return a balancer that knows the mean request and a fleet of idle endpoints with four slots each."""
+    balancer = Balancer(settings(**{"asks_first": True, **changes}), 1, 1_000_000)
+    balancer.handle(1_000_000, [EndpointsChanged("all", [entry(n) for n in range(8)])])
+    for kind in balancer.parts.endpoints.kinds.values():
         kind.capacity.slots, kind.capacity.slots_are_reported = 4.0, True
-    for cls in made.parts.run_times.classes.values():
-        cls.run_time_us, cls.completed = RUN_US, 100
-    made.parts.offered.mean_work_us, made.parts.offered.mean_priority_weight = RUN_US, 5.0
-    made.parts.load.recount()
-    return made
+    for class_state in balancer.parts.run_times.classes.values():
+        class_state.run_time_us, class_state.completed = RUN_US, 100
+    balancer.parts.offered.mean_work_us, balancer.parts.offered.mean_priority_weight = RUN_US, 5.0
+    balancer.parts.load.recount()
+    return balancer
 
 
-def job_of(made: Balancer, worth: float = 5.0, slots: float = 1.0) -> TrackedRequest:
-    """Return a job that has just arrived; it is in time if it starts within 200 ms."""
-    now_us = made.parts.context.now_us
+def new_request(balancer: Balancer, worth: float = 5.0, slots: float = 1.0) -> TrackedRequest:
+    """Return a request that has just arrived; it is in time if it starts within 200 ms."""
+    now_us = balancer.parts.context.now_us
     return request_of(
-        made,
+        balancer,
         "safe",
         slots=slots,
         run_time_us=RUN_US,
@@ -51,23 +54,26 @@
     )
 
 
-def waiting(made: Balancer, job: TrackedRequest, since_us: int) -> tuple[Attempt, Endpoint]:
-    """Return an attempt that has not started for so long, and a near endpoint with room."""
-    attempt = Attempt(made.parts.endpoints.by_name["w0"], made.parts.context.now_us)
-    job.attempts, job.open_attempts = [attempt], 1
-    made.parts.context.now_us += since_us
-    return attempt, made.parts.endpoints.by_name["w2"]
+def waiting_attempt(balancer: Balancer, request: TrackedRequest, since_us: int) -> tuple[Attempt, Endpoint]:
+    """Return an attempt that has not started for ``since_us``, and a free endpoint of the own zone."""
+    attempt = Attempt(balancer.parts.endpoints.by_name["w0"], balancer.parts.context.now_us)
+    request.attempts, request.open_attempts = [attempt], 1
+    balancer.parts.context.now_us += since_us
+    return attempt, balancer.parts.endpoints.by_name["w2"]
 
 
-def offer(made: Balancer, load: float) -> None:
-    """Let the offered load be this share of all slots."""
-    made.parts.offered.arrival_rate.per_us = (
-        load * made.parts.load.total_slots / made.settings.balancers / made.parts.offered.mean_work_us
+def set_offered_load(balancer: Balancer, load: float) -> None:
+    """Make the offered load this share of all slots."""
+    balancer.parts.offered.arrival_rate.per_us = (
+        load
+        * balancer.parts.load.total_slots
+        / balancer.settings.balancers
+        / balancer.parts.offered.mean_work_us
     )
 
 
-def test_a_long_wait_lasts() -> None:
-    """The chance falls with the wait, and there is none where no time is left."""
+def test_long_wait_is_less_likely_to_end() -> None:
+    """The probability falls with the wait, and is 0 if no time is left."""
     assert (
         chance_that_wait_ends(0, 1) == 1
         and chance_that_wait_ends(100, 0) == chance_that_wait_ends(0, -1) == 0
@@ -76,339 +82,372 @@
 
 
 @pytest.mark.parametrize(
-    ("load", "since_us", "slots", "pays"),
+    ("load", "since_us", "slots", "is_worthwhile"),
     [
-        (0.6, 10_000, 1.0, False),  # it will start soon by itself
-        (0.6, 150_000, 1.0, True),  # it hardly will, and few want the slot
-        (1.0, 150_000, 1.0, False),  # others want the slot as much
-        (0.6, 150_000, 4.0, False),  # four times the work for the same worth
-        (0.2, 400_000, 1.0, False),  # it is late either way
+        (0.6, 10_000, 1.0, False),  # The attempt will probably start soon.
+        (0.6, 150_000, 1.0, True),  # The attempt will probably not start soon, and slots are free.
+        (1.0, 150_000, 1.0, False),  # Other requests need the slot as much.
+        (0.6, 150_000, 4.0, False),  # The hedge is four times the work for the same worth.
+        (0.2, 400_000, 1.0, False),  # The request is late with or without a hedge.
     ],
 )
-def test_a_copy_goes_out_where_it_gains_more_than_its_work(
-    load: float, since_us: int, slots: float, pays: bool
+def test_hedge_is_sent_if_it_gains_more_than_its_work_costs(
+    load: float, since_us: int, slots: float, is_worthwhile: bool
 ) -> None:
-    """With nothing dropped by a cancel, a copy is work twice over."""
-    made = balancer()
-    made.settings.limits.cancelling = False
-    offer(made, load)
-    job = job_of(made, slots=slots)
-    attempt, target = waiting(made, job, since_us)
-    assert made.parts.costs.is_hedge_worthwhile(job, attempt, target) is pays
-
-
-def test_a_job_of_a_class_not_seen_yet_is_not_taken_for_late() -> None:
-    """Until an answer has come, a run counts as the aim, which leaves no time to start."""
-    made = balancer()
-    offer(made, 0.1)
-    job = job_of(made)
-    state = job.class_state
-    state.spec.stretch, state.completed, job.run_time_us = 0.0, 0, state.spec.aim_us
-    attempt, target = waiting(made, job, 30_000)
-    assert made.parts.costs.is_hedge_worthwhile(job, attempt, target)
-
-
-def test_copies_are_not_weighed_where_answers_report_the_load() -> None:
-    """There an endpoint that is fuller than was believed shows by its next answer."""
+    """If a cancel drops nothing, a hedge doubles the work of the request."""
+    balancer = new_balancer()
+    balancer.settings.limits.cancelling = False
+    set_offered_load(balancer, load)
+    request = new_request(balancer, slots=slots)
+    attempt, target = waiting_attempt(balancer, request, since_us)
+    assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target) is is_worthwhile
+
+
+def test_request_of_a_class_without_completed_runs_does_not_count_as_late() -> None:
+    """Before the first completed run, the run time of a class is its latency objective.
+
+    Taken literally this leaves no time for the request to start, and it would never be hedged.
+    """
+    balancer = new_balancer()
+    set_offered_load(balancer, 0.1)
+    request = new_request(balancer)
+    state = request.class_state
+    state.spec.stretch, state.completed, request.run_time_us = 0.0, 0, state.spec.aim_us
+    attempt, target = waiting_attempt(balancer, request, 30_000)
+    assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target)
+
+
+def test_hedges_are_not_weighed_where_answers_report_the_load() -> None:
+    """Where answers report the load, the next answer shows if an endpoint is fuller than estimated."""
     for asks_first in (False, True):
-        made = balancer(asks_first=asks_first)
-        offer(made, 1.0)
-        job = job_of(made)
-        attempt, target = waiting(made, job, 10_000)
-        assert made.parts.costs.is_hedge_worthwhile(job, attempt, target) is not asks_first
+        balancer = new_balancer(asks_first=asks_first)
+        set_offered_load(balancer, 1.0)
+        request = new_request(balancer)
+        attempt, target = waiting_attempt(balancer, request, 10_000)
+        assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target) is not asks_first
 
 
-def test_what_a_cancel_may_drop_counts_half() -> None:
-    """A copy that does not pay as work twice over may pay where the attempt that waits can be cancelled."""
+def test_cancellable_attempt_costs_half_of_its_work() -> None:
+    """A hedge that does not pay if it doubles the work may pay if the waiting attempt can be cancelled."""
     for cancelling in (False, True):
-        made = balancer()
-        made.settings.limits.cancelling = cancelling
-        offer(made, 1.0)
-        job = job_of(made)
-        attempt, target = waiting(made, job, 150_000)
-        assert made.parts.costs.is_hedge_worthwhile(job, attempt, target) is cancelling
-
-
-def test_a_copy_over_the_border_pays_for_the_crossing() -> None:
-    """The same copy, to the other zone, where that has a price."""
-    for price, pays in ((0.0, True), (0.9, False)):
-        made = balancer(cross_zone_price=price)
-        offer(made, 0.1)
-        job = job_of(made)
-        attempt, _ = waiting(made, job, 150_000)
-        assert made.parts.costs.is_hedge_worthwhile(job, attempt, made.parts.endpoints.by_name["w1"]) is pays
-
-
-def test_a_job_at_a_slow_worker_is_copied_while_that_helps() -> None:
-    """It runs on at an endpoint of three times the pace; the copy has to be in time itself."""
-    made = balancer()
-    offer(made, 0.3)
-    job = job_of(made)
-    attempt, target = waiting(made, job, RUN_US)
+        balancer = new_balancer()
+        balancer.settings.limits.cancelling = cancelling
+        set_offered_load(balancer, 1.0)
+        request = new_request(balancer)
+        attempt, target = waiting_attempt(balancer, request, 150_000)
+        assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target) is cancelling
+
+
+def test_hedge_to_another_zone_pays_for_the_crossing() -> None:
+    """The same hedge to another zone is not worthwhile if crossing has a high price."""
+    for price, is_worthwhile in ((0.0, True), (0.9, False)):
+        balancer = new_balancer(cross_zone_price=price)
+        set_offered_load(balancer, 0.1)
+        request = new_request(balancer)
+        attempt, _ = waiting_attempt(balancer, request, 150_000)
+        assert (
+            balancer.parts.costs.is_hedge_worthwhile(request, attempt, balancer.parts.endpoints.by_name["w1"])
+            is is_worthwhile
+        )
+
+
+def test_request_at_a_slow_endpoint_is_hedged_while_that_helps() -> None:
+    """A request that runs at a slow endpoint is hedged only as long as the hedge can still be in time."""
+    balancer = new_balancer()
+    set_offered_load(balancer, 0.3)
+    request = new_request(balancer)
+    attempt, target = waiting_attempt(balancer, request, RUN_US)
     attempt.started_at_us = attempt.dispatched_at_us
-    costs, run_time = made.parts.costs, attempt.endpoint.run_time
-    assert not costs.is_hedge_worthwhile(job, attempt, target)  # as fast as others: it is about to end
-    run_time.pace, run_time.pace_learned_at_us = 8.0, made.parts.context.now_us
-    assert made.parts.costs.is_hedge_worthwhile(job, attempt, target)
-    made.parts.context.now_us += 250_000
-    assert not made.parts.costs.is_hedge_worthwhile(job, attempt, target)  # too late
+    costs, run_time = balancer.parts.costs, attempt.endpoint.run_time
+    # At the pace of the others the attempt is about to end.
+    assert not costs.is_hedge_worthwhile(request, attempt, target)
+    run_time.pace, run_time.pace_learned_at_us = 8.0, balancer.parts.context.now_us
+    assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target)
+    balancer.parts.context.now_us += 250_000
+    # A hedge would come too late.
+    assert not balancer.parts.costs.is_hedge_worthwhile(request, attempt, target)
 
 
 @pytest.mark.parametrize(
-    ("worth", "behind", "price", "far"),
+    ("worth", "queued", "price", "crosses"),
     [
-        (5.0, 0, 0.16, False),  # a turn of a slot costs less than the crossing
-        (5.0, 40, 0.16, True),  # a long queue does not
-        (0.5, 40, 0.16, False),  # a job of little worth is not worth the price
-        (5.0, 0, 0.0, True),  # without a price the one with room is taken
+        (5.0, 0, 0.16, False),  # Waiting for one slot costs less than crossing.
+        (5.0, 40, 0.16, True),  # Waiting in a long queue costs more than crossing.
+        (0.5, 40, 0.16, False),  # A request of little worth is not worth the price.
+        (5.0, 0, 0.0, True),  # Without a price the endpoint with free slots is chosen.
     ],
 )
-def test_a_border_is_crossed_for_more_than_its_price(
-    worth: float, behind: int, price: float, far: bool
+def test_zone_is_crossed_for_a_gain_above_the_price(
+    worth: float, queued: int, price: float, crosses: bool
 ) -> None:
-    """Near endpoints are full; those of the other zone are idle."""
-    made = balancer(cross_zone_price=price, balancers=1)
-    for endpoint in made.parts.endpoints.by_name.values():
+    """The endpoints of the own zone are full, those of the other zone are idle."""
+    balancer = new_balancer(cross_zone_price=price, balancers=1)
+    for endpoint in balancer.parts.endpoints.by_name.values():
         if endpoint.zone == "a":
-            endpoint.in_flight.in_flight_slots = 4.0 + behind / 4
-    offer(made, 0.5)
-    made.parts.admission.max_waiting = lambda kind, request: 100.0  # type: ignore[method-assign]
-    picked = made.parts.placement.choose(job_of(made, worth))
-    assert picked is not None and (picked.zone == "b") is far
+            endpoint.in_flight.in_flight_slots = 4.0 + queued / 4
+    set_offered_load(balancer, 0.5)
+    balancer.parts.admission.max_waiting = lambda kind, request: 100.0  # type: ignore[method-assign]
+    chosen = balancer.parts.placement.choose(new_request(balancer, worth))
+    assert chosen is not None and (chosen.zone == "b") is crosses
 
 
-def probes(made: Balancer) -> list[str]:
-    """Return whom a balancer probes for 100 jobs, once it knows what is offered: 100 a second."""
-    out = []
+def checked_endpoints(balancer: Balancer) -> list[str]:
+    """Return the endpoints checked for 100 requests, once the balancer knows the load: 100 a second."""
+    names = []
     for number in range(400):
-        made.parts.context.now_us += 10_000
-        actions = made.handle(made.parts.context.now_us, [RequestReceived(100 + number, "safe", 5_000_000)])
-        out += (
+        balancer.parts.context.now_us += 10_000
+        actions = balancer.handle(
+            balancer.parts.context.now_us, [RequestReceived(100 + number, "safe", 5_000_000)]
+        )
+        names += (
             [action.endpoint for action in actions if isinstance(action, CheckHealth)]
             if number >= 300
             else []
         )
-        for placed in (action for action in actions if isinstance(action, Dispatch)):
-            made.handle(
-                made.parts.context.now_us,
-                [AttemptEnded(placed.id, 0, 1, RUN_US, True, None, placed.endpoint)],
+        for dispatch in (action for action in actions if isinstance(action, Dispatch)):
+            balancer.handle(
+                balancer.parts.context.now_us,
+                [AttemptEnded(dispatch.id, 0, 1, RUN_US, True, None, dispatch.endpoint)],
             )
-    return out
+    return names
 
 
-def probing(price: float, **changes: object) -> Balancer:
-    """Return a balancer that hears reports from probes only."""
-    made = balancer(asks_first=True, probe_price=price, **changes)
-    made.settings.limits.probes = True
-    made.parts.reports.stale_estimate_rate = 0.05
-    return made
+def balancer_with_health_checks(price: float, **changes: object) -> Balancer:
+    """Return a balancer that gets load reports from health checks only."""
+    balancer = new_balancer(asks_first=True, probe_price=price, **changes)
+    balancer.settings.limits.probes = True
+    balancer.parts.reports.stale_estimate_rate = 0.05
+    return balancer
 
 
-def test_a_probe_has_to_be_worth_its_price() -> None:
-    """Cheap ones go out now and then, not six a job; dear ones never."""
-    cheap = probes(probing(0.002))
+def test_health_checks_are_sent_only_if_worth_their_price() -> None:
+    """Cheap health checks are sent now and then, not six for each request; expensive ones never."""
+    cheap = checked_endpoints(balancer_with_health_checks(0.002))
     assert 50 < len(cheap) < 300
-    assert len(probes(probing(0.02))) < len(cheap)
-    assert probes(probing(5.0)) == []
+    assert len(checked_endpoints(balancer_with_health_checks(0.02))) < len(cheap)
+    assert checked_endpoints(balancer_with_health_checks(5.0)) == []
+
 
+def test_request_waits_for_health_checks_where_earlier_ones_are_outdated() -> None:
+    """With many balancers, our requests are so rare that reports are outdated by the next one.
 
-def test_a_job_waits_for_probes_where_earlier_ones_tell_nothing() -> None:
-    """One of many balancers, whose jobs are rare beside the life of news; and not where it is dear."""
-    for price, first in ((0.0, True), (0.002, True), (0.1, False)):
-        made = probing(price, balancers=100)
-        made.parts.reports.stale_estimate_rate = 0.5
-        made.parts.offered.arrival_rate.per_us = 1 / 2_000_000
+    Then a request waits for health checks, unless these are expensive or requests are frequent.
+    """
+    for price, waits in ((0.0, True), (0.002, True), (0.1, False)):
+        balancer = balancer_with_health_checks(price, balancers=100)
+        balancer.parts.reports.stale_estimate_rate = 0.5
+        balancer.parts.offered.arrival_rate.per_us = 1 / 2_000_000
         assert (
-            made.parts.health_check_costs.is_waiting_worthwhile(made.parts.endpoints.by_name["w0"].kind, 6, 8)
-            is first
+            balancer.parts.health_check_costs.is_waiting_worthwhile(
+                balancer.parts.endpoints.by_name["w0"].kind, 6, 8
+            )
+            is waits
         )
-    made = probing(0.002)
-    made.parts.offered.arrival_rate.per_us = 1 / 10_000
-    assert not made.parts.health_check_costs.is_waiting_worthwhile(
-        made.parts.endpoints.by_name["w0"].kind, 6, 8
+    balancer = balancer_with_health_checks(0.002)
+    balancer.parts.offered.arrival_rate.per_us = 1 / 10_000
+    assert not balancer.parts.health_check_costs.is_waiting_worthwhile(
+        balancer.parts.endpoints.by_name["w0"].kind, 6, 8
     )
 
 
-def test_probes_are_rarer_where_little_is_sent_or_little_goes_wrong() -> None:
-    """An endpoint that gets few of our jobs, or a fleet where room is as believed, needs no news."""
-    made = probing(0.002)
-    kind = made.parts.endpoints.by_name["w0"].kind
+def test_health_checks_are_rarer_with_few_dispatches_or_few_stale_estimates() -> None:
+    """Few health checks pay if an endpoint gets few of our requests, and none if no estimate is stale."""
+    balancer = balancer_with_health_checks(0.002)
+    kind = balancer.parts.endpoints.by_name["w0"].kind
     assert (
-        made.parts.health_check_costs.interval_us(kind, 1e-4)
-        < made.parts.health_check_costs.interval_us(kind, 1e-5)
+        balancer.parts.health_check_costs.interval_us(kind, 1e-4)
+        < balancer.parts.health_check_costs.interval_us(kind, 1e-5)
         < math.inf
     )
-    assert made.parts.health_check_costs.interval_us(kind, 1e-9) == math.inf
-    made.parts.reports.stale_estimate_rate = 0.0
-    assert made.parts.health_check_costs.interval_us(kind, 1e-4) == math.inf
-
-
-def test_the_work_of_a_probe_counts_as_far_as_others_want_it() -> None:
-    """What a probe takes the endpoint is dear where the load is high."""
-    made = probing(0.002)
-    made.parts.health_check_costs.duration_us = 2_000.0
-    kind = made.parts.endpoints.by_name["w0"].kind
-    offer(made, 0.1)
-    calm = made.parts.health_check_costs.interval_us(kind, 1e-4)
-    offer(made, 1.0)
-    assert made.parts.health_check_costs.interval_us(kind, 1e-4) > calm
-
-
-def test_a_queue_in_a_report_counts_as_held() -> None:
-    """Found as late answers: an endpoint where five wait looked like one that is just full."""
-    made = probing(0.002, report_fields=["waiting", "x0"], queued_field="waiting")
-    endpoint = made.parts.endpoints.by_name["w0"]
+    assert balancer.parts.health_check_costs.interval_us(kind, 1e-9) == math.inf
+    balancer.parts.reports.stale_estimate_rate = 0.0
+    assert balancer.parts.health_check_costs.interval_us(kind, 1e-4) == math.inf
+
+
+def test_work_of_a_health_check_costs_more_under_load() -> None:
+    """The time that a health check takes the endpoint costs more at a high load, so checks are rarer."""
+    balancer = balancer_with_health_checks(0.002)
+    balancer.parts.health_check_costs.duration_us = 2_000.0
+    kind = balancer.parts.endpoints.by_name["w0"].kind
+    set_offered_load(balancer, 0.1)
+    low_load_interval_us = balancer.parts.health_check_costs.interval_us(kind, 1e-4)
+    set_offered_load(balancer, 1.0)
+    assert balancer.parts.health_check_costs.interval_us(kind, 1e-4) > low_load_interval_us
+
+
+def test_queued_requests_in_a_report_count_as_held() -> None:
+    """If queued requests did not count, an endpoint with five would look just full and answer late."""
+    balancer = balancer_with_health_checks(0.002, report_fields=["waiting", "x0"], queued_field="waiting")
+    endpoint = balancer.parts.endpoints.by_name["w0"]
     for number in range(20):
-        made.parts.context.now_us += 50_000
-        made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [5.0 + number / 1000, 0.0])])
-    assert made.parts.load.free_slots(endpoint) < -3
+        balancer.parts.context.now_us += 50_000
+        balancer.handle(
+            balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [5.0 + number / 1000, 0.0])]
+        )
+    assert balancer.parts.load.free_slots(endpoint) < -3
 
 
-def test_slots_are_not_taken_from_the_noise_of_reports() -> None:
-    """Found as seven slots believed where there are five: the most that was ever reported free."""
-    made = probing(0.002, report_fields=["x0"])
-    for kind in made.parts.endpoints.kinds.values():
+def test_slots_are_not_overestimated_from_noisy_reports() -> None:
+    """The most slots ever reported free are too many: seven were learned where there are five."""
+    balancer = balancer_with_health_checks(0.002, report_fields=["x0"])
+    for kind in balancer.parts.endpoints.kinds.values():
         kind.capacity.slots_are_reported = False
     for number in range(200):
-        made.parts.context.now_us += 50_000
-        free = 5.0 * (1 + 0.3 * math.sin(number))
-        made.handle(made.parts.context.now_us, [HealthCheckEnded(f"w{number % 8}", 1, 900, [free])])
-    assert made.parts.endpoints.by_name["w0"].kind.capacity.slots == 5
-
-
-def test_a_report_is_compared_with_what_was_held_when_it_was_made() -> None:
-    """What was sent after the report was made is not in it; it must not be taken off the others' count."""
-    made = probing(0.002, report_fields=["x0"])
-    endpoint = made.parts.endpoints.by_name["w0"]
-    requests = made.parts.requests
-    requests.open_attempt(request_of(made, "safe"), endpoint, found_free_slots=True)
-    made.parts.context.now_us += 150_000
-    requests.open_attempt(request_of(made, "safe", id=2, slots=2.0), endpoint, found_free_slots=True)
-    made.parts.context.now_us += 50_000
+        balancer.parts.context.now_us += 50_000
+        reported_free = 5.0 * (1 + 0.3 * math.sin(number))
+        balancer.handle(
+            balancer.parts.context.now_us, [HealthCheckEnded(f"w{number % 8}", 1, 900, [reported_free])]
+        )
+    assert balancer.parts.endpoints.by_name["w0"].kind.capacity.slots == 5
+
+
+def test_report_is_compared_with_the_slots_in_flight_when_it_was_made() -> None:
+    """Requests sent after a report was made are not in it, so they must not be subtracted from it."""
+    balancer = balancer_with_health_checks(0.002, report_fields=["x0"])
+    endpoint = balancer.parts.endpoints.by_name["w0"]
+    requests = balancer.parts.requests
+    requests.open_attempt(request_of(balancer, "safe"), endpoint, found_free_slots=True)
+    balancer.parts.context.now_us += 150_000
+    requests.open_attempt(request_of(balancer, "safe", id=2, slots=2.0), endpoint, found_free_slots=True)
+    balancer.parts.context.now_us += 50_000
     assert (
         endpoint.in_flight.in_flight_slots == 3.0
-        and requests.in_flight_at(endpoint, made.parts.context.now_us - 120_000) == 1.0
+        and requests.in_flight_at(endpoint, balancer.parts.context.now_us - 120_000) == 1.0
     )
     assert requests.in_flight_at(endpoint, 0) == 1.0
-    made.handle(
-        made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [0.0])]
-    )  # four held, one of them ours then
+    # Four slots are held, of which one was ours when the report was made.
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [0.0])])
     assert endpoint.peer_load.mean_peer_slots == pytest.approx(3.0)
 
 
-def test_what_others_hold_is_learned_for_each_worker() -> None:
-    """Found as room not used: the mean over both zones counted where the other balancers hardly send."""
-    made = probing(0.002, report_fields=["x0"])
-    made.parts.load.smoothed_in_flight = 8.0
-    assert made.parts.load.peer_slots(made.parts.endpoints.by_name["w0"]) > 2
+def test_slots_held_by_peers_are_learned_for_each_endpoint() -> None:
+    """An endpoint to which peers hardly send must not count with the mean over both zones.
+
+    Otherwise its free slots are not used.
+    """
+    balancer = balancer_with_health_checks(0.002, report_fields=["x0"])
+    balancer.parts.load.smoothed_in_flight = 8.0
+    assert balancer.parts.load.peer_slots(balancer.parts.endpoints.by_name["w0"]) > 2
     for number in range(30):
-        made.parts.context.now_us += 100_000
-        made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [4.0 - number / 1000])])
-    made.parts.context.now_us += 10_000_000  # the last report is forgotten
+        balancer.parts.context.now_us += 100_000
+        balancer.handle(
+            balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [4.0 - number / 1000])]
+        )
+    balancer.parts.context.now_us += 10_000_000  # The last report has decayed by now.
     assert (
-        made.parts.load.peer_slots(made.parts.endpoints.by_name["w0"])
+        balancer.parts.load.peer_slots(balancer.parts.endpoints.by_name["w0"])
         < 0.5
-        < made.parts.load.peer_slots(made.parts.endpoints.by_name["w2"])
+        < balancer.parts.load.peer_slots(balancer.parts.endpoints.by_name["w2"])
+    )
+
+
+def test_first_reply_from_another_zone_does_not_win() -> None:
+    """If crossing has a price, endpoints of other zones count only after those of the own zone answered."""
+    balancer = balancer_with_health_checks(0.002, balancers=100, tells_start=False, cross_zone_price=0.01)
+    balancer.parts.reports.stale_estimate_rate = 0.5
+    actions = balancer.handle(balancer.parts.context.now_us, [RequestReceived(1, "safe", 5_000_000)])
+    checked = [action.endpoint for action in actions if isinstance(action, CheckHealth)]
+    far_names = [name for name in checked if balancer.parts.endpoints.by_name[name].zone == "b"]
+    near_names = [name for name in checked if balancer.parts.endpoints.by_name[name].zone == "a"]
+    assert far_names and near_names
+    for name in far_names:
+        assert not balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded(name, 1, 900, [0, 4])])
+    (dispatch, *_) = balancer.handle(
+        balancer.parts.context.now_us, [HealthCheckEnded(near_names[0], 1, 900, [0, 4])]
     )
+    assert isinstance(dispatch, Dispatch) and dispatch.endpoint == near_names[0]
 
 
-def test_a_reply_from_beyond_the_border_does_not_win_by_being_first() -> None:
-    """Where crossings cost, endpoints away count once those nearby have answered too."""
-    made = probing(0.002, balancers=100, tells_start=False, cross_zone_price=0.01)
-    made.parts.reports.stale_estimate_rate = 0.5
-    actions = made.handle(made.parts.context.now_us, [RequestReceived(1, "safe", 5_000_000)])
-    probed = [action.endpoint for action in actions if isinstance(action, CheckHealth)]
-    away = [name for name in probed if made.parts.endpoints.by_name[name].zone == "b"]
-    near = [name for name in probed if made.parts.endpoints.by_name[name].zone == "a"]
-    assert away and near
-    for name in away:
-        assert not made.handle(made.parts.context.now_us, [HealthCheckEnded(name, 1, 900, [0, 4])])
-    (placed, *_) = made.handle(made.parts.context.now_us, [HealthCheckEnded(near[0], 1, 900, [0, 4])])
-    assert isinstance(placed, Dispatch) and placed.endpoint == near[0]
-
-
-def test_a_job_of_two_slots_waits_less_where_others_overtake_it() -> None:
-    """In a backfilled queue one that needs two slots at once starves while others wait for one."""
-    gates = {}
+def test_request_of_two_slots_may_wait_less_in_a_backfilled_queue() -> None:
+    """In a backfilled queue a request of two slots starves while others need only one slot."""
+    max_waiting_sums = {}
     for order in ("fifo", "backfill"):
-        made = balancer(queue_order=order, balancers=1)
-        offer(made, 0.9)
-        kind = made.parts.endpoints.by_name["w0"].kind
-        two, one = job_of(made, 10.0, 2.0), job_of(made)
-        gates[order] = [
-            sum(made.parts.admission.max_waiting(kind, job) for _ in range(50)) for job in (one, two)
+        balancer = new_balancer(queue_order=order, balancers=1)
+        set_offered_load(balancer, 0.9)
+        kind = balancer.parts.endpoints.by_name["w0"].kind
+        two_slots, one_slot = new_request(balancer, 10.0, 2.0), new_request(balancer)
+        max_waiting_sums[order] = [
+            sum(balancer.parts.admission.max_waiting(kind, request) for _ in range(50))
+            for request in (one_slot, two_slots)
         ]
-    assert gates["fifo"][0] == pytest.approx(gates["backfill"][0], rel=0.2)
-    assert gates["backfill"][1] < gates["fifo"][1] / 2
+    assert max_waiting_sums["fifo"][0] == pytest.approx(max_waiting_sums["backfill"][0], rel=0.2)
+    assert max_waiting_sums["backfill"][1] < max_waiting_sums["fifo"][1] / 2
 
 
-def test_what_reports_contradict_is_learned_without_placing_a_job() -> None:
-    """Found as waiting for probes for seconds: who probes first never saw how it would do without."""
-    made = probing(0.002, report_fields=["x0"], balancers=1)
-    made.parts.reports.stale_estimate_rate = 0.5
+def test_stale_estimate_rate_is_learned_without_a_dispatch() -> None:
+    """Every report must count in the stale rate, not only those on which a dispatch rests.
+
+    A balancer that sends health checks first otherwise never learns how it would do without them, and makes
+    requests wait for health checks for seconds.
+    """
+    balancer = balancer_with_health_checks(0.002, report_fields=["x0"], balancers=1)
+    balancer.parts.reports.stale_estimate_rate = 0.5
     for number in range(100):
-        made.parts.context.now_us += 50_000
-        made.handle(
-            made.parts.context.now_us, [HealthCheckEnded(f"w{number % 8}", 1, 900, [4.0 - number / 1000])]
+        balancer.parts.context.now_us += 50_000
+        balancer.handle(
+            balancer.parts.context.now_us, [HealthCheckEnded(f"w{number % 8}", 1, 900, [4.0 - number / 1000])]
         )
-    assert made.parts.reports.stale_estimate_rate < 0.05
+    assert balancer.parts.reports.stale_estimate_rate < 0.05
 
 
-def test_hints_are_taken_in_the_measure_of_run_times() -> None:
-    """Found as an underestimated load: jobs ran a third longer than their hints."""
-    made = balancer(balancers=1, worth_by_work=True)
+def test_hints_are_scaled_to_run_times() -> None:
+    """If requests run a third longer than their hints, unscaled hints underestimate the load."""
+    balancer = new_balancer(balancers=1, worth_by_work=True)
     for number in range(200):
-        made.parts.context.now_us += 1_000_000
-        (placed, *_) = made.handle(
-            made.parts.context.now_us, [RequestReceived(number, "safe", 5_000_000, hint_us=60_000)]
+        balancer.parts.context.now_us += 1_000_000
+        (dispatch, *_) = balancer.handle(
+            balancer.parts.context.now_us, [RequestReceived(number, "safe", 5_000_000, hint_us=60_000)]
         )
-        assert isinstance(placed, Dispatch)
-        made.handle(made.parts.context.now_us, [ExecutionStarted(number, 0)])
-        made.parts.context.now_us += 90_000
-        made.handle(
-            made.parts.context.now_us, [AttemptEnded(number, 0, 1, 90_000, True, None, placed.endpoint)]
+        assert isinstance(dispatch, Dispatch)
+        balancer.handle(balancer.parts.context.now_us, [ExecutionStarted(number, 0)])
+        balancer.parts.context.now_us += 90_000
+        balancer.handle(
+            balancer.parts.context.now_us, [AttemptEnded(number, 0, 1, 90_000, True, None, dispatch.endpoint)]
         )
-    made.handle(made.parts.context.now_us, [RequestReceived(999, "safe", 5_000_000, hint_us=40_000)])
-    assert made.parts.requests.by_id[999].run_time_us == pytest.approx(60_000, rel=0.02)
-
-
-def test_a_copy_that_would_wait_itself_displaces_other_work() -> None:
-    """At a low load in the mean, but where the target has no room either."""
-    made = balancer(balancers=1)
-    made.settings.limits.cancelling = False
-    offer(made, 0.2)
-    job = job_of(made)
-    attempt, target = waiting(made, job, 150_000)
-    assert made.parts.costs.is_hedge_worthwhile(job, attempt, target)
+    balancer.handle(balancer.parts.context.now_us, [RequestReceived(999, "safe", 5_000_000, hint_us=40_000)])
+    assert balancer.parts.requests.by_id[999].run_time_us == pytest.approx(60_000, rel=0.02)
+
+
+def test_hedge_that_would_wait_itself_delays_other_work() -> None:
+    """The mean load is low, but the target of the hedge has no free slots either."""
+    balancer = new_balancer(balancers=1)
+    balancer.settings.limits.cancelling = False
+    set_offered_load(balancer, 0.2)
+    request = new_request(balancer)
+    attempt, target = waiting_attempt(balancer, request, 150_000)
+    assert balancer.parts.costs.is_hedge_worthwhile(request, attempt, target)
     target.in_flight.in_flight_slots = 4.0
-    assert not made.parts.costs.is_hedge_worthwhile(job, attempt, target)
+    assert not balancer.parts.costs.is_hedge_worthwhile(request, attempt, target)
+
 
+def test_endpoint_that_answers_no_health_check_gets_no_request_until_it_does() -> None:
+    """Otherwise requests are lost at a silent endpoint until the first of them is overdue."""
+    balancer = balancer_with_health_checks(0.002)
+    endpoints = [balancer.parts.endpoints.by_name[f"w{n}"] for n in range(8)]
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", int(Outcome.TIMEOUT), 120_000)])
+    assert endpoints[0] not in balancer.parts.eligibility.eligible(new_request(balancer), endpoints)
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [1, 3])])
+    assert endpoints[0] in balancer.parts.eligibility.eligible(new_request(balancer), endpoints)
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", int(Outcome.TIMEOUT), 120_000)])
+    balancer.parts.context.now_us += 1_500_000  # A single answer may get lost where no more checks follow.
+    assert endpoints[0] in balancer.parts.eligibility.eligible(new_request(balancer), endpoints)
 
-def test_a_worker_that_answers_no_probe_gets_no_job_until_it_does() -> None:
-    """Found as jobs lost at a silent endpoint until the first of them was overdue."""
-    made = probing(0.002)
-    endpoints = [made.parts.endpoints.by_name[f"w{n}"] for n in range(8)]
-    made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", int(Outcome.TIMEOUT), 120_000)])
-    assert endpoints[0] not in made.parts.eligibility.eligible(job_of(made), endpoints)
-    made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [1, 3])])
-    assert endpoints[0] in made.parts.eligibility.eligible(job_of(made), endpoints)
-    made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", int(Outcome.TIMEOUT), 120_000)])
-    made.parts.context.now_us += 1_500_000  # one answer may get lost where no more probes go out
-    assert endpoints[0] in made.parts.eligibility.eligible(job_of(made), endpoints)
 
+def test_slots_are_learned_from_running_requests_where_free_ones_are_not_reported() -> None:
+    """With three slots held and nothing queued there must be more than one slot.
 
-def test_slots_are_seen_from_what_runs_where_free_ones_are_not_told() -> None:
-    """Found as a third refused at a low load: three held, none waiting, and one slot believed."""
-    made = balancer(
+    With one slot believed, a third of the requests were rejected at a low load.
+    """
+    balancer = new_balancer(
         report_fields=["waiting", "active"],
         free_slots_field="",
         held_field="active",
         queued_field="waiting",
         tells_start=False,
     )
-    for kind in made.parts.endpoints.kinds.values():
+    for kind in balancer.parts.endpoints.kinds.values():
         kind.capacity.slots, kind.capacity.slots_are_reported = 1.0, False
-    made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [0.0, 3.1])])
-    assert made.parts.endpoints.by_name["w0"].kind.capacity.slots == 3
-    made.handle(made.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [4.0, 6.9])])
-    assert made.parts.endpoints.by_name["w0"].kind.capacity.slots == 3
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [0.0, 3.1])])
+    assert balancer.parts.endpoints.by_name["w0"].kind.capacity.slots == 3
+    balancer.handle(balancer.parts.context.now_us, [HealthCheckEnded("w0", 1, 900, [4.0, 6.9])])
+    assert balancer.parts.endpoints.by_name["w0"].kind.capacity.slots == 3
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -1,4 +1,7 @@
-"""The counts of slots in flight equal the open attempts after every step of a drawn stream."""
+"""The counts of slots in flight, compared with the open attempts after every step of a generated stream.
+
+Every place that opens, starts or ends an attempt has to update the counts; a missed one makes them drift.
+"""
 
 from __future__ import annotations
 
@@ -11,34 +14,36 @@
 
 
 def check_counts(balancer: Balancer) -> None:
-    """Compare each count with the attempts that it stands for."""
+    """Compare each count with the attempts that it counts."""
     parts = balancer.parts
-    held, running = dict[str, float](), dict[str, float]()
+    held_slots, running_slots = dict[str, float](), dict[str, float]()
     for request in parts.requests.by_id.values():
-        is_open = [attempt for attempt in request.attempts if attempt.is_open]
-        assert request.open_attempts == len(is_open)
-        assert is_open or not request.is_done or request.pending_health_checks
-        for attempt in is_open:
+        open_attempts = [attempt for attempt in request.attempts if attempt.is_open]
+        assert request.open_attempts == len(open_attempts)
+        assert open_attempts or not request.is_done or request.pending_health_checks
+        for attempt in open_attempts:
             name = attempt.endpoint.name
             assert parts.endpoints.by_name[name] is attempt.endpoint
-            held[name] = held.get(name, 0.0) + request.slots
-            running[name] = running.get(name, 0.0) + request.slots * (attempt.started_at_us > 0)
+            held_slots[name] = held_slots.get(name, 0.0) + request.slots
+            running_slots[name] = running_slots.get(name, 0.0) + request.slots * (attempt.started_at_us > 0)
     for name, endpoint in parts.endpoints.by_name.items():
-        assert endpoint.in_flight.in_flight_slots == held.get(name, 0.0)
-        assert endpoint.in_flight.running_slots == running.get(name, 0.0)
-    assert math.isclose(parts.requests.in_flight_slots, sum(held.values()), abs_tol=1e-9)
-    assert math.isclose(parts.requests.running_slots, sum(running.values()), abs_tol=1e-9)
+        assert endpoint.in_flight.in_flight_slots == held_slots.get(name, 0.0)
+        assert endpoint.in_flight.running_slots == running_slots.get(name, 0.0)
+    assert math.isclose(parts.requests.in_flight_slots, sum(held_slots.values()), abs_tol=1e-9)
+    assert math.isclose(parts.requests.running_slots, sum(running_slots.values()), abs_tol=1e-9)
 
 
 @pytest.mark.parametrize("seed", range(1000, 1060))
 def test_counts_equal_the_open_attempts_after_every_step(seed: int) -> None:
-    """Requests, their endpoints and the balancer count the same."""
+    """The counts of requests, of endpoints and of the balancer agree with the open attempts."""
     settings = drawn_settings(seed)
-    world = Drawn(settings, seed)
-    balancer = Balancer(settings, seed, world.now)
-    events = world.first()
+    stream = Drawn(settings, seed)
+    balancer = Balancer(settings, seed, stream.now)
+    events = stream.first()
     for _ in range(STEPS):
-        actions = [row_of_action(one) for one in balancer.handle(world.now, [event_of(e) for e in events])]
-        world.take(actions)
+        actions = [
+            row_of_action(action) for action in balancer.handle(stream.now, [event_of(row) for row in events])
+        ]
+        stream.take(actions)
         check_counts(balancer)
-        events = world.cancelled(actions) or world.next()
+        events = stream.cancelled(actions) or stream.next()
