--- a/merlinbay/decision/capacity_learning.py
+++ b/merlinbay/decision/capacity_learning.py
@@ -115,9 +115,9 @@
         weight = max(START_WEIGHT, 1 / self.starts)
         self.late_start_share += (was_late - self.late_start_share) * weight
         exponent = 1 / (math.sqrt(2 * (self.unreported_slots + 1)) - 1)
-        busy = max(self.late_start_share, MIN_LATE_SHARE) ** exponent
+        busy_share = max(self.late_start_share, MIN_LATE_SHARE) ** exponent
         usable = max(len(self._endpoints.usable), 1)
-        by_running = our_running * self._context.settings.balancers / usable / busy
+        by_running = our_running * self._context.settings.balancers / usable / busy_share
         self.unreported_slots = max(
             1.0, self.unreported_slots + (by_running - self.unreported_slots) * weight
         )
--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -72,8 +72,10 @@
             run_us = min(run_us, UNSEEN_RUN_SHARE * spec.aim_us)
         in_time_us = request.arrived_at_us + spec.aim_us + (spec.stretch - 1) * run_us - now_us
         in_time = chance_that_wait_ends(wait_us, in_time_us)
-        at_all = max(chance_that_wait_ends(wait_us, request.deadline_at_us - run_us - now_us), in_time)
-        return in_time + spec.late_worth * (at_all - in_time)
+        before_deadline = max(
+            chance_that_wait_ends(wait_us, request.deadline_at_us - run_us - now_us), in_time
+        )
+        return in_time + spec.late_worth * (before_deadline - in_time)
 
     def _expected_weight_share_running(
         self, request: TrackedRequest, attempt: Attempt, run_us: float
@@ -88,8 +90,8 @@
         in_time = chance_that_wait_ends(
             left_us, request.arrived_at_us + spec.aim_us + spec.stretch * run_us - now_us
         )
-        at_all = max(chance_that_wait_ends(left_us, request.deadline_at_us - now_us), in_time)
-        return in_time + spec.late_worth * (at_all - in_time)
+        before_deadline = max(chance_that_wait_ends(left_us, request.deadline_at_us - now_us), in_time)
+        return in_time + spec.late_worth * (before_deadline - in_time)
 
     def is_crossing_worthwhile(
         self, request: TrackedRequest, far: tuple[Endpoint, float], near: tuple[Endpoint, float] | None
@@ -122,23 +124,23 @@
             # The attempt runs at a slow endpoint; a hedge would start from the beginning elsewhere.
             elapsed_us = self._context.now_us - attempt.started_at_us
             run_us = max(run_us, elapsed_us / self._run_times.pace(attempt.endpoint))
-            without = self._expected_weight_share_running(request, attempt, run_us)
+            share_without_hedge = self._expected_weight_share_running(request, attempt, run_us)
         else:
             # The longer the attempt has waited, the longer it is expected to wait.
             waited_us = self._context.now_us - attempt.dispatched_at_us
             interval_us = load.departure_interval_us(attempt.endpoint.kind)
-            without = self.expected_weight_share(request, waited_us + interval_us)
+            share_without_hedge = self.expected_weight_share(request, waited_us + interval_us)
         wait_us = load.queueing_delay_us(target, load.free_slots(target, 0.0), request.slots)
         hit_rate = self._reports.capacity_hit_rate
-        gain = (1 - without) * hit_rate * self.expected_weight_share(request, wait_us, run_us)
+        gain = (1 - share_without_hedge) * hit_rate * self.expected_weight_share(request, wait_us, run_us)
         gain *= request.priority_weight / max(offered.mean_priority_weight, MIN_PRIORITY_WEIGHT)
         # A hedge that has to wait itself delays other work by all of its own.
         congestion = 1.0 if wait_us else self.congestion(target.kind)
         # Whether a cancel drops an attempt that waits is not configured, so both are assumed equally likely.
         is_cancelled = settings.limits.cancelling and not attempt.started_at_us
-        added = CANCELLED_WORK_SHARE if is_cancelled else 1.0
+        work_share = CANCELLED_WORK_SHARE if is_cancelled else 1.0
         work = run_us * request.slots / offered.mean_work_us
-        price = work * added * (congestion + settings.waste_price)
+        price = work * work_share * (congestion + settings.waste_price)
         if target.zone != settings.zone:
             price += settings.cross_zone_price
         return gain > price
@@ -186,10 +188,10 @@
         """Return whether a request should wait for so many health checks rather than rely on earlier ones."""
         price, loss = self.check_cost(kind), self.loss_without_check(kind)
         rate, mean_us = self._offered.arrival_rate.per_us, self._offered.mean_work_us
-        wait = checks * price + chance_that_wait_ends(mean_us, self.duration_us)
+        waiting_cost = checks * price + chance_that_wait_ends(mean_us, self.duration_us)
         interval_us = self.interval_us(kind, rate / max(endpoints, 1))
         # Earlier health checks were sent when an earlier request arrived, so their reports are at least as
         # old as that arrival.
-        age = max(interval_us, 1 / rate) / (2 * mean_us)
-        ahead = endpoints * price / (interval_us * rate) + loss * min(age, 1.0)
-        return wait < min(ahead, loss)
+        mean_report_age = max(interval_us, 1 / rate) / (2 * mean_us)
+        background_cost = endpoints * price / (interval_us * rate) + loss * min(mean_report_age, 1.0)
+        return waiting_cost < min(background_cost, loss)
--- a/merlinbay/decision/slow_start.py
+++ b/merlinbay/decision/slow_start.py
@@ -120,9 +120,9 @@
         # its predecessor has used.
         interval_us = self._typical_work_us() / self._our_share(endpoint)
         phase = self._phase(endpoint, self._context.settings.me * GOLDEN_FRACTION, salt=0)
-        passed = self._warm_up.cumulative_capacity_us(endpoint, since_us) / interval_us
-        number = max(0, math.ceil(passed - phase))
-        return self._warm_up.reached_at_us(endpoint, endpoint.ready_at_us, interval_us * (phase + number))
+        passed_turns = self._warm_up.cumulative_capacity_us(endpoint, since_us) / interval_us
+        turn = max(0, math.ceil(passed_turns - phase))
+        return self._warm_up.reached_at_us(endpoint, endpoint.ready_at_us, interval_us * (phase + turn))
 
     def _admits_size(self, endpoint: Endpoint, work_us: float) -> bool:
         """Return whether a request of so much work may use our present admission."""
@@ -132,9 +132,9 @@
         typical_us = self._typical_work_us()
         if work_us <= LARGE_REQUEST_MULTIPLE * typical_us:
             return True
-        grown_us = self._warm_up.cumulative_capacity_us(endpoint, endpoint.slow_start.next_admission_at_us)
-        number = int(grown_us * self._our_share(endpoint) / typical_us)
-        offset = self._context.settings.me * math.sqrt(2) + number * GOLDEN_FRACTION
+        capacity_us = self._warm_up.cumulative_capacity_us(endpoint, endpoint.slow_start.next_admission_at_us)
+        turn = int(capacity_us * self._our_share(endpoint) / typical_us)
+        offset = self._context.settings.me * math.sqrt(2) + turn * GOLDEN_FRACTION
         return self._phase(endpoint, offset, salt=1) * work_us < typical_us
 
     @staticmethod
