--- a/merlinbay/decision/admission.py
+++ b/merlinbay/decision/admission.py
@@ -21,9 +21,9 @@
 from merlinbay.decision.threshold import threshold
 
 MAX_PRIORITY_DENSITY = 4.0  # the most that the priority density counts
-LEAST_SPARE_SHARE = 0.01  # the least share of the slots that counts as spare
-LEAST_LOST_SHARE = 0.1  # the least share of the priority weight that a late answer is taken to lose
-MAX_LOAD, MAX_K = 100.0, 1000.0  # beyond these the threshold does not change
+MIN_SPARE_SHARE = 0.01  # the least share of the slots that counts as spare
+MIN_LOST_SHARE = 0.1  # the least share of the priority weight that a late answer is taken to lose
+MAX_LOAD, MAX_WORTH_OVER_COST = 100.0, 1000.0  # beyond these the threshold does not change
 RETRY_AFTER_SHARES = (0.1, 0.5)  # of the latency objective: spread, or rejected clients return in step
 
 
@@ -51,11 +51,11 @@
         interval_us = self._load.departure_interval_us(kind)
         if self._context.settings.queue_order == "backfill" and request.slots > 1:
             # Guards against a request of several slots that others of one slot overtake again and again.
-            interval_us *= request.slots / max(1 - load, LEAST_SPARE_SHARE)
+            interval_us *= request.slots / max(1 - load, MIN_SPARE_SHARE)
         # R-p and c are mapped so that at r = 1 the last request admitted is just in time.
-        lost_share = max(1 - spec.late_worth, LEAST_LOST_SHARE)
+        lost_share = max(1 - spec.late_worth, MIN_LOST_SHARE)
         k = (1 + spec.aim_us / interval_us * scarcity / lost_share) / 2
-        n, q = threshold(round(min(max(load, 1.0), MAX_LOAD), 2), round(min(k, MAX_K), 1))
+        n, q = threshold(round(min(max(load, 1.0), MAX_LOAD), 2), round(min(k, MAX_WORTH_OVER_COST), 1))
         return n + (self._context.rng.random() < q)
 
     def shed(self, request: TrackedRequest) -> None:
--- a/merlinbay/decision/attempt_timers.py
+++ b/merlinbay/decision/attempt_timers.py
@@ -13,7 +13,7 @@
 
 TIMER_TOKEN = "watch"  # of ``SetTimer`` and ``TimerFired``
 HEALTH_CHECKS = -1  # stands for the request's health checks, in place of an attempt's number
-LEAST_RECHECK_US = 1000.0  # a running attempt is not checked sooner
+MIN_RECHECK_DELAY_US = 1000.0  # a running attempt is not checked sooner
 
 
 class AttemptTimers:
@@ -52,7 +52,7 @@
     ) -> None:
         """Have a running attempt looked at after so many mean run times of its class and kind."""
         mean_us = request.class_state.run_time_us * attempt.endpoint.kind.kind_pace
-        delay_us = int(max(mean_us * mean_run_times, LEAST_RECHECK_US))
+        delay_us = int(max(mean_us * mean_run_times, MIN_RECHECK_DELAY_US))
         attempt.recheck_at_us = self._context.now_us + delay_us
         self.set(request.id, number, delay_us)
 
--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -166,7 +166,7 @@
         self.parts.requests.start_attempt(request, attempt)
         self.parts.capacity.learn_from_start(attempt.endpoint, was_late, running_before)
         self.parts.dispatching.cancel_waiting(request, attempt)
-        self.parts.hedging.watch_run(request, attempt, event.attempt)
+        self.parts.hedging.schedule_run_check(request, attempt, event.attempt)
 
     def _on_execution_paused(self, event: ExecutionPaused) -> None:
         # Guards against a suspended request that makes its endpoint look slow, or gets a hedge.
@@ -180,7 +180,7 @@
             self.parts.requests.pause_attempt(attempt)
         else:
             self.parts.requests.resume_attempt(attempt)
-            self.parts.hedging.watch_resumed(request, attempt, event.attempt)
+            self.parts.hedging.schedule_check_after_resume(request, attempt, event.attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         found = self.parts.requests.find(event.id, event.attempt)
@@ -226,8 +226,8 @@
             self.parts.context.emit_all(self.parts.polling.poll_if_due(self.parts.context.now_us))
         for request, number in self.parts.timers.take_due():
             if number != HEALTH_CHECKS:
-                self.parts.hedging.check(request, number)
-            elif self.parts.health_checks.give_up(request):  # an answer is lost or late
+                self.parts.hedging.check_attempt(request, number)
+            elif self.parts.health_checks.stop_waiting(request):  # an answer is lost or late
                 self.parts.dispatching.decide(request)
         self.parts.timers.set_next()
 
--- a/merlinbay/decision/discovery_polling.py
+++ b/merlinbay/decision/discovery_polling.py
@@ -18,14 +18,14 @@
 from merlinbay.decision.events import CallFailure
 
 TIMER_TOKEN = "subscribe"  # of ``SetTimer`` and ``TimerFired``
-GUESSED_COST_US = 150_000  # what a poll takes discovery, until one of ours was answered
-LEAST_COST_US = 1_000  # no poll is taken to cost less
+DEFAULT_POLL_COST_US = 150_000  # what a poll takes discovery, until one of ours was answered
+MIN_POLL_COST_US = 1_000  # no poll is taken to cost less
 LEASE_SHARE = 0.6  # of what is left, for polls; the rest is for the node's own start and a poll that fails
-LEASE_SHARE_GUESSING = 0.75  # the same while nothing is known of what a poll takes
-LEASE_SHARE_FULL = 0.9  # the most where the polls hardly fit: the longer they queue, the more of them fail
+LEASE_SHARE_UNKNOWN_COST = 0.75  # the same while nothing is known of what a poll takes
+MAX_LEASE_SHARE = 0.9  # the most where the polls hardly fit: the longer they queue, the more of them fail
 MAX_DOUBLINGS = 3  # polls are spread twice as far after each failure in a row, so often at the most
 MAX_QUEUEING_US = 1_000_000  # so long polls may queue; one answered by a failure after it did so in vain
-SMALL_FLEET = 32  # more balancers are a herd that must not poll at once
+SMALL_FLEET_BALANCERS = 32  # more balancers are a herd that must not poll at once
 SMALL_FLEET_COST_US = 2_500_000  # a fleet whose polls together take discovery more is no small one
 MAX_ANSWER_TIMEOUT_US = 4_500_000  # so long a first answer is waited for at the most
 MIN_ANSWER_TIMEOUT_US = 250_000  # the least over what a turn behind all other balancers takes
@@ -41,11 +41,11 @@
     lease: EndpointLease
     rng: Random
     polled_at_us: int  # the last poll; before the first, the start of the process
-    poll_cost_us: float = GUESSED_COST_US  # what a poll takes discovery
+    poll_cost_us: float = DEFAULT_POLL_COST_US  # what a poll takes discovery
     next_poll_at_us: int = -1  # -1: none is planned
     is_polling: bool = False  # a poll has not been answered yet
     failed_polls: int = 0  # in a row, as far as they count
-    queued_in_vain: bool = False  # the last poll had queued at discovery, and failed
+    failed_after_queueing: bool = False  # the last poll had queued at discovery, and failed
     timed_out_polls: int = 0  # in a row
     discovery_ended_watch: bool = False  # and has not answered since
     has_list: bool = False  # a poll of this process was answered
@@ -83,7 +83,7 @@
         if self.is_polling:
             self.failed_polls = min(self.failed_polls + 1, MAX_DOUBLINGS)
             queued = now_us - self.polled_at_us >= MAX_QUEUEING_US
-            self.queued_in_vain = failure is not CallFailure.SILENT and queued
+            self.failed_after_queueing = failure is not CallFailure.SILENT and queued
             self.timed_out_polls += failure is CallFailure.SILENT
         else:
             self.lease.watch_broke(now_us, answered_at_us)
@@ -93,7 +93,7 @@
         self.is_polling = False
         # Guards against a second poll that comes too late where few balancers poll: all their polls together
         # fit into the time that one may queue, so there is no herd to keep apart after the first failure.
-        is_herd = self.balancers > SMALL_FLEET or self.fleet_cost_us > SMALL_FLEET_COST_US
+        is_herd = self.balancers > SMALL_FLEET_BALANCERS or self.fleet_cost_us > SMALL_FLEET_COST_US
         doublings = max(self.failed_polls, 1) if is_herd else max(self.failed_polls - 1, 0)
         width_us = self.fleet_cost_us * 2**doublings
         if is_outage:
@@ -118,7 +118,7 @@
     def former_poll_answered(self, now_us: int) -> None:
         """Take an answer of a former discovery: it says nothing of what the new one has."""
         if self.is_polling and self.next_poll_at_us >= 0:
-            self.poll_cost_us = max(float(now_us - self.polled_at_us), LEAST_COST_US)
+            self.poll_cost_us = max(float(now_us - self.polled_at_us), MIN_POLL_COST_US)
         self.is_polling = self.is_polling and self.next_poll_at_us < 0
 
     def poll_if_due(self, now_us: int) -> list[Action]:
@@ -135,8 +135,8 @@
         """
         late_us = now_us - self.deadline_us
         if self.is_polling:
-            self.poll_cost_us = max(float(now_us - self.polled_at_us), LEAST_COST_US)
-            self.is_polling, self.queued_in_vain = False, False
+            self.poll_cost_us = max(float(now_us - self.polled_at_us), MIN_POLL_COST_US)
+            self.is_polling, self.failed_after_queueing = False, False
             self.failed_polls, self.timed_out_polls = 0, 0
         self.discovery_ended_watch, self.has_list, self.next_poll_at_us = False, True, -1
         self.lease.renew(now_us)
@@ -188,25 +188,25 @@
         jitter = self.rng.random() / self.balancers
         place = ((self.number + self.plans_made) * GOLDEN_FRACTION + jitter) % 1.0
         self.plans_made += 1
-        most_us = self._widest_us(now_us, width_us)
+        most_us = self._bounded_width_us(now_us, width_us)
         if 0 <= self.next_poll_at_us <= now_us + most_us:  # a poll is planned already, and soon enough
             return []
         wait_us = int(place * most_us)
         self.next_poll_at_us = now_us + wait_us
         return [SetTimer(wait_us, TIMER_TOKEN)] if wait_us else self.poll_if_due(now_us)
 
-    def _widest_us(self, now_us: int, width_us: float) -> float:
+    def _bounded_width_us(self, now_us: int, width_us: float) -> float:
         """Return the width that polls are spread over, bounded by what is left of the lease."""
         # Guards against a poll that comes too late: who has not polled in time counts as notified all the
         # same. An overdue poll has as much time as the first one: discovery may be back at any moment.
         # Where polls queue and fail they are spread wider, so that at least some are answered.
         left_us, is_overdue = self.deadline_us - now_us, now_us >= self.deadline_us
-        if is_overdue or self.queued_in_vain:
+        if is_overdue or self.failed_after_queueing:
             delay_us = self.lease.notification_delay_us
             longer_us = min(max(delay_us, -left_us / 2), delay_us << MAX_DOUBLINGS)
-            left_us = longer_us if self.queued_in_vain else float(delay_us)
-        is_known, cost_us = self.poll_cost_us != GUESSED_COST_US, self.fleet_cost_us
-        most_us = min(width_us, (LEASE_SHARE if is_known else LEASE_SHARE_GUESSING) * left_us)
+            left_us = longer_us if self.failed_after_queueing else float(delay_us)
+        is_known, cost_us = self.poll_cost_us != DEFAULT_POLL_COST_US, self.fleet_cost_us
+        most_us = min(width_us, (LEASE_SHARE if is_known else LEASE_SHARE_UNKNOWN_COST) * left_us)
         if is_known and most_us < cost_us <= width_us and not is_overdue:
-            most_us = min(max(most_us, cost_us - MAX_QUEUEING_US), LEASE_SHARE_FULL * left_us)
+            most_us = min(max(most_us, cost_us - MAX_QUEUEING_US), MAX_LEASE_SHARE * left_us)
         return most_us
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -94,7 +94,7 @@
             endpoint
             for endpoint in endpoints
             if self._is_ready(endpoint, request)
-            and self._suits(endpoint, request)
+            and self._can_run(endpoint, request)
             and (unresolved is None or self._is_in_scope(request, unresolved, endpoint.zone, endpoint.cell))
         ]
 
@@ -130,7 +130,7 @@
             return True
         return self._slow_start.may_admit(endpoint, request.run_time_us * request.slots)
 
-    def _suits(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
+    def _can_run(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
         """Tell whether the endpoint can run the request, and has not been sent it before."""
         if request.allowed_endpoints and endpoint.name not in request.allowed_endpoints:
             return False
--- a/merlinbay/decision/endpoint_lease.py
+++ b/merlinbay/decision/endpoint_lease.py
@@ -27,7 +27,7 @@
 
 NOTIFICATION_DELAY_US = 6_000_000  # so long after discovery has it and can be reached, a change is notified
 SEND_DELAY_US = 150_000  # a node may be delayed for so long between a look at its clock and a send
-FIRST_BYTE_US = 50_000  # for what the first byte of a send takes to leave
+FIRST_BYTE_DELAY_US = 50_000  # for what the first byte of a send takes to leave
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     def usable_until_us(self) -> float:
         """Return until when attempts may begin by the list."""
         # Guards against a send that is decided within the grace and leaves after it.
-        return self.renewal_due_at_us + max(self.grace_us - SEND_DELAY_US - FIRST_BYTE_US, 0)
+        return self.renewal_due_at_us + max(self.grace_us - SEND_DELAY_US - FIRST_BYTE_DELAY_US, 0)
 
     def is_usable(self, now_us: float) -> bool:
         """Tell whether an attempt may begin by the list."""
--- a/merlinbay/decision/health_checks.py
+++ b/merlinbay/decision/health_checks.py
@@ -18,8 +18,8 @@
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.requests import TrackedRequests
 
-CHECKED_FIRST = 3  # endpoints checked first for one request in the own zone, and as many in others
-ANSWERS_TIMEOUT_US = 150_000  # the answers are waited for no longer: one may get lost
+CHECKS_PER_BATCH = 3  # endpoints checked first for one request in the own zone, and as many in others
+REPLY_TIMEOUT_US = 150_000  # the answers are waited for no longer: one may get lost
 
 
 class HealthChecks:
@@ -51,7 +51,7 @@
         if settings.asks_first and settings.limits.probes:
             near, far = self._endpoints.pools.get(request.class_state.spec.kind) or ([], [])
             all_of_them = near + far
-            checks = CHECKED_FIRST * (1 + bool(far))
+            checks = CHECKS_PER_BATCH * (1 + bool(far))
             if all_of_them and self._costs.is_waiting_worthwhile(
                 all_of_them[0].kind, checks, len(all_of_them)
             ):
@@ -63,13 +63,13 @@
         if not request.pending_health_checks:
             return False
         left_us = request.deadline_at_us - self._context.now_us
-        self._timers.set(request.id, HEALTH_CHECKS, min(ANSWERS_TIMEOUT_US, left_us / 2))
+        self._timers.set(request.id, HEALTH_CHECKS, min(REPLY_TIMEOUT_US, left_us / 2))
         return True
 
     def _check_for(self, request: TrackedRequest) -> None:
         """Check endpoints for the request, which waits for the first that has free slots."""
         for batch in self._placement.candidate_batches(request):
-            chosen = self._eligibility.eligible(request, batch)[:CHECKED_FIRST]
+            chosen = self._eligibility.eligible(request, batch)[:CHECKS_PER_BATCH]
             self._context.emit_all(CheckHealth(endpoint.name) for endpoint in chosen)
             self._requests.add(request)
             for endpoint in chosen:
@@ -106,7 +106,7 @@
         if endpoint is not None:
             request.health_check_replies.append(endpoint)
 
-    def give_up(self, request: TrackedRequest) -> bool:
+    def stop_waiting(self, request: TrackedRequest) -> bool:
         """Wait for no more answers of the request's; tell whether it waited for any."""
         waited = request.pending_health_checks > 0
         request.pending_health_checks = 0
--- a/merlinbay/decision/hedging.py
+++ b/merlinbay/decision/hedging.py
@@ -43,7 +43,7 @@
         self._offered, self._run_times, self._load, self._costs = offered, run_times, load, costs
         self._placement, self._dispatching = placement, dispatching
 
-    def watch_run(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
+    def schedule_run_check(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Have an attempt that has started looked at, where it may still be hedged."""
         if self._may_still_hedge(request):
             runs = (
@@ -51,7 +51,7 @@
             )
             self._timers.set_run_check(request, attempt, number, runs)
 
-    def watch_resumed(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
+    def schedule_check_after_resume(self, request: TrackedRequest, attempt: Attempt, number: int) -> None:
         """Have an attempt that goes on after a pause looked at, where it may still be hedged."""
         if self._may_still_hedge(request):
             self._timers.set_run_check(request, attempt, number, CHECK_PACE_AFTER_RUNS)
@@ -60,7 +60,7 @@
         second_copies = self._context.settings.limits.second_copies
         return second_copies and request.open_attempts == 1 and not request.is_done
 
-    def check(self, request: TrackedRequest, number: int) -> None:
+    def check_attempt(self, request: TrackedRequest, number: int) -> None:
         """Look at an attempt whose timer is due."""
         found = self._requests.find(request.id, number)
         if found is None or request.is_done:
@@ -85,13 +85,17 @@
         free_only = self._offered.priority_density(request) < 1 or not is_only
         target = self._placement.choose(request, free_only, spread_share=0.0)
         is_worthwhile = target is not None and self._costs.is_hedge_worthwhile(request, attempt, target)
-        if target is not None and is_worthwhile and (is_only or self._give_up(request, attempt, number)):
+        if (
+            target is not None
+            and is_worthwhile
+            and (is_only or self._cancel_attempt(request, attempt, number))
+        ):
             self._dispatching.dispatch(request, target)
         elif is_only:
             waited_us = self._context.now_us - attempt.dispatched_at_us
             self._timers.set(request.id, number, max(request.hedging_delay_us, waited_us))
 
-    def _give_up(self, request: TrackedRequest, attempt: Attempt, number: int) -> bool:
+    def _cancel_attempt(self, request: TrackedRequest, attempt: Attempt, number: int) -> bool:
         """Cancel a hedge that waits as well, for another one; tell whether that is possible."""
         # Guards against two queues that a request has met by chance, while most endpoints have free slots.
         if not self._context.settings.limits.cancelling or attempt.started_at_us:
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -19,15 +19,15 @@
 
 SAMPLE_SIZE = 8  # endpoints sampled for one request: bounds its cost at any fleet size
 AFFINITY_ENDPOINTS = 2  # endpoints over all zones that a key prefers after its first in the own zone
-CACHED_KEYS = 4096  # keys whose endpoints are remembered, to save hashing the fleet anew
-CROSSING_WEIGHT = 0.02  # weight of one request in the share that crosses zones
+MAX_CACHED_KEYS = 4096  # keys whose endpoints are remembered, to save hashing the fleet anew
+CROSS_ZONE_SHARE_WEIGHT = 0.02  # weight of one request in the share that crosses zones
 
 
 class Candidate(NamedTuple):
     """An endpoint that may be chosen, and its free slots; below 0, so many wait."""
 
     endpoint: Endpoint
-    free: float
+    free_slots: float
 
 
 class Placement:
@@ -84,7 +84,7 @@
         """
         own_zone = self._context.settings.zone
         waits_for_checks = request.health_check_replies or request.pending_health_checks
-        batches = self._checked(request) if waits_for_checks else self.candidate_batches(request)
+        batches = self._health_checked(request) if waits_for_checks else self.candidate_batches(request)
         gates: dict[int, float] = {}  # by kind: how many may wait
         best, near, best_rank = None, None, (True, math.inf)
         for batch in batches:
@@ -99,7 +99,7 @@
                     if not self._may_wait(request, endpoint, free, gates):
                         continue
                 best, best_rank = Candidate(endpoint, free), rank
-            if best is not None and (best.free >= request.slots or request.key):
+            if best is not None and (best.free_slots >= request.slots or request.key):
                 break
             if best is not None and best.endpoint.zone == own_zone:
                 near = best
@@ -133,7 +133,7 @@
             return best.endpoint
         return near.endpoint if near else None
 
-    def _checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
+    def _health_checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
         """Return the endpoints that answered the request's health checks.
 
         Where crossings cost, those of other zones count only once all have answered.
@@ -148,7 +148,7 @@
     def _preferred(self, key: str, near: list[Endpoint], far: list[Endpoint]) -> list[Endpoint]:
         """Return the endpoints that a key prefers, by highest hash: the same at every balancer."""
         if key not in self._affinity:
-            if len(self._affinity) >= CACHED_KEYS:
+            if len(self._affinity) >= MAX_CACHED_KEYS:
                 self._affinity.clear()
             seed, own_zone = zlib.crc32(key.encode()), self._context.settings.zone
             ranked = sorted(
@@ -159,7 +159,7 @@
             self._affinity[key] = first + others[:AFFINITY_ENDPOINTS]
         return self._affinity[key]
 
-    def cached_keys(self) -> int:
+    def cached_key_count(self) -> int:
         """Return for how many keys endpoints are remembered."""
         return len(self._affinity)
 
@@ -170,4 +170,4 @@
     def note_dispatch(self, endpoint: Endpoint) -> None:
         """Count a dispatch in the share that crosses zones."""
         crosses = endpoint.zone != self._context.settings.zone
-        self.cross_zone_share += (crosses - self.cross_zone_share) * CROSSING_WEIGHT
+        self.cross_zone_share += (crosses - self.cross_zone_share) * CROSS_ZONE_SHARE_WEIGHT
--- a/merlinbay/decision/requests.py
+++ b/merlinbay/decision/requests.py
@@ -6,7 +6,7 @@
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.request_state import Attempt, TrackedRequest
 
-HISTORY_US = 1_000_000  # how long past counts of an endpoint's slots in flight are remembered
+IN_FLIGHT_HISTORY_US = 1_000_000  # how long past counts of an endpoint's slots in flight are remembered
 
 
 class TrackedRequests:
@@ -76,7 +76,7 @@
         counts.in_flight_slots += slots
         history = counts.in_flight_history
         history.append((now_us, counts.in_flight_slots))
-        while history[0][0] < now_us - HISTORY_US and len(history) > 1:
+        while history[0][0] < now_us - IN_FLIGHT_HISTORY_US and len(history) > 1:
             history.popleft()
         self.in_flight_slots += slots
 
--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -60,7 +60,7 @@
 from tests.test_sites import SITES, conf_of
 
 DRAWN = 420
-STEPS = 110  # of a drawn stream
+STEPS_PER_STREAM = 110  # of a drawn stream
 EMULATED = ("calm", "burst", "crashes", "deploy-late-burst", "discovery-down", "flapping", "frozen", "monday")
 EMULATED_SEEDS = range(10)
 EMULATED_STEPS = 220
@@ -177,7 +177,7 @@
     done: bool = False
 
 
-class Drawn:
+class StreamGenerator:
     """Draws events that could come next, from what the module has done so far."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -202,11 +202,11 @@
                 ready,
             ]
 
-    def first(self) -> list[Row]:
+    def first_events(self) -> list[Row]:
         """Return the first events."""
         return [["list", "remembered", [list(row) for row in self.rows.values()], -1, "broken", False]]
 
-    def next(self) -> list[Row]:
+    def next_events(self) -> list[Row]:
         """Return the events of the next instant."""
         self.now += self.rng.choice(PASSING_US)
         due = [token for at, token in self.timers if at <= self.now]
@@ -224,7 +224,7 @@
             events.append(self._rare())
         return events
 
-    def take(self, actions: list[Row]) -> None:
+    def apply_actions(self, actions: list[Row]) -> None:
         """Carry out what the module has done."""
         for action in actions:
             if action[0] == "timer":
@@ -238,7 +238,7 @@
             elif action[0] in ("reject", "fail"):
                 self.requests[action[1]].done = True
 
-    def cancelled(self, actions: list[Row]) -> list[Row]:
+    def ends_of_cancelled(self, actions: list[Row]) -> list[Row]:
         """Return the ends of the attempts that the module has just cancelled."""
         return [
             self._end(action[1], self.requests[action[1]], action[2], 7)
@@ -355,18 +355,18 @@
 def draw(seed: int) -> Stream:
     """Draw a stream, and record what the module does."""
     settings = drawn_settings(seed)
-    world = Drawn(settings, seed)
+    world = StreamGenerator(settings, seed)
     balancer = Balancer(settings, seed, world.now)
     row = plain(dataclasses.astuple(settings))
     stream = Stream(f"drawn-{seed}", row, seed, world.now, [], {})
-    events = world.first()
-    for _ in range(STEPS):
+    events = world.first_events()
+    for _ in range(STEPS_PER_STREAM):
         actions = [row_of_action(one) for one in balancer.handle(world.now, [event_of(e) for e in events])]
-        world.take(actions)
+        world.apply_actions(actions)
         asked = [(n, a) for n, request in world.requests.items() for a in sorted(request.open)][:3]
         answers = [(n, a, balancer.may_begin(n, a, world.now + 40_000)) for n, a in asked]
         stream.steps.append(Step(world.now, events, actions, answers))
-        events = world.cancelled(actions) or world.next()
+        events = world.ends_of_cancelled(actions) or world.next_events()
     stream.learned = learned_by(balancer)
     return stream
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -25,10 +25,10 @@
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.settings import DispatchLimits, RequestClass, SafetyMargins, Settings
 
-NEVER = {3, 5, 8}
+NEVER_RAN_OUTCOMES = {3, 5, 8}
 
 
-class Decides(Protocol):
+class DecisionModule(Protocol):
     """Anything that decides like a balancer."""
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Sent:
+class ObservedAttempt:
     """An attempt as the checker saw it."""
 
     endpoint: str
@@ -85,19 +85,19 @@
     @property
     def may_have_run(self) -> bool:
         """Whether nothing proves that it never ran."""
-        return self.started or self.outcome not in NEVER
+        return self.started or self.outcome not in NEVER_RAN_OUTCOMES
 
 
 @dataclass
-class Seen:
+class ObservedRequest:
     """A request as the checker saw it."""
 
     event: RequestReceived
     cls: RequestClass
     at: int
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
     answers: int = 0
-    over: bool = False  # settled, as far as the module has been told
+    is_settled: bool = False  # settled, as far as the module has been told
 
     @property
     def effect(self) -> str:
@@ -105,7 +105,7 @@
         return "once" if self.cls.effect == "by_key" and self.event.keyless else self.cls.effect
 
     @property
-    def unsure(self) -> list[Sent]:
+    def unresolved(self) -> list[ObservedAttempt]:
         """The attempts that may have run, in the order they were sent."""
         return [sent for sent in self.attempts if sent.may_have_run]
 
@@ -115,42 +115,42 @@
     """Drives a balancer and notes every broken rule."""
 
     conf: Settings
-    balancer: Decides
+    balancer: DecisionModule
     now: int = 1_000_000
-    broken: list[str] = field(default_factory=list)
-    jobs: dict[int, Seen] = field(default_factory=dict)
-    told_off: dict[str, int] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
+    requests: dict[int, ObservedRequest] = field(default_factory=dict)
+    drain_notified_at: dict[str, int] = field(default_factory=dict)
     ready: dict[str, int] = field(default_factory=dict)
     cell: dict[str, tuple[int, str]] = field(default_factory=dict)
-    cold_sends: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
+    slow_start_dispatches: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
     timers: list[tuple[int, str]] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
 
-    def give(self, *events: Event) -> list[Action]:
+    def deliver(self, *events: Event) -> list[Action]:
         """Hand a batch to the balancer and check what it answers."""
         ended_now: set[int] = set()
         for event in events:
-            self._before(event, ended_now)
+            self._observe_event(event, ended_now)
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
-            self._after(action, ended_now)
+            self._check_action(action, ended_now)
         for number in ended_now:  # what was decided on the same batch, before the withdrawal, is no fault
-            self.jobs[number].over, self.jobs[number].answers = True, 1
+            self.requests[number].is_settled, self.requests[number].answers = True, 1
         return actions
 
-    def _before(self, event: Event, ended_now: set[int]) -> None:
+    def _observe_event(self, event: Event, ended_now: set[int]) -> None:
         if isinstance(event, RequestReceived):
             cls = next(c for c in self.conf.classes if c.name == event.job_class)
-            self.jobs[event.id] = Seen(event, cls, self.now)
-        elif isinstance(event, AttemptEnded) and event.id in self.jobs:
-            job = self.jobs[event.id]
+            self.requests[event.id] = ObservedRequest(event, cls, self.now)
+        elif isinstance(event, AttemptEnded) and event.id in self.requests:
+            job = self.requests[event.id]
             job.attempts[event.attempt].outcome = event.outcome
             if event.final:
-                job.over = True
-        elif isinstance(event, (ExecutionStarted, ExecutionProgressed)) and event.id in self.jobs:
-            sent = self.jobs[event.id].attempts[event.attempt]
+                job.is_settled = True
+        elif isinstance(event, (ExecutionStarted, ExecutionProgressed)) and event.id in self.requests:
+            sent = self.requests[event.id].attempts[event.attempt]
             sent.started = sent.started or not sent.outcome
-        elif isinstance(event, ClientDisconnected) and event.id in self.jobs:
+        elif isinstance(event, ClientDisconnected) and event.id in self.requests:
             ended_now.add(event.id)
         elif isinstance(event, EndpointsChanged):
             named = set()
@@ -159,87 +159,87 @@
                 self.cell[row.endpoint] = (row.cell, row.zone)
                 self.ready[row.endpoint] = row.ready_at_us
                 if row.state == "up":
-                    self.told_off.pop(row.endpoint, None)
+                    self.drain_notified_at.pop(row.endpoint, None)
                 else:
-                    self.told_off.setdefault(row.endpoint, self.now)
+                    self.drain_notified_at.setdefault(row.endpoint, self.now)
             if event.scope in ("all", "remembered"):
                 for endpoint in self.cell:
                     if endpoint not in named:
-                        self.told_off.setdefault(endpoint, self.now)
+                        self.drain_notified_at.setdefault(endpoint, self.now)
 
-    def _after(self, action: Action, ended_now: set[int]) -> None:
+    def _check_action(self, action: Action, ended_now: set[int]) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((self.now + action.in_us, action.token))
         elif isinstance(action, LogNotice):
             self.notes.append(action.text)
         elif isinstance(action, Dispatch):
-            self._placed(self.jobs[action.id], action)
+            self._check_dispatch(self.requests[action.id], action)
         elif isinstance(action, (Reject, Fail)):
-            job = self.jobs[action.id]
+            job = self.requests[action.id]
             job.answers += 1
-            if job.over:
-                self.broken.append("1: answered twice")
+            if job.is_settled:
+                self.violations.append("1: answered twice")
             if action.id in ended_now:
                 return
-            job.over = True
-            if isinstance(action, Reject) and not self._may_refuse(job, action.retry_after_us):
-                self.broken.append("2: refused though it may have run")
+            job.is_settled = True
+            if isinstance(action, Reject) and not self._may_reject(job, action.retry_after_us):
+                self.violations.append("2: refused though it may have run")
         elif isinstance(action, Cancel):
-            assert action.attempt < len(self.jobs[action.id].attempts), "cancelled an attempt never sent"
+            assert action.attempt < len(self.requests[action.id].attempts), "cancelled an attempt never sent"
 
-    def _may_refuse(self, job: Seen, wait_us: int) -> bool:
+    def _may_reject(self, job: ObservedRequest, wait_us: int) -> bool:
         """Tell whether the client, which sends a refused job again after a wait, does no harm by it."""
-        if not job.unsure or job.effect == "repeatable":
+        if not job.unresolved or job.effect == "repeatable":
             return True
-        ends = job.unsure[0].at + job.cls.window_us
+        ends = job.unresolved[0].at + job.cls.window_us
         return job.effect == "by_key" and job.cls.group == "all" and self.now + wait_us <= ends
 
-    def _placed(self, job: Seen, action: Dispatch) -> None:
-        if job.over:
-            self.broken.append("1: sent after the end")
-        unsure = job.unsure
+    def _check_dispatch(self, job: ObservedRequest, action: Dispatch) -> None:
+        if job.is_settled:
+            self.violations.append("1: sent after the end")
+        unsure = job.unresolved
         pending = [sent for sent in job.attempts if not sent.outcome]
         if pending and not self.conf.limits.second_copies:
-            self.broken.append("2: second copy where none is allowed")
+            self.violations.append("2: second copy where none is allowed")
         if unsure and job.effect == "once":
-            self.broken.append("2: once sent again")
+            self.violations.append("2: once sent again")
         cell, zone = self.cell[action.endpoint]
         if unsure and job.effect == "by_key":
             home = unsure[0]
             same = {"all": True, "cell": cell == home.cell, "zone": zone == home.zone}[job.cls.group]
             if not same or self.now - home.at > job.cls.window_us:
-                self.broken.append("2: keyed sent outside its group or window")
-        job.attempts.append(Sent(action.endpoint, self.now, cell, zone))
+                self.violations.append("2: keyed sent outside its group or window")
+        job.attempts.append(ObservedAttempt(action.endpoint, self.now, cell, zone))
         if len(job.attempts) > self.conf.limits.send_cap:
-            self.broken.append("send cap passed")
-        off = self.told_off.get(action.endpoint)
+            self.violations.append("send cap passed")
+        off = self.drain_notified_at.get(action.endpoint)
         if off is not None and self.now - off > self.conf.safety.drain_grace_us:
-            self.broken.append("3: sent to a drained worker")
+            self.violations.append("3: sent to a drained worker")
         started = self.ready.get(action.endpoint, 0)
         if started and self.now - started < self.conf.safety.cold_us:
-            self.cold_sends.setdefault(action.endpoint, []).append((self.now, job.event.slots))
+            self.slow_start_dispatches.setdefault(action.endpoint, []).append((self.now, job.event.slots))
 
-    def check_cold(self, slots: float, run_us: float) -> None:
+    def check_slow_start(self, slots: float, run_us: float) -> None:
         """Check the sliding cold budget for endpoints of so many slots and jobs of such a mean run time.
 
         One job may always be under way; what comes beyond it must fit this scheduler's share.
         """
         safety = self.conf.safety
         budget = safety.tip_multiple * slots * safety.overload_for_us / self.conf.balancers
-        for endpoint, sends in self.cold_sends.items():
+        for endpoint, sends in self.slow_start_dispatches.items():
             for at, _ in sends:
                 age = min(at + safety.overload_for_us - self.ready[endpoint], safety.cold_us)
                 share = safety.cold_from + (1 - safety.cold_from) * age / safety.cold_us
                 span = [s for t, s in sends if at <= t < at + safety.overload_for_us]
                 if sum(span[1:]) * run_us > budget * share:
-                    self.broken.append("4: cold budget passed")
+                    self.violations.append("4: cold budget passed")
 
     def pass_time(self, us: int) -> None:
         """Let time go by, firing due timers and the deadlines of pending attempts."""
         end = self.now + us
         while True:
             due = [at for at, _ in self.timers]
-            for job in self.jobs.values():
+            for job in self.requests.values():
                 if any(not sent.outcome for sent in job.attempts):
                     due.append(job.at + job.event.budget_us)
             step = min((at for at in due if at > self.now), default=end)
@@ -249,22 +249,22 @@
             self.now = self.now if late else min(step, end)
             events: list[Event] = [TimerFired(token) for at, token in self.timers if at <= self.now]
             self.timers = [(at, token) for at, token in self.timers if at > self.now]
-            for number, job in self.jobs.items():
+            for number, job in self.requests.items():
                 if job.at + job.event.budget_us <= self.now:
                     events += [
-                        AttemptEnded(number, i, 4, self.now - sent.at, job.over, None, sent.endpoint)
+                        AttemptEnded(number, i, 4, self.now - sent.at, job.is_settled, None, sent.endpoint)
                         for i, sent in enumerate(job.attempts)
                         if not sent.outcome
                     ]
             if not events:
                 break
-            called_off = [(a.id, a.attempt) for a in self.give(*events) if isinstance(a, Cancel)]
+            called_off = [(a.id, a.attempt) for a in self.deliver(*events) if isinstance(a, Cancel)]
             if called_off:  # as the owner does at once: they have ended as cancelled
-                self.give(
+                self.deliver(
                     *(
-                        AttemptEnded(job, attempt, 7, 1, self.jobs[job].over)
+                        AttemptEnded(job, attempt, 7, 1, self.requests[job].is_settled)
                         for job, attempt in called_off
-                        if not self.jobs[job].attempts[attempt].outcome
+                        if not self.requests[job].attempts[attempt].outcome
                     )
                 )
         self.now = end
@@ -272,10 +272,10 @@
     def finish(self) -> None:
         """Let all deadlines pass, then require exactly one answer for each request."""
         self.pass_time(20_000_000)
-        for number, job in self.jobs.items():
+        for number, job in self.requests.items():
             served = any(sent.outcome == 1 for sent in job.attempts)
             if job.answers + (served and not job.answers) != 1:
-                self.broken.append(f"1: {job.answers} answers for {number}")
+                self.violations.append(f"1: {job.answers} answers for {number}")
 
 
 def request_of(made: Balancer, job_class: str, **changes: Any) -> TrackedRequest:
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -34,7 +34,7 @@
 from merlinbay.decision.request_state import Attempt, TrackedRequest
 from merlinbay.decision.settings import DispatchLimits, RequestClass, Settings
 from merlinbay.site_settings import settings_from
-from tests.support import Checker, Seen, entry, request_of, settings
+from tests.support import Checker, ObservedRequest, entry, request_of, settings
 from tests.test_sites import SITES, conf_of
 
 ACTIONS = [*["job", "replies", "time", "end"] * 2, "start", "progress", "list", "operators"]
@@ -54,30 +54,32 @@
 
     def act(self, *events: Event) -> None:
         """Hand a batch over; what is cancelled in answer ends at once, as the owner has it."""
-        for action in self.give(*events):
+        for action in self.deliver(*events):
             if not isinstance(action, Cancel):
                 continue
-            job = self.jobs[action.id]
+            job = self.requests[action.id]
             sent = job.attempts[action.attempt]
             if not sent.outcome:
                 took = self.now - sent.at
-                self.act(AttemptEnded(action.id, action.attempt, 7, took, job.over, None, sent.endpoint))
+                self.act(
+                    AttemptEnded(action.id, action.attempt, 7, took, job.is_settled, None, sent.endpoint)
+                )
 
-    def _after(self, action: Action, ended_now: set[int]) -> None:
+    def _check_action(self, action: Action, ended_now: set[int]) -> None:
         if isinstance(action, CheckHealth):
             self.probes.append(action.endpoint)
             if not self.conf.limits.probes:
-                self.broken.append("probed where no probes are allowed")
+                self.violations.append("probed where no probes are allowed")
         if isinstance(action, Cancel) and not self.conf.limits.cancelling:
-            self.broken.append("cancelled where that is not allowed")
-        super()._after(action, ended_now)
+            self.violations.append("cancelled where that is not allowed")
+        super()._check_action(action, ended_now)
 
-    def _placed(self, job: Seen, action: Dispatch) -> None:
+    def _check_dispatch(self, job: ObservedRequest, action: Dispatch) -> None:
         if any(sent.endpoint == action.endpoint and not sent.outcome for sent in job.attempts):
-            self.broken.append("two attempts at one worker at once")
+            self.violations.append("two attempts at one worker at once")
         if job.event.only and action.endpoint not in job.event.only:
-            self.broken.append("sent to a worker that the job is not bound to")
-        super()._placed(job, action)
+            self.violations.append("sent to a worker that the job is not bound to")
+        super()._check_dispatch(job, action)
 
 
 @dataclass
@@ -143,7 +145,7 @@
     cls = check.conf.classes[small % len(check.conf.classes)]
     bound = tuple(row.endpoint for row in rows if pick >> rows.index(row) & 1) if pick % 5 == 0 else ()
     return RequestReceived(
-        len(check.jobs) + 1,
+        len(check.requests) + 1,
         cls.name,
         cls.deadline_us >> (pick % 3),
         1.0 + pick % 2,
@@ -167,7 +169,7 @@
     """Start or end one of the attempts that are out."""
     pending = [
         (number, job, at, sent)
-        for number, job in check.jobs.items()
+        for number, job in check.requests.items()
         for at, sent in enumerate(job.attempts)
         if not sent.outcome
     ]
@@ -178,7 +180,7 @@
         check.act(ExecutionStarted(number, at) if what == "start" else ExecutionProgressed(number, at, 0.5))
         return
     outcome = OUTCOMES[small]
-    over = job.over or outcome == Outcome.OK
+    over = job.is_settled or outcome == Outcome.OK
     report = report_of(check.conf, pick) if pick % 3 else None
     check.act(AttemptEnded(number, at, outcome, check.now - sent.at, over, report, sent.endpoint))
 
@@ -226,7 +228,7 @@
     conf, fleet = deployment
     check = StrictChecker(conf, Balancer(conf, 7, 1_000_000))
     play(check, fleet.rows(), steps)
-    assert check.broken == []
+    assert check.violations == []
 
 
 def probing(path: Path) -> Settings:
@@ -247,7 +249,7 @@
     zones = (conf.zone, "another")
     rows = [EndpointEntry(f"w{n}", zones[n // 6], conf.kinds[n % len(conf.kinds)], n // 3) for n in range(12)]
     play(check, rows, steps)
-    assert check.broken == []
+    assert check.violations == []
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -262,8 +264,8 @@
         while check.probes:
             check.act(HealthCheckEnded(check.probes.popleft(), 1, 900, [3, 0]))  # all are full
         check.pass_time(30_000)
-    assert sum(len(job.attempts) for job in check.jobs.values()) > len(check.jobs), "no copy was sent"
-    assert check.broken == []
+    assert sum(len(job.attempts) for job in check.requests.values()) > len(check.requests), "no copy was sent"
+    assert check.violations == []
 
 
 def eight_workers(conf: Settings) -> tuple[Balancer, list[Endpoint]]:
--- a/tests/test_endpoint_lease.py
+++ b/tests/test_endpoint_lease.py
@@ -9,7 +9,7 @@
 from merlinbay.decision import Balancer
 from merlinbay.decision.actions import Action, Dispatch, Reject, WatchEndpoints
 from merlinbay.decision.discovery_polling import MAX_ANSWER_TIMEOUT_US, DiscoveryPolling
-from merlinbay.decision.endpoint_lease import FIRST_BYTE_US, SEND_DELAY_US, EndpointLease
+from merlinbay.decision.endpoint_lease import FIRST_BYTE_DELAY_US, SEND_DELAY_US, EndpointLease
 from merlinbay.decision.events import (
     CallFailure,
     DiscoveryChanged,
@@ -23,7 +23,7 @@
 
 SECOND = 1_000_000
 GRACE_US = 500_000
-SPARE_US = GRACE_US - SEND_DELAY_US - FIRST_BYTE_US
+SPARE_US = GRACE_US - SEND_DELAY_US - FIRST_BYTE_DELAY_US
 SAFETY = SafetyMargins(must_ask_in_us=10 * SECOND, drain_grace_us=GRACE_US)
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -24,14 +24,14 @@
     """Return a checker over a balancer that knows a fleet."""
     conf = settings(**changes)
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
-    check.give(EndpointsChanged("all", [entry(n) for n in range(endpoints)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(endpoints)]))
     return check
 
 
 def offer(check: Checker, number: int, cls: str = "safe", **more: object) -> str:
     """Offer a job; return the endpoint it went to, or '' if it was refused."""
     budget = next(c.deadline_us for c in check.conf.classes if c.name == cls)
-    actions = check.give(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
+    actions = check.deliver(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
     placed = [a for a in actions if isinstance(a, Dispatch) and a.id == number]
     assert placed or any(isinstance(a, Reject) and a.id == number for a in actions)
     return placed[0].endpoint if placed else ""
@@ -41,10 +41,16 @@
     check: Checker, number: int, outcome: int = 1, attempt: int = 0, report: list[object] | None = None
 ) -> list[Action]:
     """End an attempt."""
-    sent, job = check.jobs[number].attempts[attempt], check.jobs[number]
-    return check.give(
+    sent, job = check.requests[number].attempts[attempt], check.requests[number]
+    return check.deliver(
         AttemptEnded(
-            number, attempt, outcome, check.now - sent.at, job.over or outcome == 1, report, sent.endpoint
+            number,
+            attempt,
+            outcome,
+            check.now - sent.at,
+            job.is_settled or outcome == 1,
+            report,
+            sent.endpoint,
         )
     )
 
@@ -57,7 +63,7 @@
         where.append(endpoint)
         if endpoint:
             check.pass_time(1_000)
-            check.give(ExecutionStarted(number, 0))
+            check.deliver(ExecutionStarted(number, 0))
             check.pass_time(run_us)
             end(check, number, report=[1, 3])
         else:
@@ -77,14 +83,14 @@
         drawn += endpoint == bad
         if endpoint:
             end(check, number, outcome if endpoint == bad else 1, report=[0, 5])
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, outcome if sent.endpoint == bad else 1, i)
     assert drawn <= 6
     check.pass_time(10_000_000)
     assert bad in serve(check, range(300, 360))
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def run_fleet(check: Checker, numbers: range, slow: str, times: float) -> list[str]:
@@ -94,14 +100,14 @@
     while (number := next(offers, None)) is not None or due:
         if number is not None:
             where.append(offer(check, number))
-        for one, job in check.jobs.items():
+        for one, job in check.requests.items():
             for copy, sent in enumerate(job.attempts):  # each starts at once
                 if one in numbers and not sent.outcome and (one, copy) not in due:
-                    check.give(ExecutionStarted(one, copy))
+                    check.deliver(ExecutionStarted(one, copy))
                     due[one, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
         check.pass_time(10_000)
         for (one, copy), at in list(due.items()):
-            if check.jobs[one].attempts[copy].outcome:  # cancelled
+            if check.requests[one].attempts[copy].outcome:  # cancelled
                 del due[one, copy]
             elif at <= check.now:
                 del due[one, copy]
@@ -116,12 +122,12 @@
     during = run_fleet(check, range(200, 500), "w2", 6)
     assert before.count("w2") >= 8
     assert during.count("w2") <= 15  # at its old share it would be 50 and more
-    copied = [job for job in check.jobs.values() if len(job.attempts) > 1]
+    copied = [job for job in check.requests.values() if len(job.attempts) > 1]
     assert copied and all(job.attempts[0].endpoint == "w2" for job in copied)
     check.pass_time(40_000_000)
     assert run_fleet(check, range(500, 700), "w2", 1).count("w2") >= 10
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_connections_that_break_now_and_then_leave_no_worker_out() -> None:
@@ -132,8 +138,8 @@
         endpoint = offer(check, number)
         check.pass_time(5_000)
         end(check, number, 6 if number % 3 else 1, report=[1, 3])
-        assert not check.jobs[number].over or number % 3 == 0
-        for i, sent in enumerate(check.jobs[number].attempts):
+        assert not check.requests[number].is_settled or number % 3 == 0
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i, report=[1, 3])
         assert endpoint
@@ -144,7 +150,7 @@
         for endpoint in check.balancer.parts.endpoints.by_name.values()
     )
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_hung_worker_gets_nothing_new_and_comes_back() -> None:
@@ -162,7 +168,7 @@
     check.pass_time(30_000_000)
     assert "w2" in serve(check, range(400, 460), cls="unsafe")
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_unstarted_job_gets_a_second_copy_and_the_first_to_start_keeps_it() -> None:
@@ -171,9 +177,9 @@
     serve(check, range(10))
     first = offer(check, 50)
     check.pass_time(400_000)
-    sent = check.jobs[50].attempts
+    sent = check.requests[50].attempts
     assert len(sent) >= 2 and sent[1].endpoint != first
-    actions = check.give(ExecutionStarted(50, len(sent) - 1))
+    actions = check.deliver(ExecutionStarted(50, len(sent) - 1))
     assert Cancel(50, 0) in actions
 
 
@@ -186,13 +192,13 @@
         if offer(check, number) == "w2":
             asked += 1
             end(check, number, 3, report=[0, float(5 + number % 2)])
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i)
         check.pass_time(2_000)
     assert asked < 25
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_frozen_report_is_taken_once() -> None:
@@ -201,7 +207,7 @@
     serve(check, range(10))
     assert isinstance(check.balancer, Balancer)
     for _ in range(20):
-        check.give(HealthCheckEnded("w0", 1, 5, [9, 0.0]))
+        check.deliver(HealthCheckEnded("w0", 1, 5, [9, 0.0]))
     once = check.balancer.parts.load.peer_slots(check.balancer.parts.endpoints.by_name["w0"])
     assert 0 < once <= 0.5 * 3
     assert offer(check, 100)
@@ -212,41 +218,41 @@
     """With nobody to send to, jobs are refused unsent; admission recovers with the list."""
     check = fleet()
     serve(check, range(10))
-    check.give(
+    check.deliver(
         EndpointsChanged(scope, [entry(n, "draining") for n in range(6)] if scope == "changes" else [])
     )
     assert offer(check, 50) == ""
-    check.give(EndpointsChanged("all", [entry(n) for n in range(6)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(6)]))
     assert offer(check, 51)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_flapping_list() -> None:
     """A list that drops and names endpoints in turn keeps the rules and loses nothing."""
     check = fleet()
     for number in range(60):
-        check.give(EndpointsChanged("all", [entry(n) for n in range(6) if (n + number) % 3]))
+        check.deliver(EndpointsChanged("all", [entry(n) for n in range(6) if (n + number) % 3]))
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
         check.pass_time(60_000)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_restart_with_a_stale_list_under_load() -> None:
     """Nothing but a remembered list, half of it gone: connect failures move jobs on, nothing is lost."""
     conf = settings()
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
-    check.give(EndpointsChanged("remembered", [entry(n) for n in range(8)]))
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(8)]))
     for number in range(80):
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
-        for i, sent in enumerate(list(check.jobs[number].attempts)):
+        for i, sent in enumerate(list(check.requests[number].attempts)):
             if not sent.outcome:
                 end(check, number, 5 if sent.endpoint in ("w0", "w1", "w2", "w3") else 1, i)
         check.pass_time(30_000)
     check.finish()
-    assert check.broken == []
-    assert sum(any(s.outcome == 1 for s in job.attempts) for job in check.jobs.values()) > 70
+    assert check.violations == []
+    assert sum(any(s.outcome == 1 for s in job.attempts) for job in check.requests.values()) > 70
 
 
 def test_clock_jumps() -> None:
@@ -260,7 +266,7 @@
     check.pass_time(1)
     assert offer(check, 52)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_other_kinds_are_tried() -> None:
@@ -269,8 +275,8 @@
     used = set()
     for number in range(200):
         used.add(offer(check, number))
-        if check.jobs[number].attempts:
-            check.give(ExecutionStarted(number, 0))
+        if check.requests[number].attempts:
+            check.deliver(ExecutionStarted(number, 0))
         check.pass_time(10_000)
         if number >= 100:
             end(check, number - 100)
@@ -289,7 +295,7 @@
     where.discard("")
     assert 1 <= len(where) <= 3
     rest = [entry(n, "draining" if f"w{n}" in where else "up") for n in range(12)]
-    check.give(EndpointsChanged("changes", rest))
+    check.deliver(EndpointsChanged("changes", rest))
     assert offer(check, 99, key="k") not in {"", *where}
 
 
@@ -311,9 +317,9 @@
         for number in range(200):
             count += bool(offer(check, number, "unsafe", tenant="t" if number % 2 else ""))
             check.pass_time(5_000)
-            if number >= 30 and check.jobs[number - 30].attempts:
+            if number >= 30 and check.requests[number - 30].attempts:
                 end(check, number - 30)
-        return sum(bool(check.jobs[n].attempts) for n in range(1, 200, 2))
+        return sum(bool(check.requests[n].attempts) for n in range(1, 200, 2))
 
     assert served(0.001) < served(1e9)
 
@@ -324,13 +330,13 @@
     assert isinstance(check.balancer, Balancer)
     for number in range(3000):
         offer(check, number, key=f"key{number}")
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i)
-        del check.jobs[number]
+        del check.requests[number]
         check.pass_time(5_000)
         if number % 100 == 0:
-            check.give(EndpointsChanged("all", [entry(number + n) for n in range(6)]))
+            check.deliver(EndpointsChanged("all", [entry(number + n) for n in range(6)]))
     check.pass_time(5_000_000)
     balancer = check.balancer
     assert (
@@ -338,7 +344,7 @@
         and not balancer.parts.timers
         and len(balancer.parts.endpoints.by_name) == 6
     )
-    assert balancer.parts.placement.cached_keys() <= 4096
+    assert balancer.parts.placement.cached_key_count() <= 4096
 
 
 @pytest.mark.parametrize(
@@ -365,7 +371,7 @@
 
 def probes(check: Checker, number: int) -> list[str]:
     """Offer a job and return the endpoints probed for it."""
-    actions = check.give(RequestReceived(number, "safe", 5_000_000))
+    actions = check.deliver(RequestReceived(number, "safe", 5_000_000))
     assert not any(isinstance(a, (Dispatch, Reject)) for a in actions)
     return [a.endpoint for a in actions if isinstance(a, CheckHealth)]
 
@@ -375,28 +381,28 @@
     check = asking()
     first, second, *_ = asked = probes(check, 1)
     assert 2 <= len(asked) == len(set(asked)) <= 6
-    assert not check.give(HealthCheckEnded(first, 1, 500, [9, 0]))
-    placed = check.give(HealthCheckEnded(second, 1, 600, [1, 2]))
+    assert not check.deliver(HealthCheckEnded(first, 1, 500, [9, 0]))
+    placed = check.deliver(HealthCheckEnded(second, 1, 600, [1, 2]))
     assert [a.endpoint for a in placed if isinstance(a, Dispatch)] == [second]
     for name in asked[2:]:
-        assert not check.give(HealthCheckEnded(name, 1, 700, [0, 3]))
+        assert not check.deliver(HealthCheckEnded(name, 1, 700, [0, 3]))
     asked = probes(check, 2)
     for name in asked:
-        last = check.give(HealthCheckEnded(name, 1, 500, [90, 0]))
+        last = check.deliver(HealthCheckEnded(name, 1, 500, [90, 0]))
     assert [type(a) for a in last] == [Reject]
-    assert not check.broken
+    assert not check.violations
 
 
 def test_a_worker_that_drains_after_its_answer_gets_nothing() -> None:
     """The list may change between a probe's answer and the decision."""
     check = asking()
-    check.give(*[HealthCheckEnded(f"w{n}", 1, 500, [0, 4]) for n in range(6)])
+    check.deliver(*[HealthCheckEnded(f"w{n}", 1, 500, [0, 4]) for n in range(6)])
     first, *others = probes(check, 1)
-    assert not check.give(HealthCheckEnded(first, 1, 500, [4, 0]))  # full, but under its gate
-    check.give(EndpointsChanged("changes", [entry(int(first[1:]), "draining")]))
+    assert not check.deliver(HealthCheckEnded(first, 1, 500, [4, 0]))  # full, but under its gate
+    check.deliver(EndpointsChanged("changes", [entry(int(first[1:]), "draining")]))
     check.pass_time(1_000)
     for name in others:
-        last = check.give(HealthCheckEnded(name, 1, 600, [90, 0]))
+        last = check.deliver(HealthCheckEnded(name, 1, 600, [90, 0]))
     assert [type(a) for a in last] == [Reject]
 
 
@@ -404,8 +410,8 @@
     """Room may be gone when the job comes: it asks other endpoints, not the one that answered 'full'."""
     check = asking()
     endpoint = probes(check, 1)[0]
-    check.give(HealthCheckEnded(endpoint, 1, 500, [0, 3]))
-    actions = check.give(AttemptEnded(1, 0, 3, 900, False, None, endpoint))
+    check.deliver(HealthCheckEnded(endpoint, 1, 500, [0, 3]))
+    actions = check.deliver(AttemptEnded(1, 0, 3, 900, False, None, endpoint))
     again = [a.endpoint for a in actions if isinstance(a, CheckHealth)]
     assert again and endpoint not in again
 
@@ -415,15 +421,15 @@
     check = asking()
     probes(check, 1)
     check.pass_time(200_000)
-    assert check.jobs[1].attempts or check.jobs[1].answers
+    assert check.requests[1].attempts or check.requests[1].answers
     probes(check, 2)
-    check.give(ClientDisconnected(2))
+    check.deliver(ClientDisconnected(2))
     assert isinstance(check.balancer, Balancer) and 2 not in check.balancer.parts.requests.by_id
     asked = probes(check, 3)
     for name in asked:  # answers to probes for jobs that are settled serve the one that waits
-        check.give(HealthCheckEnded(name, 4, 100_000, None))
-    assert check.jobs[3].attempts or check.jobs[3].answers
-    assert not check.broken
+        check.deliver(HealthCheckEnded(name, 4, 100_000, None))
+    assert check.requests[3].attempts or check.requests[3].answers
+    assert not check.violations
 
 
 def test_reports_that_lie_lose_their_weight() -> None:
@@ -434,17 +440,17 @@
     for number in range(30):
         offer(check, number)
         sent = 0
-        while sent < len(check.jobs[number].attempts):
-            endpoint, said = check.jobs[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
-            check.give(AttemptEnded(number, sent, 3, 300, False, [said], endpoint))
+        while sent < len(check.requests[number].attempts):
+            endpoint, said = check.requests[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
+            check.deliver(AttemptEnded(number, sent, 3, 300, False, [said], endpoint))
             sent += 1
         check.pass_time(1_000_000)
     assert balancer.parts.reports.capacity_hit_rate < 0.3
     balancer.parts.load.smoothed_in_flight, seen = 20.0, balancer.parts.endpoints.by_name["w0"]
     balancer.parts.load.observe_peers(seen, 5.0)
-    check.give(HealthCheckEnded("w0", 1, 300, [4.9]))  # it says that it holds nothing
+    check.deliver(HealthCheckEnded("w0", 1, 300, [4.9]))  # it says that it holds nothing
     assert balancer.parts.load.peer_slots(seen) > 4
-    assert not check.broken
+    assert not check.violations
 
 
 def test_an_overloaded_zone_sends_its_jobs_away() -> None:
@@ -452,8 +458,8 @@
     check = fleet(endpoints=6, balancers=1)
     near = {f"w{n}" for n in range(6) if entry(n).zone == "a"}
     for n in range(6):
-        check.give(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.0] if f"w{n}" in near else [0, 5.0]))
-        check.give(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.1] if f"w{n}" in near else [0, 5.1]))
+        check.deliver(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.0] if f"w{n}" in near else [0, 5.0]))
+        check.deliver(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.1] if f"w{n}" in near else [0, 5.1]))
     for endpoint in near:
         check.balancer.parts.load.observe_peers(check.balancer.parts.endpoints.by_name[endpoint], 9.0)  # type: ignore[attr-defined]
     assert offer(check, 1) not in {"", *near}
@@ -465,13 +471,13 @@
     """A fleet that is cold as a whole gets little at first and the usual once it is warm; nothing is lost."""
     check = fleet(endpoints=6, balancers=8)
     serve(check, range(20))
-    check.give(EndpointsChanged("changes", [entry(n, "up", check.now - 1_000) for n in range(6)]))
+    check.deliver(EndpointsChanged("changes", [entry(n, "up", check.now - 1_000) for n in range(6)]))
     serve(check, range(100, 160))
-    check.check_cold(slots=3, run_us=50_000)
+    check.check_slow_start(slots=3, run_us=50_000)
     check.pass_time(9_000_000)
     assert sum(map(bool, serve(check, range(200, 260)))) > 50
     check.finish()
-    assert not check.broken
+    assert not check.violations
 
 
 def test_overlapping_failures_keep_the_rules() -> None:
@@ -479,19 +485,19 @@
     check = fleet(endpoints=8, balancers=2)
     for number in range(120):
         state = "draining" if number % 20 == 7 else "up"
-        check.give(EndpointsChanged("changes", [entry(number % 3, state)]))
+        check.deliver(EndpointsChanged("changes", [entry(number % 3, state)]))
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
-        for i, sent in enumerate(list(check.jobs[number].attempts)):
+        for i, sent in enumerate(list(check.requests[number].attempts)):
             if sent.endpoint in ("w3", "w4") or sent.outcome:
                 continue  # hung
             end(check, number, 2 if sent.endpoint == "w5" else 1, i, [0, 4.0])
         check.pass_time(40_000)
     check.finish()
-    check.give(EndpointsChanged("all", [entry(n) for n in range(8)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(8)]))
     check.pass_time(20_000_000)
     assert sum(map(bool, serve(check, range(1000, 1040)))) > 35
     check.finish()
-    assert not check.broken
+    assert not check.violations
 
 
 def test_a_share_of_a_cold_workers_budget_is_used() -> None:
@@ -505,7 +511,7 @@
         held_field="active",
     )
     check.pass_time(5_000_000)
-    check.give(EndpointsChanged("changes", [entry(7, "up", check.now - 1_000_000)]))
+    check.deliver(EndpointsChanged("changes", [entry(7, "up", check.now - 1_000_000)]))
     balancer = check.balancer
     assert isinstance(balancer, Balancer)
     balancer.parts.endpoints.by_name["w7"].slow_start.next_admission_at_us = check.now + 50_000
@@ -519,7 +525,7 @@
     check = fleet(1, report_fields=["active", "x0", "x1"], free_memory_field="x1")
     serve(check, range(5))
     assert offer(check, 10, memory=0.5) == "w0"
-    check.give(ExecutionStarted(10, 0))
+    check.deliver(ExecutionStarted(10, 0))
     check.pass_time(50_000)
     end(check, 10, report=[1, 3, 0.1])
     assert offer(check, 11, memory=0.5) == ""  # told just now
@@ -527,7 +533,7 @@
     end(check, 12)
     check.pass_time(1_000_000)
     assert offer(check, 13, memory=0.5) == "w0"
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_copies_that_all_came_back_unstarted_leave_a_job_that_may_be_refused() -> None:
@@ -536,12 +542,12 @@
         check = fleet()
         offer(check, 1, "keyed")
         check.pass_time(400_000)
-        assert len(check.jobs[1].attempts) == 2  # it had not started, so a copy went out
+        assert len(check.requests[1].attempts) == 2  # it had not started, so a copy went out
         end(check, 1, Outcome.FULL, first)
         actions = end(check, 1, Outcome.FULL, second)
         while not any(isinstance(action, Reject | Fail) for action in actions):
-            actions = end(check, 1, Outcome.FULL, len(check.jobs[1].attempts) - 1)
-        assert any(isinstance(action, Reject) for action in actions) and not check.broken
+            actions = end(check, 1, Outcome.FULL, len(check.requests[1].attempts) - 1)
+        assert any(isinstance(action, Reject) for action in actions) and not check.violations
 
 
 def test_a_suspended_job_tells_no_pace_and_gets_no_copy() -> None:
@@ -550,16 +556,16 @@
         check = fleet()
         serve(check, range(60))
         endpoint = offer(check, 100)
-        check.give(ExecutionStarted(100, 0))
+        check.deliver(ExecutionStarted(100, 0))
         if paused:
-            check.give(ExecutionPaused(100, 0, True))
+            check.deliver(ExecutionPaused(100, 0, True))
         check.pass_time(2_000_000)
         balancer = check.balancer
         assert isinstance(balancer, Balancer)
         assert (balancer.parts.run_times.pace(balancer.parts.endpoints.by_name[endpoint]) < 1.2) == paused
         if paused:
-            assert len(check.jobs[100].attempts) == 1
-            check.give(ExecutionPaused(100, 0, False))
+            assert len(check.requests[100].attempts) == 1
+            check.deliver(ExecutionPaused(100, 0, False))
             check.pass_time(50_000)
             end(check, 100)
             assert balancer.parts.run_times.pace(balancer.parts.endpoints.by_name[endpoint]) < 1.2
@@ -569,7 +575,7 @@
     """Of many, the named one gets it; without it, the job is refused unsent."""
     check = fleet(60)
     assert [offer(check, number, only=("w41",)) for number in range(2)] == ["w41"] * 2
-    check.give(EndpointsChanged("changes", [entry(41, "draining")]))
+    check.deliver(EndpointsChanged("changes", [entry(41, "draining")]))
     assert offer(check, 10, only=("w41", "w99")) == ""
     assert offer(check, 11, only=("w41", "w7")) == "w7"
 
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -7,7 +7,7 @@
 import pytest
 
 from merlinbay.decision import Balancer
-from tests.decision_streams import STEPS, Drawn, drawn_settings, event_of, row_of_action
+from tests.decision_streams import STEPS_PER_STREAM, StreamGenerator, drawn_settings, event_of, row_of_action
 
 
 def check_counts(balancer: Balancer) -> None:
@@ -34,11 +34,11 @@
 def test_counts_equal_the_open_attempts_after_every_step(seed: int) -> None:
     """Requests, their endpoints and the balancer count the same."""
     settings = drawn_settings(seed)
-    world = Drawn(settings, seed)
+    world = StreamGenerator(settings, seed)
     balancer = Balancer(settings, seed, world.now)
-    events = world.first()
-    for _ in range(STEPS):
+    events = world.first_events()
+    for _ in range(STEPS_PER_STREAM):
         actions = [row_of_action(one) for one in balancer.handle(world.now, [event_of(e) for e in events])]
-        world.take(actions)
+        world.apply_actions(actions)
         check_counts(balancer)
-        events = world.cancelled(actions) or world.next()
+        events = world.ends_of_cancelled(actions) or world.next_events()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
     TimerFired,
 )
 from merlinbay.decision.settings import DispatchLimits, Settings
-from tests.support import Checker, Decides, Seen, Sent, entry, settings
+from tests.support import Checker, DecisionModule, ObservedAttempt, ObservedRequest, entry, settings
 
 WORKERS = 8
 STEP = st.tuples(
@@ -60,11 +60,11 @@
 ]
 
 
-def choose_open(check: Checker, pick: int) -> tuple[int, Seen, int, Sent] | None:
+def choose_open(check: Checker, pick: int) -> tuple[int, ObservedRequest, int, ObservedAttempt] | None:
     """Choose one pending attempt."""
     pending = [
         (n, job, i, sent)
-        for n, job in check.jobs.items()
+        for n, job in check.requests.items()
         for i, sent in enumerate(job.attempts)
         if not sent.outcome
     ]
@@ -73,12 +73,12 @@
 
 def play(check: Checker, steps: list[tuple[str, int, int]]) -> None:
     """Turn drawn steps into legal events."""
-    check.give(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
     for what, pick, small in steps:
         if what == "job":
             cls = check.conf.classes[pick % len(check.conf.classes)]
-            number = len(check.jobs) + 1
-            check.give(
+            number = len(check.requests) + 1
+            check.deliver(
                 RequestReceived(
                     number,
                     cls.name,
@@ -93,18 +93,18 @@
                 continue
             number, job, i, sent = found
             if what == "start":
-                check.give(ExecutionStarted(number, i))
+                check.deliver(ExecutionStarted(number, i))
             elif what == "progress":
-                check.give(ExecutionProgressed(number, i, 0.5))
+                check.deliver(ExecutionProgressed(number, i, 0.5))
             else:
                 outcome = (1, 1, 2, 3, 3, 5, 6, 7)[small]
-                check.give(
+                check.deliver(
                     AttemptEnded(
                         number,
                         i,
                         outcome,
                         check.now - sent.at,
-                        job.over or outcome == 1,
+                        job.is_settled or outcome == 1,
                         REPORTS[pick % len(REPORTS)],
                         sent.endpoint,
                     )
@@ -113,24 +113,24 @@
             found = choose_open(check, pick)
             if found is not None:
                 number, job, i, sent = found
-                check.give(
-                    AttemptEnded(number, i, 3, 1000, job.over, None, sent.endpoint),
-                    *([] if job.over else [ClientDisconnected(number)]),
+                check.deliver(
+                    AttemptEnded(number, i, 3, 1000, job.is_settled, None, sent.endpoint),
+                    *([] if job.is_settled else [ClientDisconnected(number)]),
                 )
         elif what == "probe":
             report: list[object] | None = REPORTS[small] if pick % 2 else [small, float(pick % 4)]
-            check.give(HealthCheckEnded(f"w{pick % WORKERS}", (1, 1, 1, 4)[small % 4], 900, report))
+            check.deliver(HealthCheckEnded(f"w{pick % WORKERS}", (1, 1, 1, 4)[small % 4], 900, report))
         elif what == "time":
             check.pass_time((small + 1) * (small + 1) * 20_000)
         elif what == "list":
             state = ("up", "up", "draining", "removed", "up", "up", "draining", "up")[small]
             ready = check.now - 100_000 if small >= 4 else 0
-            check.give(EndpointsChanged("changes", [entry(pick % WORKERS, state, ready)]))
+            check.deliver(EndpointsChanged("changes", [entry(pick % WORKERS, state, ready)]))
         elif what == "full_list":
-            check.give(EndpointsChanged("all", [entry(n) for n in range(WORKERS) if pick >> n & 1]))
+            check.deliver(EndpointsChanged("all", [entry(n) for n in range(WORKERS) if pick >> n & 1]))
         elif what == "gone":
-            live = [n for n, job in check.jobs.items() if not job.over]
-            check.give(
+            live = [n for n, job in check.requests.items() if not job.is_settled]
+            check.deliver(
                 *([ClientDisconnected(live[pick % len(live)])] if live else []),
                 ClientDisconnected(10**6),
                 ExecutionStarted(10**6, 0),
@@ -160,7 +160,7 @@
     conf.classes[1].group = group
     check = Checker(conf, Balancer(conf, 7, 1_000_000))
     play(check, steps)
-    assert check.broken == []
+    assert check.violations == []
 
 
 class Wrong:
@@ -174,10 +174,10 @@
         return [new for action in self.real.handle(now_us, events) for new in self.change(action)]
 
 
-def started(conf: Settings, balancer: Decides) -> Checker:
+def started(conf: Settings, balancer: DecisionModule) -> Checker:
     """Return a checker whose balancer knows the endpoints."""
     check = Checker(conf, balancer)
-    check.give(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
     return check
 
 
@@ -185,25 +185,25 @@
     """Rule 1: a request that is refused to nobody is noticed, and so is a second answer."""
     conf = settings()
     check = started(conf, Wrong(conf, lambda a: [] if isinstance(a, (Fail, Reject)) else [a]))
-    check.give(RequestReceived(1, "unsafe", 1_000_000))
+    check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert any(text.startswith("1: 0 answers") for text in check.broken)
+    assert any(text.startswith("1: 0 answers") for text in check.violations)
     check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, (Fail, Reject)) else [a]))
-    check.give(RequestReceived(1, "unsafe", 1_000_000))
+    check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert "1: answered twice" in check.broken
+    assert "1: answered twice" in check.violations
 
 
 def test_checker_sees_repeated_effects() -> None:
     """Rule 2: an unsafe job refused, or sent again, after it may have run is noticed."""
     conf = settings()
     check = started(conf, Wrong(conf, lambda a: [Reject(a.id)] if isinstance(a, Fail) else [a]))
-    check.give(RequestReceived(1, "unsafe", 1_000_000))
+    check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert "2: refused though it may have run" in check.broken
+    assert "2: refused though it may have run" in check.violations
     check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, Dispatch) else [a]))
-    check.give(RequestReceived(1, "unsafe", 1_000_000))
-    assert "2: once sent again" in check.broken
+    check.deliver(RequestReceived(1, "unsafe", 1_000_000))
+    assert "2: once sent again" in check.violations
 
 
 def test_checker_sees_broken_drains() -> None:
@@ -211,22 +211,22 @@
     conf = settings()
     wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Dispatch) else [a])
     check = started(conf, wrong)
-    check.give(EndpointsChanged("changes", [entry(0, "draining")]))
+    check.deliver(EndpointsChanged("changes", [entry(0, "draining")]))
     check.pass_time(300_000)
-    check.give(RequestReceived(1, "safe", 1_000_000))
-    assert "3: sent to a drained worker" in check.broken
+    check.deliver(RequestReceived(1, "safe", 1_000_000))
+    assert "3: sent to a drained worker" in check.violations
 
 
-def cold_burst(balancer: Decides, conf: Settings) -> Checker:
+def cold_burst(balancer: DecisionModule, conf: Settings) -> Checker:
     """Send many jobs while every endpoint has just started."""
     check = Checker(conf, balancer)
-    check.give(EndpointsChanged("all", [entry(n, "up", check.now) for n in range(2)]))
+    check.deliver(EndpointsChanged("all", [entry(n, "up", check.now) for n in range(2)]))
     for number in range(300):
         check.pass_time(20_000)
-        check.give(RequestReceived(number, "safe", 5_000_000))
+        check.deliver(RequestReceived(number, "safe", 5_000_000))
         found = choose_open(check, 0)
         if found is not None:
-            check.give(AttemptEnded(found[0], found[2], 1, 100_000, True, [1, 3], found[3].endpoint))
+            check.deliver(AttemptEnded(found[0], found[2], 1, 100_000, True, [1, 3], found[3].endpoint))
     return check
 
 
@@ -234,10 +234,10 @@
     """Rule 4: all endpoints restart at once under load; the sliding budget is kept, and yet they are used."""
     conf = settings(balancers=40)
     check = cold_burst(Balancer(conf, 1, 1_000_000), conf)
-    check.check_cold(slots=3, run_us=100_000)
-    assert check.broken == []
-    assert sum(len(sends) for sends in check.cold_sends.values()) >= 2
+    check.check_slow_start(slots=3, run_us=100_000)
+    assert check.violations == []
+    assert sum(len(sends) for sends in check.slow_start_dispatches.values()) >= 2
     wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Reject) else [a])
     check = cold_burst(wrong, conf)
-    check.check_cold(slots=3, run_us=100_000)
-    assert "4: cold budget passed" in check.broken
+    check.check_slow_start(slots=3, run_us=100_000)
+    assert "4: cold budget passed" in check.violations
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -88,27 +88,27 @@
     conf, rng = settings_from(conf_of(path, ask)), Random(seed)
     check = Checker(conf, Balancer(conf, seed, 1_000_000))
     rows = [EndpointEntry(f"w{n}", conf.zone, conf.kinds[n % len(conf.kinds)], n // 3) for n in range(9)]
-    check.give(EndpointsChanged("all", rows))
+    check.deliver(EndpointsChanged("all", rows))
     outcomes = [outcome for outcome in Outcome if outcome is not Outcome.MOOT]
     quick = (0.2, 0.01)[seed % 2]  # what is slow outlasts the windows of repeats
     for number in range(400):
         check.pass_time(rng.randrange(1, 60_000))
         cls = rng.choice(conf.classes)
-        check.give(RequestReceived(number, cls.name, rng.randrange(cls.deadline_us // 4, cls.deadline_us)))
-        for job, seen in list(check.jobs.items()):
+        check.deliver(RequestReceived(number, cls.name, rng.randrange(cls.deadline_us // 4, cls.deadline_us)))
+        for job, seen in list(check.requests.items()):
             for at, sent in enumerate(seen.attempts):
                 if not sent.outcome and rng.random() < quick:
                     if rng.random() < 0.4:
-                        check.give(ExecutionStarted(job, at))
+                        check.deliver(ExecutionStarted(job, at))
                     else:
                         outcome = Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
-                        final = seen.over or outcome == Outcome.OK
-                        check.give(AttemptEnded(job, at, outcome, 1000, final, None, sent.endpoint))
-            if not seen.over and rng.random() < 0.01:
-                check.give(ClientDisconnected(job))
+                        final = seen.is_settled or outcome == Outcome.OK
+                        check.deliver(AttemptEnded(job, at, outcome, 1000, final, None, sent.endpoint))
+            if not seen.is_settled and rng.random() < 0.01:
+                check.deliver(ClientDisconnected(job))
         if rng.random() < 0.1:
             row = rng.choice(rows)
-            check.give(
+            check.deliver(
                 EndpointsChanged(
                     "changes",
                     [
@@ -125,9 +125,9 @@
                 )
             )
         if rng.random() < 0.05:
-            check.give(EndpointsChanged("refused", [], check.now - 1_000_000))
+            check.deliver(EndpointsChanged("refused", [], check.now - 1_000_000))
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 @pytest.mark.parametrize(
