--- a/merlinbay/core/action_executor.py
+++ b/merlinbay/core/action_executor.py
@@ -71,7 +71,7 @@
         request = self.requests.by_number.get(action.id)
         attempt = request.open_attempts.get(action.attempt) if request is not None else None
         if attempt is not None:
-            self.attempt_lifecycle.give_up(attempt, Outcome.CANCELLED)
+            self.attempt_lifecycle.cancel(attempt, Outcome.CANCELLED)
 
     def _reject(self, action: Reject) -> None:
         request = self.requests.by_number.get(action.id)
--- a/merlinbay/core/attempt_lifecycle.py
+++ b/merlinbay/core/attempt_lifecycle.py
@@ -223,7 +223,7 @@
         elif attempt.has_started and not any(other.has_started for other in request.open_attempts.values()):
             request.responder.on_requeued()
 
-    def give_up(self, attempt: ServerAttempt, outcome: Outcome) -> None:
+    def cancel(self, attempt: ServerAttempt, outcome: Outcome) -> None:
         """Have the server stop an attempt, and end it."""
-        self.servers.give_up(attempt)
+        self.servers.cancel(attempt)
         self.end(attempt, outcome)
--- a/merlinbay/core/attempts.py
+++ b/merlinbay/core/attempts.py
@@ -34,7 +34,7 @@
     def on_status_unknown(self) -> None:
         """Note that the server cannot be asked for the request's status at present."""
 
-    def on_found_queued(self) -> None:
+    def on_still_queued(self) -> None:
         """Note that the server was asked, and has not started the request."""
 
     def on_recall_ended(self, was_recalled: bool) -> None:
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -103,6 +103,6 @@
             return
         request, _ = found
         if message.is_queued:
-            request.responder.on_found_queued()
+            request.responder.on_still_queued()
         else:
             request.responder.on_status_unknown()
--- a/merlinbay/core/deadlines.py
+++ b/merlinbay/core/deadlines.py
@@ -45,13 +45,13 @@
 
     def _end_attempt_if_open(self, attempt: ServerAttempt) -> None:
         if self.requests.find_attempt(attempt.spec.name, attempt.server) is attempt:
-            self.attempt_lifecycle.give_up(attempt, Outcome.TIMEOUT)
+            self.attempt_lifecycle.cancel(attempt, Outcome.TIMEOUT)
 
     def _end_request(self, request: OpenRequest) -> None:
         """End a request's attempts; fail it if the module has not answered it a moment after that."""
         attempts = list(request.open_attempts.values())
         for attempt in attempts:
-            self.attempt_lifecycle.give_up(attempt, Outcome.TIMEOUT)
+            self.attempt_lifecycle.cancel(attempt, Outcome.TIMEOUT)
         if attempts:
             self.timers.add(self.batch.now_us + self.limits.deadline_recheck_us, RequestDeadline(request))
             return
--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -15,7 +15,7 @@
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
 
-    def give_up(self, attempt: ServerAttempt) -> None:
+    def cancel(self, attempt: ServerAttempt) -> None:
         """Have the server stop an attempt whose outcome is settled already."""
 
     def forget(self, attempt: ServerAttempt) -> None:
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -58,7 +58,7 @@
         """Take it that its server cannot be asked."""
         self._tell(self.front.engine.lost_sight)
 
-    def on_found_queued(self) -> None:
+    def on_still_queued(self) -> None:
         """Take it that its server has not started it."""
         self._tell(self.front.engine.found_queued)
 
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -68,7 +68,7 @@
         else:
             self.report_not_sent(attempt)
 
-    def give_up(self, attempt: ServerAttempt) -> None:
+    def cancel(self, attempt: ServerAttempt) -> None:
         """Terminate the job, as soon as its id is known."""
         # Guards against a cancel that crosses runJob: closing the connection would leave a job running
         # whose id nobody has, so its answer is waited for and the job terminated then.
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -37,7 +37,7 @@
         self.status = status
 
 
-def failure_of(error: Exception) -> CallFailure:
+def classify_failure(error: Exception) -> CallFailure:
     """Return how a poll has failed."""
     if isinstance(error, ConnectTimeoutError | ConnectRefusedError):
         return CallFailure.UNREACHABLE
@@ -157,7 +157,7 @@
                 await trio.sleep(self.limits.pushed_retry_pause_s)
 
     async def _report_failure(self, error: Exception) -> None:
-        failure = failure_of(error)
+        failure = classify_failure(error)
         self.counters.add("watches_failed")
         self.log.event(
             "discovery_failed",
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -46,13 +46,13 @@
         else:
             self.report_not_sent(attempt)
 
-    def give_up(self, attempt: ServerAttempt) -> None:
+    def cancel(self, attempt: ServerAttempt) -> None:
         """Close the connection before the 202; delete the job after it."""
         scope = self.sending.pop(attempt, None)
         if scope is not None:
             scope.cancel()
         else:
-            self.spawn(self._give_up_taken, attempt)
+            self.spawn(self._cancel_accepted, attempt)
 
     def forget(self, attempt: ServerAttempt) -> None:
         """Do nothing: an exchange under way goes on, and its reply frees the connection."""
@@ -127,7 +127,7 @@
                 return
         await self.report_ended(attempt, replies.OUTCOMES[kind], report, unfit=kind is JobReply.REJECTED)
 
-    async def _give_up_taken(self, attempt: ServerAttempt) -> None:
+    async def _cancel_accepted(self, attempt: ServerAttempt) -> None:
         await self._delete(attempt)
 
     async def _delete(self, attempt: ServerAttempt) -> bool:
--- a/tests/executor_faults.py
+++ b/tests/executor_faults.py
@@ -10,7 +10,7 @@
 REASONS = {200: "OK", 202: "Accepted", 302: "Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 
 
-MOST_BODY = 64 * 1024  # bytes; the protocol page allows no more
+MAX_BODY_BYTES = 64 * 1024  # bytes; the protocol page allows no more
 
 
 class BreakPoint(Enum):
@@ -32,12 +32,12 @@
     @property
     def ends_attempt(self) -> bool:
         """Tell whether the protocol page has it end its attempt."""
-        return len(self.body) <= MOST_BODY and (self.never_ran or self.status == 500)
+        return len(self.body) <= MAX_BODY_BYTES and (self.never_ran or self.status == 500)
 
     @property
     def never_ran(self) -> bool:
         """Tell whether the protocol page has it prove that the job never ran."""
-        return len(self.body) <= MOST_BODY and self.not_processed and self.status in (503, 504)
+        return len(self.body) <= MAX_BODY_BYTES and self.not_processed and self.status in (503, 504)
 
     def encode(self) -> bytes:
         """Return its bytes."""
@@ -51,14 +51,14 @@
 
 
 @dataclass(frozen=True)
-class NotHttp:
+class NonHttpResponse:
     """Bytes that are no HTTP, in the place of an answer."""
 
     data: bytes = b"\x16\x03\x01\x00\x05 this is no HTTP\r\n\r\n"
 
 
 @dataclass(frozen=True)
-class BreakOff:
+class ConnectionBreak:
     """The connection breaks, by a reset or in good order."""
 
     at: BreakPoint
@@ -70,14 +70,14 @@
     """The executor hangs: the attempt is read and nothing is said."""
 
 
-FirstAnswer = Answer | NotHttp | BreakOff | NoAnswer
+FirstAnswer = Answer | NonHttpResponse | ConnectionBreak | NoAnswer
 TAKEN = Answer(202)
 REFUSED = Answer(503, not_processed=True)
-TOO_LARGE = Answer(202, body=b"x" * (MOST_BODY + 1))
+TOO_LARGE = Answer(202, body=b"x" * (MAX_BODY_BYTES + 1))
 
 
 @dataclass(frozen=True)
-class CallBack:
+class ScriptedCallback:
     """A call-back, made after a delay or once the attempt was given up."""
 
     state: str
@@ -87,9 +87,9 @@
     gate: trio.Event | None = None  # waited for before the call
 
 
-STARTED = CallBack("started")
-RUNNING = CallBack("running", share=0.4)
-DONE = CallBack("done")
+STARTED = ScriptedCallback("started")
+RUNNING = ScriptedCallback("running", share=0.4)
+DONE = ScriptedCallback("done")
 
 
 @dataclass(frozen=True)
@@ -97,8 +97,8 @@
     """What an executor does with one attempt."""
 
     answer: FirstAnswer = TAKEN
-    before: tuple[CallBack, ...] = ()  # made before the answer
-    after: tuple[CallBack, ...] = (STARTED, DONE)
+    before: tuple[ScriptedCallback, ...] = ()  # made before the answer
+    after: tuple[ScriptedCallback, ...] = (STARTED, DONE)
     second_answer: Answer | None = None
     gate: trio.Event | None = None  # waited for before the answer
 
--- a/tests/faulty_cluster.py
+++ b/tests/faulty_cluster.py
@@ -15,7 +15,7 @@
 
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from tests.duplicate_judge import DuplicateJudge
-from tests.faulty_executor import FaultBoard, FaultyExecutor
+from tests.faulty_executor import FaultController, FaultyExecutor
 from tests.net import CONF, LIMITS, Stage, stage
 
 AIM_US = 120_000
@@ -115,12 +115,12 @@
     late: list[str] = field(default_factory=list)  # requests that got no answer in time
 
     def __post_init__(self) -> None:
-        """Make the board that the executors share."""
-        self.board = FaultBoard(self.judge, self._post_call_back)
+        """Make the controller that the executors share."""
+        self.controller = FaultController(self.judge, self._post_call_back)
 
     def add(self, name: str, kind: str, zone: str = "hall-a", cell: int = 0) -> FaultyExecutor:
         """Add an executor to the list of every node."""
-        executor = FaultyExecutor(name, zone, cell, self.board, self.nursery)
+        executor = FaultyExecutor(name, zone, cell, self.controller, self.nursery)
         self.executors[name] = executor
         self.nursery.start_soon(executor.serve)
         self.rows.append(
@@ -188,10 +188,10 @@
     async def named(self, job_class: str) -> str:
         """Return the name of a class's first request that has reached an executor."""
         while True:
-            for held in self.board.attempts:
+            for held in self.controller.attempts:
                 if self.judge.requests[held.name].job_class == job_class:
                     return held.name
-            await self.board.arrival.wait()
+            await self.controller.arrival.wait()
 
     async def call_back_as(self, executor: str, name: str, state: str) -> None:
         """Make a call-back in an executor's name, whether or not it has the job."""
@@ -200,7 +200,7 @@
 
     def classes_sent(self) -> set[str]:
         """Return the classes of which an executor has got a job."""
-        return {self.judge.requests[held.name].job_class for held in self.board.attempts}
+        return {self.judge.requests[held.name].job_class for held in self.controller.attempts}
 
     async def leave_after_start(self, job_class: str, name: str, route: str = "") -> None:
         """Hand in a request and close its connection once an executor has the job."""
@@ -209,7 +209,7 @@
         self.judge.requests[name].left = True
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._exchange, self.nodes[0], name, job_class, 1500, True, route, (), "")
-            held = await self.board.wait_for(name, 0)
+            held = await self.controller.wait_for_attempt(name, 0)
             while not held.begun:
                 await trio.sleep(0.002)
             await trio.testing.wait_all_tasks_blocked(0.002)
--- a/tests/faulty_executor.py
+++ b/tests/faulty_executor.py
@@ -24,11 +24,11 @@
     TAKEN,
     Answer,
     Behaviour,
-    BreakOff,
     BreakPoint,
-    CallBack,
+    ConnectionBreak,
     FirstAnswer,
-    NotHttp,
+    NonHttpResponse,
+    ScriptedCallback,
 )
 from tests.net import bound
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(eq=False)
-class HeldAttempt:
+class ReceivedAttempt:
     """An attempt that has arrived, as its executor knows it."""
 
     name: str
@@ -58,64 +58,64 @@
     judged: ArrivedAttempt
     answered: bool = False  # a whole 202 is written, so a close gives nothing up
     begun: bool = False  # a start or progress was told
-    call_backs_made: int = 0
-    answer_over: trio.Event = field(default_factory=trio.Event)  # its answer is written, or broken off
+    callbacks_sent: int = 0
+    answer_finished: trio.Event = field(default_factory=trio.Event)  # its answer is written, or broken off
     given_up: trio.Event = field(default_factory=trio.Event)
 
-    def note_given_up(self, judge: DuplicateJudge) -> None:
+    def record_given_up(self, judge: DuplicateJudge) -> None:
         """Take it that the node has given the attempt up."""
         judge.given_up(self.judged)
         self.given_up.set()
 
 
-Script = Callable[[HeldAttempt], Behaviour]
-PostCallBack = Callable[[str, bytes], Awaitable[None]]  # hands a call-back to the node that has the request
+Script = Callable[[ReceivedAttempt], Behaviour]
+PostCallback = Callable[[str, bytes], Awaitable[None]]  # hands a call-back to the node that has the request
 
 
 @dataclass
-class FaultBoard:
+class FaultController:
     """What all executors of a test share: the judge, the script and the attempts that have arrived."""
 
     judge: DuplicateJudge
-    post_call_back: PostCallBack
+    post_callback: PostCallback
     script: Script = field(default=lambda held: HEALTHY)
-    attempts: list[HeldAttempt] = field(default_factory=list)
+    attempts: list[ReceivedAttempt] = field(default_factory=list)
     arrival: trio.Event = field(default_factory=trio.Event)  # replaced at each arrival
     probe_answer: Answer = Answer(200, body=b"inflight=0,x0=4,x1=4")
     probes: int = 0
     second_probe_answer: Answer | None = None
     delete_answer: Answer = Answer(200)
     second_delete_answer: Answer | None = None
-    loses_deletes: bool = False  # they are neither answered nor followed
-    breaks_deletes: bool = False  # nor are these, and their connections break
+    ignores_deletes: bool = False  # they are neither answered nor followed
+    resets_on_delete: bool = False  # nor are these, and their connections break
     deletes: list[str] = field(default_factory=list)  # names of requests, in the order of their DELETEs
-    strays_met: int = 0  # second answers that came while another request was under way
+    stray_answers_sent: int = 0  # second answers that came while another request was under way
 
-    def of(self, name: str) -> list[HeldAttempt]:
+    def attempts_of(self, name: str) -> list[ReceivedAttempt]:
         """Return the attempts of a request, in the order of their arrival."""
         return [held for held in self.attempts if held.name == name]
 
-    def note_closes(self) -> None:
+    def record_closes(self) -> None:
         """Note the attempts given up by closes that have come and were not read yet."""
         for held in self.attempts:
-            if held.judged.out and not held.answered and held.connection.hung_up():
-                held.note_given_up(self.judge)
+            if held.judged.out and not held.answered and held.connection.has_hung_up():
+                held.record_given_up(self.judge)
 
-    def arrived(self, name: str, executor: FaultyExecutor, connection: ExecutorConnection) -> HeldAttempt:
+    def arrived(self, name: str, executor: FaultyExecutor, connection: ExecutorConnection) -> ReceivedAttempt:
         """Judge and keep an attempt whose last byte has come."""
-        self.note_closes()
+        self.record_closes()
         judged = self.judge.arrived(name, executor.identity, trio.current_time())
-        held = HeldAttempt(name, len(self.of(name)), executor, connection, judged)
+        held = ReceivedAttempt(name, len(self.attempts_of(name)), executor, connection, judged)
         self.attempts.append(held)
         self.arrival.set()
         self.arrival = trio.Event()
         return held
 
-    async def wait_for(self, name: str, number: int) -> HeldAttempt:
+    async def wait_for_attempt(self, name: str, number: int) -> ReceivedAttempt:
         """Wait until an attempt of a request, counted from 0, has arrived."""
-        while len(self.of(name)) <= number:
+        while len(self.attempts_of(name)) <= number:
             await self.arrival.wait()
-        return self.of(name)[number]
+        return self.attempts_of(name)[number]
 
 
 class ExecutorConnection:
@@ -164,7 +164,7 @@
         await self.write(data)
         return True
 
-    def hung_up(self) -> bool:
+    def has_hung_up(self) -> bool:
         """Tell whether the node has closed its side."""
         if self.closed or self.sock.fileno() < 0:
             return False
@@ -181,11 +181,13 @@
 
 
 class FaultyExecutor:
-    """An executor that does what the board's script says."""
+    """An executor that does what the controller's script says."""
 
-    def __init__(self, name: str, zone: str, cell: int, board: FaultBoard, nursery: trio.Nursery) -> None:
+    def __init__(
+        self, name: str, zone: str, cell: int, controller: FaultController, nursery: trio.Nursery
+    ) -> None:
         self.identity = Executor(name, zone, cell)
-        self.board, self.nursery = board, nursery
+        self.controller, self.nursery = controller, nursery
         self.connections: list[ExecutorConnection] = []
         self.fillers: list[socket.socket] = []  # connections that hold the places of its accept queue
         self.accepting = trio.Event()
@@ -226,7 +228,7 @@
         self.listener.listen(0)
         self.fillers = [_filler(self.listener.getsockname()) for _ in range(FILLERS)]
 
-    def accept_again(self) -> None:
+    def resume_accepting(self) -> None:
         """Accept again; connections asked for meanwhile come up when they are asked for once more."""
         for filler in self.fillers:
             filler.close()
@@ -239,22 +241,22 @@
         self.pause_accepting()
         self.listener.close()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Have the process die: its connections are reset and new ones refused."""
         self.refuse_connections()
         self._reset_connections()
 
     def restart(self, zone: str, cell: int) -> None:
         """Start anew at another address, as another process that knows nothing of the jobs before."""
-        self.die()
+        self.kill()
         self.identity = Executor(self.identity.name, zone, cell)
         self._listen()
         self.accepting.set()
 
     def _reset_connections(self) -> None:
-        for held in self.board.attempts:
+        for held in self.controller.attempts:
             if held.executor is self and held.judged.out:
-                self.board.judge.ended(held.judged)
+                self.controller.judge.ended(held.judged)
         for connection in self.connections:
             connection.close(reset=True)
         self.connections = []
@@ -269,7 +271,7 @@
         except (OSError, trio.ClosedResourceError):
             pass
         if not connection.closed:
-            self.board.note_closes()
+            self.controller.record_closes()
             connection.close()
 
     async def _serve_request(self, connection: ExecutorConnection, request: ReceivedRequest) -> None:
@@ -279,30 +281,30 @@
             elif request.method == "DELETE":
                 await self._serve_delete(connection, request)
             else:
-                self.board.probes += 1
+                self.controller.probes += 1
                 await self._meet_stray(connection)
-                await connection.write(self.board.probe_answer.encode())
-                self._answer_again(connection, self.board.second_probe_answer)
+                await connection.write(self.controller.probe_answer.encode())
+                self._answer_again(connection, self.controller.second_probe_answer)
         except (OSError, trio.ClosedResourceError):
             pass
 
     async def _serve_delete(self, connection: ExecutorConnection, request: ReceivedRequest) -> None:
         name = request.target.removeprefix("/jobs/")
-        self.board.deletes.append(name)
-        if self.board.breaks_deletes:
+        self.controller.deletes.append(name)
+        if self.controller.resets_on_delete:
             connection.close(reset=True)
-        if self.board.loses_deletes or self.board.breaks_deletes:
+        if self.controller.ignores_deletes or self.controller.resets_on_delete:
             return
-        for held in self.board.of(name):
+        for held in self.controller.attempts_of(name):
             if held.executor is self:
-                held.note_given_up(self.board.judge)
+                held.record_given_up(self.controller.judge)
         await self._meet_stray(connection)
-        await connection.write(self.board.delete_answer.encode())
-        self._answer_again(connection, self.board.second_delete_answer)
+        await connection.write(self.controller.delete_answer.encode())
+        self._answer_again(connection, self.controller.second_delete_answer)
 
     async def _serve_job(self, connection: ExecutorConnection, request: ReceivedRequest) -> None:
-        held = self.board.arrived(request.headers["x-request-id"], self, connection)
-        behaviour = self.board.script(held)
+        held = self.controller.arrived(request.headers["x-request-id"], self, connection)
+        behaviour = self.controller.script(held)
         await self._meet_stray(connection)
         for call_back in behaviour.before:
             await self._call_back(held, call_back)
@@ -313,14 +315,14 @@
             self._answer_again(connection, behaviour.second_answer)
         except (OSError, trio.ClosedResourceError):
             pass  # the node has closed it, and the job goes on
-        held.answer_over.set()
+        held.answer_finished.set()
         for call_back in behaviour.after:
             await self._call_back(held, call_back)
 
     async def _meet_stray(self, connection: ExecutorConnection) -> None:
         """Write the second answer of the exchange before, now that the connection is in use again."""
         if await connection.write_second_answer():
-            self.board.strays_met += 1
+            self.controller.stray_answers_sent += 1
 
     def _answer_again(self, connection: ExecutorConnection, answer: Answer | None) -> None:
         if answer is not None:
@@ -334,18 +336,18 @@
         with suppress(OSError, trio.ClosedResourceError):
             await connection.write_second_answer()
 
-    async def _answer(self, held: HeldAttempt, answer: FirstAnswer) -> None:
-        if isinstance(answer, NotHttp):
+    async def _answer(self, held: ReceivedAttempt, answer: FirstAnswer) -> None:
+        if isinstance(answer, NonHttpResponse):
             await held.connection.write(answer.data)
-        elif isinstance(answer, BreakOff):
+        elif isinstance(answer, ConnectionBreak):
             await self._break_off(held, answer)
         elif isinstance(answer, Answer):
             held.answered = answer.status == 202
             if answer.ends_attempt:
-                self.board.judge.ended(held.judged, never_ran=answer.never_ran)
+                self.controller.judge.ended(held.judged, never_ran=answer.never_ran)
             await held.connection.write(answer.encode())
 
-    async def _break_off(self, held: HeldAttempt, fault: BreakOff) -> None:
+    async def _break_off(self, held: ReceivedAttempt, fault: ConnectionBreak) -> None:
         whole = TAKEN.encode()
         if fault.at is BreakPoint.IN_ANSWER:
             await held.connection.write(whole[: len(whole) // 2])
@@ -355,12 +357,12 @@
             # A reset may overtake bytes that the node has not read yet, and then no 202 has come.
             await trio.testing.wait_all_tasks_blocked()
         if not held.answered:
-            self.board.judge.ended(held.judged)
+            self.controller.judge.ended(held.judged)
         held.connection.close(fault.reset)
 
     # Call-backs.
 
-    async def _call_back(self, held: HeldAttempt, call_back: CallBack) -> None:
+    async def _call_back(self, held: ReceivedAttempt, call_back: ScriptedCallback) -> None:
         if call_back.gate is not None:
             await call_back.gate.wait()
         if call_back.after_given_up:
@@ -374,14 +376,14 @@
             event["share"] = call_back.share
         elif call_back.state == "done":
             event["result"] = f"{self.identity.name}:{held.name}"
-        await self.board.post_call_back(held.name, json.dumps(event).encode())
-        held.call_backs_made += 1
+        await self.controller.post_callback(held.name, json.dumps(event).encode())
+        held.callbacks_sent += 1
 
-    def _tell_judge(self, held: HeldAttempt, state: str) -> None:
+    def _tell_judge(self, held: ReceivedAttempt, state: str) -> None:
         if state in ("started", "running"):
             held.begun = True
         else:
-            self.board.judge.ended(held.judged, never_ran=state == "returned" and not held.begun)
+            self.controller.judge.ended(held.judged, never_ran=state == "returned" and not held.begun)
 
 
 def _filler(address: tuple[str, int]) -> socket.socket:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -444,7 +444,7 @@
     assert servers.start.call_count == 1
     clock.now_us.return_value += LIMITS.stop_answers_for_us
     dispatcher.run_batch([])
-    assert servers.start.call_count == servers.give_up.call_count == 1
+    assert servers.start.call_count == servers.cancel.call_count == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
     assert answer.status is verdict
 
--- a/tests/test_duplicates.py
+++ b/tests/test_duplicates.py
@@ -25,12 +25,12 @@
     TOO_LARGE,
     Answer,
     Behaviour,
-    BreakOff,
     BreakPoint,
-    CallBack,
+    ConnectionBreak,
     FirstAnswer,
     NoAnswer,
-    NotHttp,
+    NonHttpResponse,
+    ScriptedCallback,
 )
 from tests.faulty_cluster import (
     BY_ALL,
@@ -45,7 +45,7 @@
     cluster,
     start,
 )
-from tests.faulty_executor import HeldAttempt
+from tests.faulty_executor import ReceivedAttempt
 from tests.net import play
 
 SINGLE = Profile("one attempt out, pushed lists")
@@ -57,7 +57,7 @@
 TWO_NODES = Profile("two nodes, one attempt out, asked lists", pushed=False, nodes=2)
 PROBED_COPIES = Profile("probes and second copies", probes=True, second_copies=True)
 PROFILES = (SINGLE, ASKED, COPIES, COPIES_KEPT, ONE_SEND, PROBES, TWO_NODES)
-SLOW_DONE = CallBack("done", delay=0.1)
+SLOW_DONE = ScriptedCallback("done", delay=0.1)
 
 
 @asynccontextmanager
@@ -82,7 +82,7 @@
             nursery.start_soon(one, rules)
 
 
-def first_only(fault: Behaviour) -> Callable[[HeldAttempt], Behaviour]:
+def first_only(fault: Behaviour) -> Callable[[ReceivedAttempt], Behaviour]:
     """Return a script by which the first attempt of each request meets the fault."""
     return lambda held: fault if held.number == 0 else Behaviour()
 
@@ -93,7 +93,7 @@
     So no test passes by sending nothing, and none by the slack that the judge gives to a window of 0.
     """
     for rules in EVERY_CLASS:
-        attempts = len([held for held in at.board.attempts if held.name.endswith(f"-{rules.name}")])
+        attempts = len([held for held in at.controller.attempts if held.name.endswith(f"-{rules.name}")])
         repeats = rules.may_repeat_elsewhere and profile.send_cap > 1
         assert attempts > 1 if repeats else attempts == 1, (rules.name, attempts)
 
@@ -128,7 +128,7 @@
     async def scene() -> None:
         statuses: dict[str, int] = {}
 
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             if not held.name.startswith("first-") or held.number:
                 return LONG_JOB
             # Done before its answer, so that the next job meets an executor with room.
@@ -139,15 +139,15 @@
             statuses[name] = await at.request(name.partition(" ")[0], name.replace(" ", "-"), route="same")
 
         async with scattered(tmp_path, profile) as at, trio.open_nursery() as nursery:
-            at.board.script = script
+            at.controller.script = script
             for rules in EVERY_CLASS:
                 name = f"first-{rules.name}"
                 await at.request(rules.name, name, route="same")
-                await at.board.of(name)[0].answer_over.wait()
+                await at.controller.attempts_of(name)[0].answer_finished.wait()
                 await trio.testing.wait_all_tasks_blocked()
                 for number in range(1 if first is TAKEN else 3):  # a refused job's executor is passed over
                     nursery.start_soon(hand_in, f"{rules.name} second {number}")
-                await at.board.wait_for(f"{rules.name}-second-0", 0)
+                await at.controller.wait_for_attempt(f"{rules.name}-second-0", 0)
         assert set(statuses.values()) == {200}
 
     play(scene)
@@ -164,10 +164,10 @@
             statuses[rules.name] = await at.request(rules.name)
 
         async with scattered(tmp_path, PROBES) as at:
-            at.board.script = lambda held: LONG_JOB
-            at.board.second_probe_answer = stray
+            at.controller.script = lambda held: LONG_JOB
+            at.controller.second_probe_answer = stray
             await for_each_class(one)
-            assert at.board.probes >= len(EVERY_CLASS)
+            assert at.controller.probes >= len(EVERY_CLASS)
         assert statuses == {rules.name: 200 for rules in EVERY_CLASS}
 
     play(scene)
@@ -186,22 +186,22 @@
     async def scene() -> None:
         statuses: dict[str, int] = {}
 
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             return Behaviour(after=(STARTED,)) if held.name.startswith("left-") else LONG_JOB
 
         async def hand_in(rules: ClassRules) -> None:
             statuses[rules.name] = await at.request(rules.name, f"next-{rules.name}", route="same")
 
         async with scattered(tmp_path, profile) as at, trio.open_nursery() as nursery:
-            at.board.script, at.board.second_delete_answer = script, stray
+            at.controller.script, at.controller.second_delete_answer = script, stray
             for rules in EVERY_CLASS:
                 name = f"left-{rules.name}"
                 await at.leave_after_start(rules.name, name, route="same")
-                while name not in at.board.deletes:
+                while name not in at.controller.deletes:
                     await trio.sleep(0.002)
                 await trio.testing.wait_all_tasks_blocked(0.002)
                 nursery.start_soon(hand_in, rules)
-                await at.board.wait_for(f"next-{rules.name}", 0)
+                await at.controller.wait_for_attempt(f"next-{rules.name}", 0)
         assert statuses == {rules.name: 200 for rules in EVERY_CLASS}
 
     play(scene)
@@ -227,14 +227,14 @@
     tmp_path: Path, profile: Profile, point: BreakPoint, reset: bool
 ) -> None:
     """The job runs on all the same and calls back; it goes out again only where its class allows."""
-    await_done = (CallBack("started", delay=0.05), CallBack("done", delay=0.05))
+    await_done = (ScriptedCallback("started", delay=0.05), ScriptedCallback("done", delay=0.05))
 
     async def scene() -> None:
         async def one(rules: ClassRules) -> None:
             await at.request(rules.name, f"broken-{rules.name}")
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = first_only(Behaviour(BreakOff(point, reset), after=await_done))
+            at.controller.script = first_only(Behaviour(ConnectionBreak(point, reset), after=await_done))
             await for_each_class(one)
         if point is not BreakPoint.AFTER_ANSWER:
             assert_repeats(at, profile)
@@ -254,7 +254,7 @@
     "500 with the header": Answer(500, not_processed=True),
     "202 too large": TOO_LARGE,
     "503 too large": Answer(503, not_processed=True, body=TOO_LARGE.body),
-    "no HTTP": NotHttp(),
+    "no HTTP": NonHttpResponse(),
 }
 
 
@@ -271,14 +271,14 @@
     tmp_path: Path, profile: Profile, name: str
 ) -> None:
     """The job runs all the same; where copies are not allowed, it is given up before it goes out again."""
-    runs_on = (CallBack("started", delay=0.05), CallBack("done", delay=0.05))
+    runs_on = (ScriptedCallback("started", delay=0.05), ScriptedCallback("done", delay=0.05))
 
     async def scene() -> None:
         async def one(rules: ClassRules) -> None:
             await at.request(rules.name)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = first_only(Behaviour(ODD_ANSWERS[name], after=runs_on))
+            at.controller.script = first_only(Behaviour(ODD_ANSWERS[name], after=runs_on))
             await for_each_class(one)
 
     play(scene)
@@ -296,8 +296,8 @@
             await at.request(rules.name, timeout_ms=400)
 
         async with scattered(tmp_path, SINGLE) as at:
-            at.board.loses_deletes, at.board.breaks_deletes = not breaks, breaks
-            at.board.script = first_only(Behaviour(ODD_ANSWERS[name], after=(STARTED,)))
+            at.controller.ignores_deletes, at.controller.resets_on_delete = not breaks, breaks
+            at.controller.script = first_only(Behaviour(ODD_ANSWERS[name], after=(STARTED,)))
             await for_each_class(one)
 
     play(scene)
@@ -317,7 +317,7 @@
             statuses[rules.name] = await at.request(rules.name)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = first_only(Behaviour(answer, after=()))
+            at.controller.script = first_only(Behaviour(answer, after=()))
             await for_each_class(one)
         wanted = 503 if profile.send_cap == 1 else 200
         assert statuses == {rules.name: wanted for rules in EVERY_CLASS}
@@ -327,7 +327,7 @@
 
 # Call-backs.
 
-RETURNED = CallBack("returned")
+RETURNED = ScriptedCallback("returned")
 HANDED_BACK = {
     "after a start": (Behaviour(after=(STARTED, RETURNED)), False),
     "after a start, before the 202": (Behaviour(before=(STARTED, RETURNED), after=()), False),
@@ -354,7 +354,7 @@
             statuses[rules.name] = await at.request(rules.name)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = first_only(fault)
+            at.controller.script = first_only(fault)
             await for_each_class(one)
         assert not never_ran or set(statuses.values()) == {200}
 
@@ -363,7 +363,7 @@
 
 @pytest.mark.parametrize(
     "answer",
-    [TAKEN, Answer(500), REFUSED, BreakOff(BreakPoint.BEFORE_ANSWER), NoAnswer()],
+    [TAKEN, Answer(500), REFUSED, ConnectionBreak(BreakPoint.BEFORE_ANSWER), NoAnswer()],
     ids=["202", "500", "refusal", "reset", "nothing"],
 )
 def test_a_job_done_before_its_answer_is_served_and_not_sent_again(
@@ -378,9 +378,9 @@
             statuses[rules.name] = await at.request(rules.name)
 
         async with scattered(tmp_path, SINGLE) as at:
-            at.board.script = first_only(Behaviour(answer, before=(STARTED, DONE), after=()))
+            at.controller.script = first_only(Behaviour(answer, before=(STARTED, DONE), after=()))
             await for_each_class(one)
-            assert len(at.board.attempts) == len(EVERY_CLASS)
+            assert len(at.controller.attempts) == len(EVERY_CLASS)
         assert set(statuses.values()) == {200}
 
     play(scene)
@@ -397,13 +397,13 @@
     async def scene() -> None:
         statuses: dict[str, int] = {}
         second_is_out, first_has_spoken = trio.Event(), trio.Event()
-        late = (CallBack("started", gate=second_is_out), CallBack(state))
-        broken = Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=late)
+        late = (ScriptedCallback("started", gate=second_is_out), ScriptedCallback(state))
+        broken = Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=late)
 
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             if held.number == 0:
                 return broken
-            return Behaviour(after=(STARTED, CallBack("done", gate=first_has_spoken)))
+            return Behaviour(after=(STARTED, ScriptedCallback("done", gate=first_has_spoken)))
 
         async def one(rules: ClassRules) -> None:
             statuses[rules.name] = await at.request(rules.name)
@@ -411,19 +411,19 @@
         async def order_events() -> None:
             for rules in classes:
                 name = await at.named(rules.name)
-                second = await at.board.wait_for(name, 1)
+                second = await at.controller.wait_for_attempt(name, 1)
                 while not second.begun:
                     await trio.sleep(0.002)
             second_is_out.set()
-            while any(held.call_backs_made < len(late) for held in at.board.attempts if held.number == 0):
+            while any(held.callbacks_sent < len(late) for held in at.controller.attempts if held.number == 0):
                 await trio.sleep(0.002)
             first_has_spoken.set()
 
         async with scattered(tmp_path, profile, classes) as at, trio.open_nursery() as nursery:
-            at.board.script = script
+            at.controller.script = script
             nursery.start_soon(order_events)
             await for_each_class(one, classes)
-            assert len(at.board.attempts) == 2 * len(classes)
+            assert len(at.controller.attempts) == 2 * len(classes)
         assert set(statuses.values()) == {200}
 
     play(scene)
@@ -442,16 +442,18 @@
 
         async def speak() -> None:
             for rules in EVERY_CLASS:
-                held = await at.board.wait_for(await at.named(rules.name), 0)
+                held = await at.controller.wait_for_attempt(await at.named(rules.name), 0)
                 stranger = next(name for name in at.executors if name != held.executor.identity.name)
                 await at.call_back_as(stranger, held.name, state)
             stranger_has_spoken.set()
 
         async with scattered(tmp_path, SINGLE) as at, trio.open_nursery() as nursery:
-            at.board.script = lambda held: Behaviour(after=(CallBack("done", gate=stranger_has_spoken),))
+            at.controller.script = lambda held: Behaviour(
+                after=(ScriptedCallback("done", gate=stranger_has_spoken),)
+            )
             nursery.start_soon(speak)
             await for_each_class(one)
-            assert len(at.board.attempts) == len(EVERY_CLASS)
+            assert len(at.controller.attempts) == len(EVERY_CLASS)
         assert set(statuses.values()) == {200}
 
     play(scene)
@@ -470,10 +472,10 @@
                 await at.request(rules.name, f"{seed_of_names}-{number}-{rules.name}")
 
         async with scattered(tmp_path, PROBED_COPIES) as at:
-            at.board.script = first_only(Behaviour(after=(CallBack("started", delay=0.2), DONE)))
+            at.controller.script = first_only(Behaviour(after=(ScriptedCallback("started", delay=0.2), DONE)))
             await for_each_class(one)
-            assert at.board.probes > len(EVERY_CLASS)
-        assert len(at.board.attempts) > JOBS_PROBED * len(EVERY_CLASS), "no copy was sent"
+            assert at.controller.probes > len(EVERY_CLASS)
+        assert len(at.controller.attempts) > JOBS_PROBED * len(EVERY_CLASS), "no copy was sent"
 
     play(scene)
 
@@ -481,17 +483,17 @@
 @pytest.mark.parametrize("state", ["returned", "failed", "done"])
 def test_an_attempt_whose_delete_was_lost_may_speak_late(tmp_path: Path, state: str) -> None:
     """A copy has started, the first attempt is given up, and its executor never hears of it."""
-    late = (CallBack("started", delay=0.2), CallBack(state))
+    late = (ScriptedCallback("started", delay=0.2), ScriptedCallback(state))
 
     async def scene() -> None:
         async def one(rules: ClassRules) -> None:
             await at.request(rules.name)
 
         async with scattered(tmp_path, COPIES) as at:
-            at.board.loses_deletes = True
-            at.board.script = first_only(Behaviour(after=late))
+            at.controller.ignores_deletes = True
+            at.controller.script = first_only(Behaviour(after=late))
             await for_each_class(one)
-            assert at.board.deletes
+            assert at.controller.deletes
 
     play(scene)
 
@@ -507,7 +509,7 @@
     """Every request is answered in time; one that may have run is not refused."""
 
     async def scene() -> None:
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             if vanishes:
                 held.executor.stop_accepting()
             return Behaviour(NoAnswer(), after=())
@@ -516,7 +518,7 @@
             await at.request(rules.name, timeout_ms=400)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = script
+            at.controller.script = script
             await for_each_class(one)
             assert {rules.name for rules in EVERY_CLASS} == at.classes_sent()
 
@@ -556,10 +558,10 @@
                 executor.pause_accepting()
             nursery.start_soon(for_each_class, one)
             await trio.sleep(0.2)
-            assert not at.board.attempts
+            assert not at.controller.attempts
             for executor in at.executors.values():
-                executor.accept_again()
-        assert set(statuses.values()) == {200} and len(at.board.attempts) == len(EVERY_CLASS)
+                executor.resume_accepting()
+        assert set(statuses.values()) == {200} and len(at.controller.attempts) == len(EVERY_CLASS)
 
     play(scene)
 
@@ -568,7 +570,7 @@
     "a copy": (Profile("", second_copies=True, dial_timeout_us=1_500_000), Behaviour(after=())),
     "a repeat": (
         Profile("", dial_timeout_us=1_500_000),
-        Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=()),
+        Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=()),
     ),
 }
 
@@ -579,7 +581,7 @@
     profile, first = SLOW_DIALS[name]
 
     async def scene() -> None:
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             if held.number:
                 return Behaviour()
             for executor in at.executors.values():
@@ -588,12 +590,12 @@
             return first
 
         async with scattered(tmp_path, profile, (BY_ALL,)) as at, trio.open_nursery() as nursery:
-            at.board.script = script
+            at.controller.script = script
             nursery.start_soon(at.request, BY_ALL.name, "slow")
-            await at.board.wait_for("slow", 0)
+            await at.controller.wait_for_attempt("slow", 0)
             await trio.sleep(BY_ALL.window_us / 1e6 + 0.1)
             for executor in at.executors.values():
-                executor.accept_again()
+                executor.resume_accepting()
 
     play(scene)
 
@@ -616,11 +618,11 @@
                 group = number // 2
                 at.add(f"executor-{number}", rules.name, f"hall-{'abc'[group]}", group)
             await start(at, profile, (rules,))
-            at.board.script = first_only(Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=()))
+            at.controller.script = first_only(Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=()))
             for _ in range(3):
                 await one()
             assert await at.faults() == []
-            assert statuses == [200] * 3 and len(at.board.attempts) == 6
+            assert statuses == [200] * 3 and len(at.controller.attempts) == 6
 
     play(scene)
 
@@ -635,12 +637,12 @@
 
     async def scene() -> None:
         relisted = trio.Event()
-        broken = Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=(), gate=relisted)
+        broken = Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=(), gate=relisted)
 
         async with scattered(tmp_path, profile, (rules,)) as at, trio.open_nursery() as nursery:
-            at.board.script = first_only(broken)
+            at.controller.script = first_only(broken)
             nursery.start_soon(at.request, rules.name, "moved")
-            first = (await at.board.wait_for("moved", 0)).executor
+            first = (await at.controller.wait_for_attempt("moved", 0)).executor
             other = next(executor for executor in at.executors.values() if executor is not first)
             if removed:
                 await at.relist(first.identity.name, state="DELETED")
@@ -663,12 +665,12 @@
             name = f"restarted-{rules.name}"
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(at.request, rules.name, name)
-                first = (await at.board.wait_for(name, 0)).executor
+                first = (await at.controller.wait_for_attempt(name, 0)).executor
                 first.restart("hall-f", 9)
                 await at.relist(first.identity.name, addr=first.addr, zone="hall-f", cell=9, started_ms=1)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = lambda held: (
+            at.controller.script = lambda held: (
                 Behaviour(NoAnswer(), after=()) if held.number == 0 else Behaviour()
             )
             for rules in EVERY_CLASS:
@@ -690,7 +692,7 @@
             await at.request(rules.name, key=False)
 
         async with scattered(tmp_path, profile) as at:
-            at.board.script = first_only(Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=()))
+            at.controller.script = first_only(Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=()))
             await for_each_class(one)
 
     play(scene)
@@ -704,7 +706,7 @@
             await at.request(rules.name, key=False)
 
         async with scattered(tmp_path, COPIES) as at:
-            at.board.script = first_only(Behaviour(after=(CallBack("started", delay=0.2), DONE)))
+            at.controller.script = first_only(Behaviour(after=(ScriptedCallback("started", delay=0.2), DONE)))
             await for_each_class(one)
 
     play(scene)
@@ -719,7 +721,7 @@
     async def scene() -> None:
         async with scattered(tmp_path, SINGLE) as at:
             assert await at.request(header.name, path=f"/{path.name}") == 400
-            assert not at.board.attempts
+            assert not at.controller.attempts
 
     play(scene)
 
@@ -727,21 +729,21 @@
 @pytest.mark.parametrize("outcome", ["served", "failed"])
 def test_an_id_that_was_used_a_moment_ago_is_answered_with_an_error(tmp_path: Path, outcome: str) -> None:
     """Ids are fresh for every request: a replay of one that is over, or still under way, is not sent."""
-    failing = Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=())
+    failing = Behaviour(ConnectionBreak(BreakPoint.BEFORE_ANSWER), after=())
 
     async def scene() -> None:
         async def one(rules: ClassRules) -> None:
             name = f"replayed-{rules.name}"
             first = await at.request(rules.name, name)
-            sent = len(at.board.of(name))
+            sent = len(at.controller.attempts_of(name))
             replayed = await at.replay(name)
             if first not in (429, 503):
                 assert replayed not in (0, 200, 429, 503)
-                assert len(at.board.of(name)) == sent
+                assert len(at.controller.attempts_of(name)) == sent
 
         async with scattered(tmp_path, ONE_SEND) as at:
             if outcome == "failed":
-                at.board.script = lambda held: failing
+                at.controller.script = lambda held: failing
             for rules in EVERY_CLASS:
                 await one(rules)
 
@@ -759,12 +761,14 @@
             statuses.append(await at.request(REPEATABLE.name, "in-use"))
 
         async with scattered(tmp_path, SINGLE) as at, trio.open_nursery() as nursery:
-            at.board.script = lambda held: Behaviour(after=(STARTED, CallBack("done", gate=replayed)))
+            at.controller.script = lambda held: Behaviour(
+                after=(STARTED, ScriptedCallback("done", gate=replayed))
+            )
             nursery.start_soon(first)
-            await at.board.wait_for("in-use", 0)
+            await at.controller.wait_for_attempt("in-use", 0)
             assert await at.replay("in-use") not in (0, 200, 429, 503)
             replayed.set()
-        assert statuses == [200] and len(at.board.of("in-use")) == 1
+        assert statuses == [200] and len(at.controller.attempts_of("in-use")) == 1
 
     play(scene)
 
@@ -776,15 +780,18 @@
     Behaviour(second_answer=Answer(500)),
     Behaviour(REFUSED, after=()),
     Behaviour(REFUSED, after=(), second_answer=REFUSED),
-    *[Behaviour(BreakOff(point), after=(CallBack("started", delay=0.03), DONE)) for point in BreakPoint],
-    Behaviour(Answer(200), after=(CallBack("started", delay=0.05), DONE)),
-    Behaviour(Answer(503), after=(CallBack("started", delay=0.05), DONE)),
-    Behaviour(Answer(500), after=(CallBack("done", delay=0.05),)),
-    Behaviour(NotHttp(), after=(CallBack("done", delay=0.05),)),
+    *[
+        Behaviour(ConnectionBreak(point), after=(ScriptedCallback("started", delay=0.03), DONE))
+        for point in BreakPoint
+    ],
+    Behaviour(Answer(200), after=(ScriptedCallback("started", delay=0.05), DONE)),
+    Behaviour(Answer(503), after=(ScriptedCallback("started", delay=0.05), DONE)),
+    Behaviour(Answer(500), after=(ScriptedCallback("done", delay=0.05),)),
+    Behaviour(NonHttpResponse(), after=(ScriptedCallback("done", delay=0.05),)),
     Behaviour(after=(STARTED, RETURNED)),
     Behaviour(after=(RUNNING, RETURNED)),
     Behaviour(after=(RETURNED,)),
-    Behaviour(after=(CallBack("started", delay=0.1), DONE)),
+    Behaviour(after=(ScriptedCallback("started", delay=0.1), DONE)),
     Behaviour(before=(STARTED, DONE), after=()),
     Behaviour(NoAnswer(), after=()),
 )
@@ -808,7 +815,7 @@
     async def scene() -> None:
         chance = random.Random(SEED)
 
-        def script(held: HeldAttempt) -> Behaviour:
+        def script(held: ReceivedAttempt) -> Behaviour:
             return chance.choice(STORM_FAULTS) if chance.random() < FAULTY_SHARE else Behaviour()
 
         async def one(rules: ClassRules) -> None:
@@ -829,8 +836,8 @@
                 )
 
         async with scattered(tmp_path, profile) as at, trio.open_nursery() as nursery:
-            at.board.script = script
-            at.board.second_delete_answer = at.board.second_probe_answer = REFUSED
+            at.controller.script = script
+            at.controller.second_delete_answer = at.controller.second_probe_answer = REFUSED
             nursery.start_soon(restart_some)
             await for_each_class(one)
             nursery.cancel_scope.cancel()
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -142,7 +142,7 @@
     async def scene() -> None:
         async def answers(method: str) -> Reply:
             if method == "POST":  # given up by a task that runs before this one goes on
-                at.servers.give_up(at.attempt)
+                at.servers.cancel(at.attempt)
             return Reply(status, headers, b"")
 
         async with servers_over(answers) as at:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -28,7 +28,7 @@
 )
 from merlinbay.http.sockets import TRIO_SOCKET
 from merlinbay.log import Log
-from merlinbay.platform.discovery import UnexpectedStatusError, failure_of
+from merlinbay.platform.discovery import UnexpectedStatusError, classify_failure
 from merlinbay.platform.start_times import StartTimes
 from tests.net import LIMITS, play, stage
 from tests.support import entry, settings
@@ -139,7 +139,7 @@
             pytest.raises(RequestNotSentError) as raised,
         ):
             await ClientConnection.connect("127.0.0.2:9", LIMITS)
-        assert type(raised.value) is kind and failure_of(raised.value) is failure
+        assert type(raised.value) is kind and classify_failure(raised.value) is failure
 
     trio.run(scene)
 
@@ -150,7 +150,7 @@
 )
 def test_only_discovery_s_own_word_says_that_it_is_down(status: int, failure: CallFailure) -> None:
     """Any other status may come from something else on the way."""
-    assert failure_of(UnexpectedStatusError(status)) is failure
+    assert classify_failure(UnexpectedStatusError(status)) is failure
 
 
 def test_a_server_is_not_left_out_for_what_this_machine_lacks(tmp_path: Path) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -88,7 +88,7 @@
             assert not self.runs[attempt.spec.idempotency_key]
         self.open[key] = attempt
 
-    def give_up(self, attempt: ServerAttempt) -> None:
+    def cancel(self, attempt: ServerAttempt) -> None:
         """Note it: what is given up unstarted never starts later in this world."""
         self.given_up.add(attempt)
 
