--- a/bench/events.py
+++ b/bench/events.py
@@ -169,7 +169,7 @@
         for name in costs:
             gate = None if name == "plain" else tokens.TokenGate(ring)
             listener = Listener(front_of(gate), limits, counters, log)
-            listener.prepare = shake if "TLS" in name else None
+            listener.prepare_socket = shake if "TLS" in name else None
             sock = await listener.bind("127.0.0.1", 0)
             nursery.start_soon(listener.serve, sock)
             stream: trio.abc.Stream = await trio.open_tcp_stream("127.0.0.1", sock.getsockname()[1])
--- a/merlinbay/cli/local.py
+++ b/merlinbay/cli/local.py
@@ -156,7 +156,7 @@
         limits,
         stop_serving_for_s=0.0,
         stop_arrivals_for_s=0.0,
-        stop_answers_for_us=50_000,
+        stop_responses_for_us=50_000,
         stop_timeout_s=1.0,
     )
 
--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.balancer, self.clock, self.limits = balancer, clock, limits
         self.counters, self.log = counters, log
-        requests = self.requests = RequestTable(limits.finished_names)
+        requests = self.requests = RequestTable(limits.finished_request_names)
         timers = self.timers = Timers()
         batch = self.batch = EventBatch()
         class_names = {job_class.name for job_class in balancer.settings.classes}
--- a/merlinbay/core/request_lifecycle.py
+++ b/merlinbay/core/request_lifecycle.py
@@ -85,7 +85,7 @@
             message.responder.answer(Answer(AnswerStatus.REJECTED, retry_after_us=retry_after_us))
             return
         self.request_count += 1
-        budget_us = max(spec.time_budget_us - self.limits.answer_margin_us, SHORTEST_BUDGET_US)
+        budget_us = max(spec.time_budget_us - self.limits.response_margin_us, SHORTEST_BUDGET_US)
         deadline_at_us = spec.arrived_at_us + budget_us
         request = OpenRequest(spec, self.request_count, message.responder, deadline_at_us)
         self.requests.add(request)
@@ -101,7 +101,7 @@
     def _on_shutdown_requested(self, message: ShutdownRequested) -> None:
         self.is_shutting_down = True
         # Guards against requests that outlast the process: all are answered before it ends.
-        latest_us = self.batch.now_us + self.limits.stop_answers_for_us
+        latest_us = self.batch.now_us + self.limits.stop_responses_for_us
         for request in self.requests:
             if not request.is_answered and request.deadline_at_us > latest_us:
                 request.deadline_at_us = latest_us
--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -110,6 +110,6 @@
             return "InternalException", ending.note or f"ended by {ending.signal}; it may have run"
         if ending.exit_status is not None:
             return "", ending.note
-        if now_us >= self.deadline_us - self.front.limits.answer_margin_us:
+        if now_us >= self.deadline_us - self.front.limits.response_margin_us:
             return "TimeoutException", "the deadline has passed; it may have run"
         return "InternalException", ending.note or "failed; it may have run"
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -149,7 +149,9 @@
             templates.template_for(attempt.spec, attempt.deadline_at_us), attempt.server, self.notify
         )
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_at(self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer_timeout_s):
+        with trio.move_on_at(
+            self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_response_timeout_s
+        ):
             request = OutgoingRequest(
                 "POST",
                 JOBS,
--- a/merlinbay/drmaa/wiring.py
+++ b/merlinbay/drmaa/wiring.py
@@ -122,7 +122,7 @@
         if self.handshakes is None or self.front is None:
             return
         listener = Listener(Routes([("/drmaa2", self.front)]), limits, self.counters, self.log)
-        listener.prepare = self.handshakes
+        listener.prepare_socket = self.handshakes
         host, port = parse_address(self.settings.access.tls)
         try:
             sock = await listener.bind(host, port)
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -64,7 +64,7 @@
 class ConnectionTransfer(msgspec.Struct, tag="EdgeGiven", frozen=True):
     """A client connection without a request under way; its descriptor comes with the packet."""
 
-    is_proven: bool = msgspec.field(name="proven")  # as ``http.server.Listener.adopt`` takes it
+    is_proven: bool = msgspec.field(name="proven")  # as ``http.server.Listener.add_connection`` takes it
     calls_back: bool
 
 
--- a/merlinbay/handover/relayed_messages.py
+++ b/merlinbay/handover/relayed_messages.py
@@ -46,4 +46,4 @@
     def _adopt(self, transfer: messages.ConnectionTransfer, descriptor: int) -> None:
         self._counters.add("edge_connections_taken_over")
         sock = trio.socket.from_stdlib_socket(socket.socket(fileno=descriptor))
-        self._listener.adopt(sock, transfer.is_proven, transfer.calls_back)
+        self._listener.add_connection(sock, transfer.is_proven, transfer.calls_back)
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -54,5 +54,5 @@
         # Guards against requests that cross the close: most connections end with a response.
         await trio.sleep_until(began + self.limits.standby_close_after_s)
         while True:
-            self.listener.close_idle(self.limits.standby_quiet_for_s)
+            self.listener.close_idle(self.limits.standby_idle_after_s)
             await trio.sleep(self.limits.standby_check_interval_s)
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -13,11 +13,11 @@
 from merlinbay.http.lifetime import ConnectionLifetime
 from merlinbay.http.messages import Request, Response
 from merlinbay.http.request_buffer import RequestBuffer
-from merlinbay.http.server_stream import Prepare, ServerStream
+from merlinbay.http.server_stream import PrepareSocket, ServerStream
 from merlinbay.http.sockets import StreamSocket, is_readable
 from merlinbay.limits import ResourceLimits
 
-__all__ = ["Connection", "GiveAway", "Handler", "Prepare", "Request", "Response"]
+__all__ = ["Connection", "GiveAway", "Handler", "PrepareSocket", "Request", "Response"]
 
 GiveAway = Callable[["Connection"], bool]
 """Gives a connection to another process; tells whether that took it."""
@@ -42,10 +42,15 @@
         limits: ResourceLimits,
         handler: Handler,
         nursery: trio.Nursery,
-        prepare: Prepare | None = None,
+        prepare_socket: PrepareSocket | None = None,
         plain_socket: socket.socket | None = None,
     ) -> None:
-        self.limits, self.handler, self.nursery, self.prepare = limits, handler, nursery, prepare
+        self.limits, self.handler, self.nursery, self.prepare_socket = (
+            limits,
+            handler,
+            nursery,
+            prepare_socket,
+        )
         self.lifetime = ConnectionLifetime(limits)
         self.stream = ServerStream(sock, plain_socket, limits, self.lifetime)
         self.incoming = RequestBuffer(limits)  # the request that is being read
@@ -86,7 +91,7 @@
 
     def hand_over(self, give_away: GiveAway) -> None:
         """Have the connection given away once no request is in progress on it."""
-        if self.prepare is None:  # the state of TLS cannot be given
+        if self.prepare_socket is None:  # the state of TLS cannot be given
             self.give_away = give_away
             if self.is_idle:
                 self.read_scope.cancel()
@@ -114,7 +119,7 @@
 
     def expire(self) -> None:
         """End it because its client was idle, or too slow, for too long."""
-        is_preparing = self.prepare is not None and self.sock is self.stream.raw
+        is_preparing = self.prepare_socket is not None and self.sock is self.stream.raw
         if self.stream.is_writing or is_preparing:
             self.scope.cancel()  # its client takes nothing, and nobody reads: there is no good order left
         else:
@@ -126,8 +131,8 @@
         """Serve the connection to its end. Its errors end it alone."""
         with self.scope, self.stream.raw:
             try:
-                if self.prepare is not None:
-                    await self.stream.prepare(self.prepare)
+                if self.prepare_socket is not None:
+                    await self.stream.prepare(self.prepare_socket)
                 await self._read_requests()
             except (OSError, h11.ProtocolError, trio.ClosedResourceError):
                 pass
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -8,7 +8,7 @@
 import trio
 
 from merlinbay.counters import Counters
-from merlinbay.http.connection import Connection, GiveAway, Handler, Prepare
+from merlinbay.http.connection import Connection, GiveAway, Handler, PrepareSocket
 from merlinbay.http.sockets import split_plain_socket
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
@@ -33,7 +33,7 @@
     def __init__(self, handler: Handler, limits: ResourceLimits, counters: Counters, log: Log) -> None:
         self.handler, self.limits, self.counters, self.log = handler, limits, counters, log
         self.connections: set[Connection] = set()
-        self.prepare: Prepare | None = None  # makes TLS of accepted connections
+        self.prepare_socket: PrepareSocket | None = None  # makes TLS of accepted connections
         self.is_draining = False  # no new connection is expected, but those there are served on
         self.closes_after_response = False  # connections, those to come included
         self.give_away: GiveAway | None = None  # gives connections to another process; none are accepted then
@@ -79,10 +79,10 @@
                     continue
                 if accepted is not None:
                     self.counters.add("edge_connections")
-                    self.adopt(accepted)
+                    self.add_connection(accepted)
             sock.close()
 
-    def adopt(
+    def add_connection(
         self,
         sock: trio.socket.SocketType,
         has_served_request: bool = False,
@@ -100,7 +100,7 @@
             sock.close()
             return
         sock, plain = split_plain_socket(sock)
-        connection = Connection(sock, self.limits, self.handler, self.nursery, self.prepare, plain)
+        connection = Connection(sock, self.limits, self.handler, self.nursery, self.prepare_socket, plain)
         connection.closes_after_response, connection.give_away = self.closes_after_response, self.give_away
         connection.has_served_request = has_served_request
         connection.carries_callbacks = carries_callbacks
--- a/merlinbay/http/server_stream.py
+++ b/merlinbay/http/server_stream.py
@@ -17,7 +17,7 @@
 
 HEAD_END = re.compile(rb"\n\r?\n")
 
-Prepare = Callable[[trio.socket.SocketType], Awaitable[StreamSocket]]
+PrepareSocket = Callable[[trio.socket.SocketType], Awaitable[StreamSocket]]
 """Makes what an accepted connection is read and written by, such as a TLS stream."""
 
 
@@ -76,9 +76,9 @@
             return True
         return False
 
-    async def prepare(self, prepare: Prepare) -> None:
+    async def prepare(self, prepare_socket: PrepareSocket) -> None:
         """Prepare the socket."""
-        self.sock = await prepare(self.raw)
+        self.sock = await prepare_socket(self.raw)
 
     async def receive(self) -> bytes:
         """Read some bytes; none at the end of the stream."""
--- a/merlinbay/limits.py
+++ b/merlinbay/limits.py
@@ -35,8 +35,10 @@
     # Requests
     inbox_messages: int = 4096  # messages that wait for the dispatcher; beyond it their senders wait
     max_open_requests: int = 300  # held at the same time
-    finished_names: int = 1024  # names of finished requests that are kept, so that none is sent on again
-    answer_margin_us: int = 20_000  # between the end of a request and its client's deadline
+    finished_request_names: int = (
+        1024  # names of finished requests that are kept, so that none is sent on again
+    )
+    response_margin_us: int = 20_000  # between the end of a request and its client's deadline
     deadline_recheck_us: int = 5_000  # after its deadline, a request that the balancer left open fails
 
     # Connections to servers
@@ -45,7 +47,7 @@
     connect_timeout_s: float = 0.12
     pool_idle_timeout_s: float = 8.0  # below the servers' keep-alive
     pool_reuse_pause_s: float = 0.05  # between a response and the next use of its connection
-    late_answer_timeout_s: float = 1.0  # a 202 is waited for so long after the request's deadline
+    late_response_timeout_s: float = 1.0  # a 202 is waited for so long after the request's deadline
     cancel_timeout_s: float = 2.0  # for a DELETE and its response
     health_check_timeout_s: float = 1.0
 
@@ -73,7 +75,7 @@
     stop_arrivals_for_s: float = 0.3  # after SIGTERM, new connections are still expected
     stop_serving_for_s: float = 3.1  # after SIGTERM, requests are still admitted: clients keep connections
     stop_closing_for_s: float = 0.5  # where other nodes serve, clients are sent there before rejection begins
-    stop_answers_for_us: int = 300_000  # then requests under way may still end
+    stop_responses_for_us: int = 300_000  # then requests under way may still end
     stop_rejecting_for_s: float = 0.1  # after the last answer, requests that cross the closing are rejected
     stop_close_timeout_s: float = 0.15  # then connections may end in good order
     stop_timeout_s: float = 3.65  # the process ends at the latest, before SIGKILL
@@ -82,7 +84,7 @@
     # Standby, while the node serves on
     standby_arrivals_for_s: float = 0.5  # after the operator's call, new clients still connect
     standby_close_after_s: float = 1.4  # after the operator's call, idle connections are closed
-    standby_quiet_for_s: float = 0.2  # a connection counts as idle after so long
+    standby_idle_after_s: float = 0.2  # a connection counts as idle after so long
     standby_check_interval_s: float = 0.1  # between checks for idle connections
 
     # Handover to the next process
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -39,7 +39,7 @@
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
         scope = trio.CancelScope(
-            deadline=self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer_timeout_s
+            deadline=self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_response_timeout_s
         )
         if self.spawn(self._send, attempt, scope):
             self.sending[attempt] = scope
--- a/tests/duplicate_world.py
+++ b/tests/duplicate_world.py
@@ -30,7 +30,7 @@
 from tests.duplicate_case import Case, Disturbance, DrawnDisturbance, DrawnJob, Fault, draw, milliseconds
 from tests.duplicate_executor import HOST, Message, SimulatedExecutor, read_message, response
 from tests.duplicate_judge import DuplicateJudge, Executor
-from tests.net import bound
+from tests.net import bind_loopback
 from tests.virtual_time import run_in_virtual_time
 
 END_S = 6.5  # of a case: by then every request is answered and every report is made
@@ -156,7 +156,7 @@
         self.jobs = {job.name: job for job in case.jobs}
         self.stories: dict[str, list[str]] = {job.name: [] for job in case.jobs}
         self.answers: Tally[int] = Tally()
-        self.held = [bound() for _ in range(case.nodes)]  # ports kept for the nodes
+        self.held = [bind_loopback() for _ in range(case.nodes)]  # ports kept for the nodes
         self.ports = [sock.getsockname()[1] for sock in self.held]
         self.counters: list[Counters] = []
         self.executors: dict[str, SimulatedExecutor] = {}
@@ -178,8 +178,8 @@
         """Play it to its end."""
         async with trio.open_nursery() as self.nursery:
             for number, drawn in enumerate(self.case.executors):
-                self._start_executor(Executor(drawn.name, drawn.zone, drawn.cell), number, bound(), 0)
-            discovery = bound()
+                self._start_executor(Executor(drawn.name, drawn.zone, drawn.cell), number, bind_loopback(), 0)
+            discovery = bind_loopback()
             self.nursery.start_soon(self._discover, discovery)
             for me in range(self.case.nodes):
                 self._start_node(me, discovery.getsockname()[1])
@@ -302,7 +302,7 @@
         for attempt in executor.kill():
             if executor.rng.random() < KILLED_TOLD_SHARE:
                 self.nursery.start_soon(self._tell_killed, executor, attempt.job)
-        sock = bound()
+        sock = bind_loopback()
         if same_address:
             sock.close()
             sock = socket.socket()
--- a/tests/faulty_cluster.py
+++ b/tests/faulty_cluster.py
@@ -16,7 +16,7 @@
 from merlinbay.http.client import ClientConnection, ConnectionBrokenError, RequestNotSentError
 from tests.duplicate_judge import DuplicateJudge
 from tests.faulty_executor import FaultBoard, FaultyExecutor
-from tests.net import CONF, LIMITS, Stage, stage
+from tests.net import CONF, LIMITS, NodeFixture, node_fixture
 
 AIM_US = 120_000
 DEADLINE_US = 3_000_000
@@ -105,12 +105,12 @@
 class Cluster:
     """Nodes, faulty executors and clients of one test."""
 
-    nodes: list[Stage]
+    nodes: list[NodeFixture]
     nursery: trio.Nursery
     judge: DuplicateJudge
     executors: dict[str, FaultyExecutor] = field(default_factory=dict)
     rows: list[dict[str, Any]] = field(default_factory=list)
-    node_of: dict[str, Stage] = field(default_factory=dict)  # by request
+    node_of: dict[str, NodeFixture] = field(default_factory=dict)  # by request
     clients: list[ClientConnection] = field(default_factory=list)
     late: list[str] = field(default_factory=list)  # requests that got no answer in time
 
@@ -218,7 +218,7 @@
 
     async def _exchange(
         self,
-        at: Stage,
+        at: NodeFixture,
         name: str,
         job_class: str,
         timeout_ms: int,
@@ -285,15 +285,15 @@
     """Open a stage for nodes that are not started yet; close all of it at the end."""
     handlers = {number: signal.getsignal(number) for number in NODE_SIGNALS}
     try:
-        async with stage(folder) as first:
+        async with node_fixture(folder) as first:
             nodes = [first]
             for number in range(1, profile.nodes):
                 below = folder / f"node-{number}"
                 below.mkdir()
-                nodes.append(Stage(first.nursery, below))
+                nodes.append(NodeFixture(first.nursery, below))
             scene = Cluster(nodes, first.nursery, DuplicateJudge(profile.settings(classes)))
             for node in nodes:
-                node.rows = scene.rows
+                node.endpoint_rows = scene.rows
             yield scene
     finally:
         for number, handler in handlers.items():  # several nodes of one process end in any order
--- a/tests/faulty_executor.py
+++ b/tests/faulty_executor.py
@@ -30,7 +30,7 @@
     FirstAnswer,
     NotHttp,
 )
-from tests.net import bound
+from tests.net import bind_loopback
 
 SECOND_ANSWER_S = 0.03  # a second answer comes so late where its connection is not used before,
 SECOND_ANSWER_LATEST_S = 0.04  # and not at all after this: a slow test must not pass for a slow network
@@ -194,7 +194,7 @@
         self._listen()
 
     def _listen(self) -> None:
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(BACKLOG)
         self.listener = trio.socket.from_stdlib_socket(sock)
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -62,10 +62,10 @@
         "mustAskInUs": 10000000,
     },
 }
-LOAD = {"inflight": 0, "x0": 4, "x1": 4, "eps": 0}
+LOAD_REPORT = {"inflight": 0, "x0": 4, "x1": 4, "eps": 0}
 
 
-def bound() -> socket.socket:
+def bind_loopback() -> socket.socket:
     """Return a socket on a port of its own. No client's port is ever taken from 127.0.0.2."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -89,20 +89,20 @@
         return port
 
 
-Play = Callable[["StandIn", Request], Awaitable[Response | None]]
+ServerBehaviour = Callable[["FakeServer", Request], Awaitable[Response | None]]
 
 
 @dataclass
-class StandIn:
+class FakeServer:
     """A stand-in server: notes what comes and does what its play says; None breaks the connection."""
 
-    stage: Stage
+    fixture: NodeFixture
     name: str
-    play: Play
-    sock: socket.socket = field(default_factory=bound)
-    seen: list[tuple[float, Request]] = field(default_factory=list)
+    behaviour: ServerBehaviour
+    sock: socket.socket = field(default_factory=bind_loopback)
+    received: list[tuple[float, Request]] = field(default_factory=list)
     connections: set[int] = field(default_factory=set)
-    last: Connection | None = None
+    last_connection: Connection | None = None
 
     @property
     def addr(self) -> str:
@@ -111,14 +111,14 @@
 
     def targets(self, method: str = "POST") -> list[str]:
         """Return the targets asked for by a method."""
-        return [request.target for _, request in self.seen if request.method == method]
+        return [request.target for _, request in self.received if request.method == method]
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
         """Note it and play."""
-        self.seen.append((trio.current_time(), request))
+        self.received.append((trio.current_time(), request))
         self.connections.add(id(connection))
-        self.last = connection
-        response = await self.play(self, request)
+        self.last_connection = connection
+        response = await self.behaviour(self, request)
         if response is None:
             connection.scope.cancel()
         return response
@@ -132,7 +132,7 @@
         listener = Listener(self, LIMITS, Counters(), Log(100))
         await listener.serve(trio.socket.from_stdlib_socket(self.sock))
 
-    async def notify(self, job: str, state: str, **info: object) -> int:
+    async def send_notification(self, job: str, state: str, **info: object) -> int:
         """Make a DRMAA notification; return its status."""
         note = {
             "event": "NEW_STATE",
@@ -142,37 +142,37 @@
             "jobState": state,
             "jobInfo": {"jobId": f"id-{job}", "jobState": state, **info},
         }
-        return (await self.stage.json("POST", "/drmaa2/notifications", note))[0]
+        return (await self.fixture.call_json("POST", "/drmaa2/notifications", note))[0]
 
-    async def tell(self, job: str, state: str, **more: object) -> int:
+    async def send_event(self, job: str, state: str, **more: object) -> int:
         """Make a call-back; return its status."""
         event = {"id": job, "from": self.name, "state": state, **more}
-        return (await self.stage.call("POST", "/v1/job-events", body=json.dumps(event).encode())).status
+        return (await self.fixture.call("POST", "/v1/job-events", body=json.dumps(event).encode())).status
 
 
-async def serves(server: StandIn, request: Request) -> Response | None:
+async def completes_job(server: FakeServer, request: Request) -> Response | None:
     """Take a job, start it and be done soon."""
     job = request.headers.get("x-request-id", "")
 
     async def work() -> None:
-        await server.tell(job, "started")
+        await server.send_event(job, "started")
         await trio.sleep(0.02)
-        await server.tell(job, "done", result=f"{server.name}:{job}", load=LOAD)
+        await server.send_event(job, "done", result=f"{server.name}:{job}", load=LOAD_REPORT)
 
     if request.method == "POST":
-        server.stage.nursery.start_soon(work)
+        server.fixture.nursery.start_soon(work)
     return Response(202)
 
 
 @dataclass
-class Stage:
+class NodeFixture:
     """A node and its stand-ins."""
 
     nursery: trio.Nursery
     folder: Path
     port: int = field(default_factory=free_port)
-    servers: list[StandIn] = field(default_factory=list)
-    rows: list[dict[str, Any]] = field(default_factory=list)
+    servers: list[FakeServer] = field(default_factory=list)
+    endpoint_rows: list[dict[str, Any]] = field(default_factory=list)
     version: int = 1
     changed: trio.Event = field(default_factory=trio.Event)
     counters: Counters = field(default_factory=Counters)
@@ -182,12 +182,14 @@
     operator: str = ""  # the text of the operator's file; none by default
     admin_port: int = 0  # the port where operators call; none by default
 
-    def add(self, name: str, play: Play = serves, cell: int = 0, **row: object) -> StandIn:
+    def add_server(
+        self, name: str, behaviour: ServerBehaviour = completes_job, cell: int = 0, **row: object
+    ) -> FakeServer:
         """Add a real server to the list, before the node starts or while it runs."""
-        server = StandIn(self, name, play)
+        server = FakeServer(self, name, behaviour)
         self.servers.append(server)
         self.nursery.start_soon(server.listen)
-        self.rows.append(
+        self.endpoint_rows.append(
             {
                 "id": name,
                 "addr": server.addr,
@@ -202,36 +204,36 @@
         )
         return server
 
-    def stand(self, name: str) -> StandIn:
+    def server(self, name: str) -> FakeServer:
         """Return a real server by its name."""
         return next(server for server in self.servers if server.name == name)
 
-    def change(self, name: str, **row: object) -> None:
+    def update_server(self, name: str, **row: object) -> None:
         """Change a line of the list and tell the watch."""
-        for line in self.rows:
+        for line in self.endpoint_rows:
             if line["id"] == name:
                 line.update(row)
         self.version += 1
         self.changed.set()
         self.changed = trio.Event()
 
-    async def discovery(self, server: StandIn, request: Request) -> Response | None:
+    async def discovery(self, server: FakeServer, request: Request) -> Response | None:
         """Play discovery: every answer is the whole list."""
         if f"after={self.version}&" in request.target:
             with trio.move_on_after(0.5):
                 await self.changed.wait()
         return Response(
-            200, json.dumps({"version": self.version, "full": True, "servers": self.rows}).encode()
+            200, json.dumps({"version": self.version, "full": True, "servers": self.endpoint_rows}).encode()
         )
 
     def configure(self, **conf: object) -> dict[str, str]:
         """Write the node's configuration; return its environment."""
-        asked = StandIn(self, "discovery", self.discovery)
+        asked = FakeServer(self, "discovery", self.discovery)
         self.nursery.start_soon(asked.listen)
         self.settings = {**CONF, **conf}
-        return self.write(asked.addr)
+        return self.write_configuration(asked.addr)
 
-    def write(self, discovery: str) -> dict[str, str]:
+    def write_configuration(self, discovery: str) -> dict[str, str]:
         """Write the configuration file, again where there is one; return the node's environment."""
         path, operator = self.folder / "config.json", self.folder / "operator.toml"
         operator.write_text(self.operator)
@@ -243,7 +245,7 @@
                     "discovery": discovery,
                     "seed": "2a",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-                    "known": {"version": 0, "full": True, "servers": self.rows},
+                    "known": {"version": 0, "full": True, "servers": self.endpoint_rows},
                     "settings": self.settings,
                 }
             )
@@ -281,7 +283,7 @@
         finally:
             connection.close()
 
-    async def operate(self, line: str, port: int = 0) -> str:
+    async def admin_call(self, line: str, port: int = 0) -> str:
         """Make one operator's call; return the line that answers it."""
         stream = await trio.open_tcp_stream("127.0.0.2", port or self.admin_port)
         async with stream:
@@ -290,16 +292,16 @@
 
     async def admit(self, job: str, timeout_ms: int = 2000) -> Reply:
         """Hand in one job and return its answer."""
-        return await self.call("POST", "/admit?x=1", admission(job, timeout_ms), b"seat")
+        return await self.call("POST", "/admit?x=1", admission_headers(job, timeout_ms), b"seat")
 
-    async def json(self, method: str, target: str, value: object = None) -> tuple[int, Any]:
+    async def call_json(self, method: str, target: str, value: object = None) -> tuple[int, Any]:
         """Have one exchange in JSON; return status and answer."""
         body = b"" if value is None else json.dumps(value).encode()
         reply = await self.call(method, target, body=body)
         return reply.status, json.loads(reply.body) if reply.body else None
 
 
-def admission(job: str, timeout_ms: int = 2000) -> list[tuple[str, str]]:
+def admission_headers(job: str, timeout_ms: int = 2000) -> list[tuple[str, str]]:
     """Return a job's headers."""
     return [
         ("X-Request-ID", job),
@@ -310,11 +312,11 @@
 
 
 @asynccontextmanager
-async def stage(folder: Path) -> AsyncIterator[Stage]:
+async def node_fixture(folder: Path) -> AsyncIterator[NodeFixture]:
     """Open a stage, and close all of it at the end."""
     with trio.fail_after(30):
         async with trio.open_nursery() as nursery:
-            scene = Stage(nursery, folder)
+            scene = NodeFixture(nursery, folder)
             try:
                 yield scene
             finally:
@@ -323,6 +325,6 @@
                 nursery.cancel_scope.cancel()
 
 
-def play(scene: Callable[..., Awaitable[None]], *args: object) -> None:
+def run_scenario(scene: Callable[..., Awaitable[None]], *args: object) -> None:
     """Run a test's scene."""
     trio.run(scene, *args)
--- a/tests/soak_discovery.py
+++ b/tests/soak_discovery.py
@@ -17,7 +17,7 @@
 from merlinbay.http.server import Listener
 from merlinbay.http.sockets import has_hung_up
 from merlinbay.log import Log
-from tests.net import LIMITS, bound
+from tests.net import LIMITS, bind_loopback
 from tests.soak_day import ListFault, Outage, SoakDay
 
 RELOAD_S, SILENT_S = 4.0, 6.0  # after a new configuration, and after discovery has it and can be reached
@@ -104,7 +104,7 @@
     """Discovery at one address."""
 
     def __init__(self, discovery: SoakDiscovery) -> None:
-        self.discovery, self.sock = discovery, bound()
+        self.discovery, self.sock = discovery, bind_loopback()
         self.addr = f"127.0.0.2:{self.sock.getsockname()[1]}"
         self.scope = trio.CancelScope()
 
--- a/tests/soak_server.py
+++ b/tests/soak_server.py
@@ -11,7 +11,7 @@
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from tests.duplicate_judge import ArrivedAttempt, Executor
-from tests.net import LIMITS, LOAD, bound
+from tests.net import LIMITS, LOAD_REPORT, bind_loopback
 from tests.soak_day import JobFault
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     """A server that takes jobs, with faults."""
 
     def __init__(self, world: SoakWorld, name: str) -> None:
-        self.world, self.name, self.sock = world, name, bound()
+        self.world, self.name, self.sock = world, name, bind_loopback()
         self.sock.listen(64)
         self.executor = Executor(name, "hall-a", 0)
         self.attempts: dict[str, ArrivedAttempt] = {}
@@ -87,4 +87,4 @@
         if attempt.out:
             world.judge.ended(attempt)
             done = {"id": name, "from": self.name, "state": "done", "result": f"{self.name}:{name}"}
-            await world.call_back({**done, "load": LOAD})
+            await world.call_back({**done, "load": LOAD_REPORT})
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -29,7 +29,7 @@
 from merlinbay.errors import ConfigurationError
 from merlinbay.http.client import Reply
 from merlinbay.operator_file import read
-from tests.net import Stage, free_port, play, stage
+from tests.net import NodeFixture, free_port, node_fixture, run_scenario
 from tests.test_front import Scheduler
 
 NOW_S = 1_800_000_000
@@ -208,14 +208,14 @@
 # Over sockets.
 
 TEMPLATE = {"jobTemplate": {"remoteCommand": "x", "submitAsHold": True}}
-Body = Callable[[Stage, Callable[..., Awaitable[Reply]], KeyRing], Awaitable[None]]
+Body = Callable[[NodeFixture, Callable[..., Awaitable[Reply]], KeyRing], Awaitable[None]]
 
 
 def scene(tmp_path: Path, body: Body, more: str = "") -> None:
     """Play with a front that wants tokens; ``body`` gets a call that bears one."""
 
     async def whole() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             ring, path = KeyRing([tokens.new_key()]), tmp_path / "keys.json"
             tokens.save(path, ring)
             s.operator = (
@@ -224,7 +224,7 @@
                 f"reservations.slots = {{ k = 4 }}\n{more}\n"
                 "[[drmaa.session]]\nname = 'q'\nbacklog = true\n"
             )
-            s.add("s-1", Scheduler())
+            s.add_server("s-1", Scheduler())
             await s.start()
 
             async def call(token: str, method: str, target: str, value: object = None) -> Reply:
@@ -237,7 +237,7 @@
 
             await body(s, call, ring)
 
-    play(whole)
+    run_scenario(whole)
 
 
 def token_of(ring: KeyRing, account: str, *scopes: Scope, life: float = 100) -> str:
@@ -248,7 +248,7 @@
 def test_nothing_leaks_of_anothers_job_not_even_that_it_is_there(tmp_path: Path) -> None:
     """Every call on it gets the bytes that it gets on a job that never was; lists and events leave it out."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         ann, bob, all_of_them = (token_of(ring, name) for name in ("ann", "bob", "*"))
         job = json.loads((await call(ann, "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)).body)["jobId"]
         array = json.loads(
@@ -319,7 +319,7 @@
 def test_scopes_and_strangers(tmp_path: Path) -> None:
     """A call without a token is nobody's (401), one beyond its scopes is denied (403), and both say so."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         taken = await call(token_of(ring, "a"), "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)
         job = json.loads(taken.body)["jobId"]
         looks, acts = token_of(ring, "a", Scope.MONITOR), token_of(ring, "a", Scope.CONTROL)
@@ -338,7 +338,7 @@
 def test_a_token_that_ends_in_the_middle_of_a_wait_ends_the_wait(tmp_path: Path) -> None:
     """With 401 and no word of the job, though the job has not moved; so does a poll for events."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         long = token_of(ring, "a")
         job = json.loads((await call(long, "POST", "/drmaa2/sessions/q/jobs", TEMPLATE)).body)["jobId"]
         short, replies = token_of(ring, "a", life=2), []
@@ -359,7 +359,7 @@
 def test_machines_are_shown_as_the_module_believes_them(tmp_path: Path) -> None:
     """Each with its state and pace, paged by name; queues and jobs beside them."""
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "*")
         found = json.loads((await call(token, "GET", "/drmaa2/monitor/machines")).body)["machines"]
         assert [(row["name"], row["state"], row["available"], row["held"]) for row in found] == [
@@ -418,7 +418,7 @@
         return bytes(await stream.receive_some(4096))
 
 
-async def hang_up(s: Stage) -> str:
+async def hang_up(s: NodeFixture) -> str:
     """Send SIGHUP; return the counter that grew."""
     counts = s.counters.counts
     before = {name: counts[name] for name in ("reloads", "reloads_bad")}
@@ -438,7 +438,7 @@
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setenv("LB_OPERATOR", str(tmp_path / "operator.toml"))
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "a")
         open_one = await tls.connect()
         assert (await tls.ask(open_one, token)).startswith(b"HTTP/1.1 200")
@@ -460,7 +460,7 @@
     """Those that begin and say nothing more make room for others, oldest first."""
     tls = Tls(tmp_path)
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token, half = token_of(ring, "a"), []
         for number in range(120):
             stream = await trio.open_tcp_stream("127.0.0.2", tls.port)
@@ -484,7 +484,7 @@
     tls = Tls(tmp_path)
     tls.ca.cert_pem.write_to_path(tmp_path / "ca.pem")
 
-    async def body(s: Stage, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
+    async def body(s: NodeFixture, call: Callable[..., Awaitable[Reply]], ring: KeyRing) -> None:
         token = token_of(ring, "a")
         good = await tls.connect(tls.ca.issue_cert(common_name="ann"))
         assert (await tls.ask(good, token)).startswith(b"HTTP/1.1 200")
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -38,7 +38,7 @@
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientAdapter
 from tests import net
-from tests.net import LIMITS, StandIn, bound, play, serves, stage
+from tests.net import LIMITS, FakeServer, bind_loopback, completes_job, node_fixture, run_scenario
 from tests.support import settings
 from tests.test_crossings import ASK, Door, door, until
 from tests.test_node import full, silent
@@ -169,7 +169,7 @@
                 assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"served")
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("how", ["expire", "close_if_unused"])
@@ -192,7 +192,7 @@
             if how == "expire":  # the end comes after the answer
                 assert await at.client.recv(1000) == b""
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("body", [60_000, 65_536])
@@ -210,7 +210,7 @@
             await at.heard.wait()
             assert len(at.asked) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_half_a_request_is_cut_off_in_its_time_though_bytes_go_on_coming() -> None:
@@ -225,7 +225,7 @@
             await until(lambda: not at.listener.connections)
             assert not at.asked
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("part", [b"", ASK[:-1]])
@@ -247,7 +247,7 @@
                     await at.client.send(ASK)
             assert not interposed.bytes_read and not at.asked
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_request_on_a_kept_connection_has_its_whole_time_from_its_first_byte() -> None:
@@ -266,7 +266,7 @@
             await at.client.send(ASK[10:])
             await until(lambda: len(at.asked) == 2)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_later_request_that_dribbles_in_is_cut_off_in_its_time() -> None:
@@ -287,7 +287,7 @@
             await until(lambda: not at.listener.connections)
             assert len(at.asked) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_request_read_behind_another_is_answered_though_clients_are_sent_away_meanwhile() -> None:
@@ -305,7 +305,7 @@
             assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"two")
             assert got.count(b"connection: close") == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("behind", [b"\r\n", ASK])
@@ -321,7 +321,7 @@
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served") and len(at.asked) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 class FaultyDoor(Door):
@@ -347,7 +347,7 @@
                 assert at.listener.counters.counts["edge_connections_faulty"] == 1
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_nobody_is_evicted_while_the_last_words_are_written() -> None:
@@ -360,7 +360,7 @@
             await at.client.send(ASK.replace(b"length: 2", b"length: 60000000"))
             assert (await at.answered()).startswith(b"HTTP/1.1 413") and evicted == [False]
 
-    play(scene)
+    run_scenario(scene)
 
 
 class CrossingDoor(Door):
@@ -388,7 +388,7 @@
                 assert await at.client.recv(4096) == b""
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # A dispatcher that the test drives by hand, behind a listener and the adapter of the clients' protocol.
@@ -415,7 +415,7 @@
         )
         self.adapter = ClientAdapter(send, self.clock, LIMITS, self.counters, {"safe"}, Log(9))
         self.listener = Listener(self.adapter, LIMITS, self.counters, Log(9))
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(8)
         self.address = sock.getsockname()
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
@@ -492,7 +492,7 @@
             assert [type(message) for message in node.take()] == [RequestArrived]
             assert not node.started
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
@@ -513,7 +513,7 @@
             assert RequestArrived not in map(type, node.take())
             assert not node.started and not len(node.dispatcher.requests)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
@@ -535,7 +535,7 @@
             node.dispatcher.run_batch([])
             assert len(node.started) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_further_attempt_begins_for_a_client_that_stays() -> None:
@@ -551,7 +551,7 @@
             assert len(node.started) == 2
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
@@ -569,7 +569,7 @@
             node.wait_until_left()
             assert not node.started[0].may_begin()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_attempt_begins_for_a_client_that_was_told_that_its_request_failed() -> None:
@@ -586,7 +586,7 @@
             assert not node.started
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_attempt_begins_on_a_connection_that_was_handed_over() -> None:
@@ -614,7 +614,7 @@
             assert len(node.dispatcher.requests) == 0
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_attempt_begins_for_a_job_that_its_client_has_terminated() -> None:
@@ -642,7 +642,7 @@
                 client.close()
             assert not node.started and not node.adapter.unanswered
 
-    play(scene)
+    run_scenario(scene)
 
 
 # How long a client waits.
@@ -671,10 +671,10 @@
             (message,) = node.take()
             assert isinstance(message, RequestArrived)
             assert before <= message.spec.arrived_at_us <= read_by
-            assert node.started[1].deadline_at_us <= read_by + 900_000 - LIMITS.answer_margin_us
+            assert node.started[1].deadline_at_us <= read_by + 900_000 - LIMITS.response_margin_us
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_the_deadline_runs_from_the_last_byte_and_not_the_first() -> None:
@@ -698,30 +698,30 @@
             assert before <= message.spec.arrived_at_us <= node.clock.now_us()
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Trouble at servers, or with other clients, frees no request of its answer.
 
 
-async def hangs(server: StandIn, request: Request) -> Response | None:
+async def hangs(server: FakeServer, request: Request) -> Response | None:
     """Take the connection and say nothing."""
     if request.method == "POST":
         await trio.sleep_forever()
     return Response(200)
 
 
-async def fails(server: StandIn, request: Request) -> Response | None:
+async def fails(server: FakeServer, request: Request) -> Response | None:
     """Fail every job."""
     return Response(500)
 
 
-async def nonsense(server: StandIn, request: Request) -> Response | None:
+async def nonsense(server: FakeServer, request: Request) -> Response | None:
     """Answer with a status that the protocol does not name."""
     return Response(204) if request.method == "POST" else Response(200)
 
 
-async def breaks_off(server: StandIn, request: Request) -> Response | None:
+async def breaks_off(server: FakeServer, request: Request) -> Response | None:
     """Break the connection before the 202."""
     return None
 
@@ -811,21 +811,21 @@
         [fails],
         [full],
         [nonsense],
-        [hangs, silent, breaks_off, fails, serves],
+        [hangs, silent, breaks_off, fails, completes_job],
     ],
     ids=["hang", "silent", "break", "fail", "full", "nonsense", "all"],
 )
 def test_each_usual_request_has_one_answer_in_its_time_whatever_servers_do(
-    tmp_path: Path, plays: list[Callable[[StandIn, Request], Awaitable[Response | None]]]
+    tmp_path: Path, plays: list[Callable[[FakeServer, Request], Awaitable[Response | None]]]
 ) -> None:
     """Of 200, 503 and 500 any; half of the servers have vanished, too."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             for number in range(4):
-                s.add(f"s-{number}", plays[number % len(plays)])
-            gone = bound()
-            s.add("s-gone", serves, addr=f"127.0.0.2:{gone.getsockname()[1]}")
+                s.add_server(f"s-{number}", plays[number % len(plays)])
+            gone = bind_loopback()
+            s.add_server("s-gone", completes_job, addr=f"127.0.0.2:{gone.getsockname()[1]}")
             gone.close()
             await s.start()
             usual = Usual(s.port)
@@ -833,7 +833,7 @@
             assert not usual.faults and len(usual.statuses) == 20
             assert set(usual.statuses) <= {200, 429, 500, 503}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("sockets", [96, 256])
@@ -843,10 +843,10 @@
     """Hundreds of connections that send a part, far too much, or the same request again and again."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.sockets = sockets
             for number in range(4):
-                s.add(f"s-{number}")
+                s.add_server(f"s-{number}")
             await s.start()
             usual = Usual(s.port)
             async with trio.open_nursery() as nursery:
@@ -856,7 +856,7 @@
                 nursery.cancel_scope.cancel()
             assert not usual.faults and len(usual.statuses) == 20
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_each_usual_request_has_one_answer_in_its_time_while_discovery_is_down(
@@ -865,10 +865,10 @@
     """Servers are known from the start; who knows none is refused."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-0")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-0")
 
-            async def down(server: StandIn, request: Request) -> Response | None:
+            async def down(server: FakeServer, request: Request) -> Response | None:
                 return None
 
             monkeypatch.setattr(s, "discovery", down)
@@ -877,7 +877,7 @@
             await usual.ask_many(10, 5, 600)
             assert not usual.faults and len(usual.statuses) == 10
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -896,15 +896,15 @@
     monkeypatch.setattr(net, "load", load_limited)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             for number in range(2):
-                s.add(f"s-{number}")
+                s.add_server(f"s-{number}")
             await s.start()
             usual = Usual(s.port)
             await usual.ask_many(20, 10, 600)
             assert not usual.faults and len(usual.statuses) == 20
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_each_usual_request_has_one_answer_though_the_exchange_with_its_server_fails(
@@ -919,8 +919,8 @@
         return await exchange(self, method, target, *more)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-0")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-0")
             await s.start()
             monkeypatch.setattr(ClientConnection, "exchange", faulty)
             usual = Usual(s.port)
@@ -928,7 +928,7 @@
             assert not usual.faults and len(usual.statuses) == 4
             assert s.counters.counts["server_tasks_faulty"] > 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 # What a request says against what the settings say.
@@ -961,5 +961,5 @@
         assert (response.status if response is not None else None) == status
         assert inbox.statistics().current_buffer_used == (status is None)
 
-    play(scene)
+    run_scenario(scene)
     assert capsys.readouterr().err.strip() == (f"merlinbay: {line}" if line else "")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -40,7 +40,7 @@
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientRequest
-from tests.net import CONF, LIMITS, StandIn, admission, bound, play, stage
+from tests.net import CONF, LIMITS, FakeServer, admission_headers, bind_loopback, node_fixture, run_scenario
 from tests.support import settings
 
 ASK = b"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: 2\r\n\r\nhi"
@@ -62,7 +62,7 @@
 
     async def open(self, **limits: object) -> None:
         """Let the client in."""
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(8)
         self.listener = Listener(self, replace(LIMITS, **limits), Counters(), Log(9))  # type: ignore[arg-type]
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
@@ -119,7 +119,7 @@
             await until(lambda: not at.listener.connections)
             assert len(at.asked) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_what_is_read_behind_an_open_request_has_a_bound() -> None:
@@ -131,7 +131,7 @@
             got = await at.answered()
             assert got.startswith(b"HTTP/1.1 400") and at.left == at.asked == [at.connection]
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_bytes_behind_a_request_are_the_next_one(tmp_path: Path) -> None:
@@ -151,7 +151,7 @@
             got = await at.answered()
             assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"two")
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("how", ["end_idle", "expire"])
@@ -174,7 +174,7 @@
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_request_read_after_the_shutdown_is_not_begun() -> None:
@@ -191,7 +191,7 @@
             await until(lambda: not at.listener.connections)
             assert not at.asked
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_close_over_unread_bytes_after_the_last_answer() -> None:
@@ -210,7 +210,7 @@
                 await trio.testing.wait_all_tasks_blocked(0.01)
             assert (await at.answered()).endswith(b"last")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_bytes_that_come_while_the_last_answer_is_written_do_not_cut_it_off() -> None:
@@ -227,7 +227,7 @@
             await until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
             assert len(await at.answered()) > 20_000_000
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_one_that_is_to_make_room_stays_where_a_request_has_come() -> None:
@@ -244,7 +244,7 @@
             assert at.connection.close_if_unused() and at.connection.stream.raw.fileno() < 0
             await until(lambda: not at.listener.connections)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("at_once", [False, True])
@@ -260,7 +260,7 @@
             at.connection.respond(Response(200, b"x" * 50_000_000))
             await until(lambda: not at.listener.connections)
 
-    play(scene)
+    run_scenario(scene)
 
 
 class PacedSocket:
@@ -309,11 +309,11 @@
     async with trio.open_nursery() as nursery:
         here = Door(nursery, answer=Response(200, b"x" * answer_bytes))
         listener = Listener(here, LIMITS, Counters(), Log(9))
-        with bound() as sock:
+        with bind_loopback() as sock:
             sock.listen(1)
             await nursery.start(listener.serve, trio.socket.from_stdlib_socket(sock))
             began = trio.current_time()
-            listener.adopt(client)  # type: ignore[arg-type]
+            listener.add_connection(client)  # type: ignore[arg-type]
             await until(lambda: bool(listener.connections))
             await until(lambda: not listener.connections)
             nursery.cancel_scope.cancel()
@@ -347,7 +347,7 @@
         async with door() as at:
             assert at.connection.stream.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_process_that_ends_closes_its_connections_in_good_order() -> None:
@@ -365,7 +365,7 @@
                 at.client.close()
             assert b"connection: close" in got and not at.listener.connections
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("calls_back", [False, True])
@@ -381,7 +381,7 @@
                 at.listener.close_idle(including_callbacks=True)
                 assert at.connection.is_closing
 
-    play(scene)
+    run_scenario(scene)
 
 
 # A client that has gone, and the attempts that its request would still get.
@@ -442,7 +442,7 @@
     spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, idempotency_key="k")
     dispatcher.run_batch([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
-    clock.now_us.return_value += LIMITS.stop_answers_for_us
+    clock.now_us.return_value += LIMITS.stop_responses_for_us
     dispatcher.run_batch([])
     assert servers.start.call_count == servers.give_up.call_count == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
@@ -487,10 +487,10 @@
             theirs.close()
             assert client_request.has_disconnected()
 
-    play(scene)
+    run_scenario(scene)
 
 
-async def nothing(server: StandIn, request: Request) -> Response | None:
+async def nothing(server: FakeServer, request: Request) -> Response | None:
     """Say nothing to a job until the stand-in's stage ends; take all else."""
     if request.method == "POST":
         await trio.sleep_forever()
@@ -501,8 +501,8 @@
     """The connection that came up too late is kept for others."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, wanted = at.add("s"), True
+        async with node_fixture(tmp_path) as at:
+            server, wanted = at.add_server("s"), True
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters())
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -523,27 +523,27 @@
 
             with pytest.raises(AttemptWithheldError):
                 await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x", check_before_sending))
-            assert not server.seen and len(pool.servers["s"].idle_connections) == 1
+            assert not server.received and len(pool.servers["s"].idle_connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_attempt_given_up_before_its_202_is_deleted_too(tmp_path: Path) -> None:
     """The 202 may have crossed the close: the job was taken then, and would run on."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s", play=nothing)
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s", behaviour=nothing)
             await at.start()
             client = trio.socket.socket()
             await client.connect(("127.0.0.2", at.port))
-            head = "".join(f"{name}: {value}\r\n" for name, value in admission("j"))
+            head = "".join(f"{name}: {value}\r\n" for name, value in admission_headers("j"))
             await client.send(f"POST /admit HTTP/1.1\r\nhost: n\r\n{head}content-length: 0\r\n\r\n".encode())
             await until(lambda: bool(server.targets()))
             client.close()
             await until(lambda: server.targets("DELETE") == ["/jobs/j"])
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Answers that come twice.
@@ -599,7 +599,7 @@
                 ).status == first.status
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Signals.
@@ -609,13 +609,13 @@
     """It would serve until it is killed, with requests under way."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            at.add("s")
+        async with node_fixture(tmp_path) as at:
+            at.add_server("s")
             quick = [{**CONF["classes"][0], "deadlineUs": 200_000}]
             monkeypatch.setattr(node_signals, "pending_sigterms", [signal.SIGTERM])
             await node.run(load(at.configure(classes=quick)), Counters())
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_what_crosses_the_exit_is_answered_and_not_begun(tmp_path: Path) -> None:
@@ -627,7 +627,7 @@
         send, inbox = trio.open_memory_channel[object](9)
         responder = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
         responder.has_ended = True
-        head = {name.lower(): value for name, value in admission("j")}
+        head = {name.lower(): value for name, value in admission_headers("j")}
         refused = await responder.request(
             Mock(has_served_request=False), Request("POST", "/admit", head, b"")
         )
@@ -636,4 +636,4 @@
         assert refused is not None and refused.status == 503 and refused.headers[0][0] == b"retry-after"
         assert taken is not None and taken.status == 200 and inbox.statistics().current_buffer_used == 0
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -21,7 +21,7 @@
 from merlinbay.dnssd import records
 from merlinbay.dnssd.directory import DnsQueryError, DnsSdDirectory
 from merlinbay.log import Log
-from tests.net import LIMITS, play, serves, stage
+from tests.net import LIMITS, completes_job, node_fixture, run_scenario
 
 SERVICE = "_drmaa2._tcp.hall-a.example."
 ONE = f"""
@@ -99,7 +99,7 @@
             assert (listed, ttl) == (expected, 1.0 if expected else 0.0)
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
                 assert least <= trio.current_time() - moved_at < most
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_outage_keeps_the_list_and_a_gone_name_is_removed() -> None:
@@ -155,16 +155,16 @@
             assert await receive.receive() == EndpointListReceived("all", [S2])
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_node_finds_its_servers_by_dns_sd(tmp_path: Path) -> None:
     """A job is served by a server that only the name server lists; once its name is gone, it is refused."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            real = s.add("s-1", serves)
-            s.rows.clear()
+        async with node_fixture(tmp_path) as s:
+            real = s.add_server("s-1", completes_job)
+            s.endpoint_rows.clear()
             host, _, at = real.addr.partition(":")
             server = NameServer(
                 ONE.replace("8081", at).replace("127.0.0.9", host).replace("started_ms=7", "started_ms=0")
@@ -178,4 +178,4 @@
             await trio.sleep(1.2)
             assert (await s.admit("a2")).status == 503
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -27,7 +27,7 @@
 from merlinbay.http.client import Reply
 from merlinbay.http.connection import Request, Response
 from merlinbay.limits import ResourceLimits
-from tests.net import Stage, StandIn, play, serves, stage
+from tests.net import FakeServer, NodeFixture, completes_job, node_fixture, run_scenario
 from tests.test_node import full
 
 FRONT = "[drmaa]\nfront = true\naccess.open = true\n"
@@ -61,37 +61,39 @@
     return job, Response(201, json.dumps({"jobId": f"id-{job}", "jobState": "QUEUED"}).encode())
 
 
-async def schedules(server: StandIn, request: Request) -> Response | None:
+async def schedules(server: FakeServer, request: Request) -> Response | None:
     """Take a job, run it and be done soon."""
     if request.target != "/drmaa2/jobs":
         return Response(200, b"{}")
     job, answer = taken(request)
 
     async def work() -> None:
-        await server.notify(job, "RUNNING")
+        await server.send_notification(job, "RUNNING")
         await trio.sleep(0.1)
-        await server.notify(job, "DONE", exitStatus=0, output=base64.b64encode(b"minutes").decode())
+        await server.send_notification(
+            job, "DONE", exitStatus=0, output=base64.b64encode(b"minutes").decode()
+        )
 
-    server.stage.nursery.start_soon(work)
+    server.fixture.nursery.start_soon(work)
     return answer
 
 
-async def takes(server: StandIn, request: Request) -> Response | None:
+async def takes(server: FakeServer, request: Request) -> Response | None:
     """Take a job and leave its notices to the test."""
     return taken(request)[1] if request.target == "/drmaa2/jobs" else Response(200, b"{}")
 
 
-async def later(server: StandIn, request: Request) -> Response | None:
+async def later(server: FakeServer, request: Request) -> Response | None:
     """Refuse a job: it never ran."""
     return Response(503, b'{"exception":"TryLaterException","message":"full"}')
 
 
-async def submit(s: Stage, **template: object) -> tuple[int, Any]:
+async def submit(s: NodeFixture, **template: object) -> tuple[int, Any]:
     """Call runJob."""
-    return await s.json("POST", "/drmaa2/jobs", {"jobTemplate": {**CALL["jobTemplate"], **template}})
+    return await s.call_json("POST", "/drmaa2/jobs", {"jobTemplate": {**CALL["jobTemplate"], **template}})
 
 
-def one_end(s: Stage) -> int:
+def one_end(s: NodeFixture) -> int:
     """Return how many final states and answers the node gave."""
     counts = s.counters.counts
     assert (
@@ -105,18 +107,18 @@
     """From runJob through QUEUED and RUNNING to DONE, with the output, and a status query after it."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            scheduler = s.add("s-1", takes)
+            scheduler = s.add_server("s-1", takes)
             await s.start()
             status, body = await submit(
                 s, minSlots=1, deadlineTime=(datetime.now(UTC) + timedelta(seconds=2)).isoformat()
             )
             assert (status, body["jobState"]) == (201, "QUEUED")
             job = body["jobId"]
-            while not scheduler.seen:  # runJob is answered once a scheduler is chosen
+            while not scheduler.received:  # runJob is answered once a scheduler is chosen
                 await trio.sleep(0.01)
-            call = json.loads(scheduler.seen[0][1].body)
+            call = json.loads(scheduler.received[0][1].body)
             assert call["sessionName"] == "s-1" and call["notify"].endswith("/drmaa2/notifications")
             template = call["jobTemplate"]
             assert (template["remoteCommand"], template["args"]) == ("transcribe", ["--minutes"])
@@ -126,20 +128,23 @@
                 < datetime.fromisoformat(template["deadlineTime"]).timestamp() - datetime.now(UTC).timestamp()
                 < 2
             )
-            assert await scheduler.notify(job, "RUNNING") == 200
-            assert (await s.json("GET", f"/drmaa2/jobs/{job}"))[1]["jobState"] == "RUNNING"
-            assert (await s.json("GET", f"/drmaa2/jobs/{job}/wait?timeout=0.05"))[0] == 504
+            assert await scheduler.send_notification(job, "RUNNING") == 200
+            assert (await s.call_json("GET", f"/drmaa2/jobs/{job}"))[1]["jobState"] == "RUNNING"
+            assert (await s.call_json("GET", f"/drmaa2/jobs/{job}/wait?timeout=0.05"))[0] == 504
             for _ in range(3):
-                assert await scheduler.notify(job, "DONE", output=base64.b64encode(b"text").decode()) == 200
+                assert (
+                    await scheduler.send_notification(job, "DONE", output=base64.b64encode(b"text").decode())
+                    == 200
+                )
             for path in ("/wait", "", "/wait?timeout=1"):
-                status, info = await s.json("GET", f"/drmaa2/jobs/{job}{path}")
+                status, info = await s.call_json("GET", f"/drmaa2/jobs/{job}{path}")
                 assert (status, info["jobState"], info["exitStatus"]) == (200, "DONE", 0)
                 assert base64.b64decode(info["output"]) == b"text"
-            status, error = await s.json("POST", f"/drmaa2/jobs/{job}/terminate")
+            status, error = await s.call_json("POST", f"/drmaa2/jobs/{job}/terminate")
             assert (status, error["exception"]) == (409, "InvalidStateException")
             assert one_end(s) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("servers", ["platform", "drmaa"])
@@ -148,16 +153,16 @@
     """The same job through both fronts to both kinds of real server."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH if servers == "drmaa" else FRONT
-            server = s.add("s-1", schedules if servers == "drmaa" else serves)
+            server = s.add_server("s-1", schedules if servers == "drmaa" else completes_job)
             await s.start()
             if front == "platform":
                 reply = await s.admit("a1")
                 assert reply.status == 200
                 result = reply.body
                 if servers == "drmaa":
-                    sent = json.loads(server.seen[0][1].body)["jobTemplate"]
+                    sent = json.loads(server.received[0][1].body)["jobTemplate"]
                     assert (sent["remoteCommand"], sent["payload"]) == (
                         "/admit?x=1",
                         base64.b64encode(b"seat").decode(),
@@ -165,17 +170,17 @@
                     assert sent["jobEnvironment"] == {"DRMAA2_REPEAT_KEY": "key-a1"}
             else:
                 job = (await submit(s))[1]["jobId"]
-                info = (await s.json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
+                info = (await s.call_json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
                 assert info["jobState"] == "DONE"
                 result = base64.b64decode(info["output"])
                 if servers == "platform":
-                    request = server.seen[0][1]
+                    request = server.received[0][1]
                     assert (request.target, request.headers["idempotency-key"]) == ("/admit", job)
                     assert json.loads(request.body)["remoteCommand"] == "transcribe"
             name = "a1" if front == "platform" else job
             assert result == (b"minutes" if servers == "drmaa" else f"s-1:{name}".encode())
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("gave_up", ["terminate", "deadline"])
@@ -183,28 +188,28 @@
     """The job's late DONE changes nothing: every query finds the one FAILED."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            scheduler = s.add("s-1", takes)
+            scheduler = s.add_server("s-1", takes)
             await s.start()
             until = datetime.now(UTC) + timedelta(seconds=0.5)
             job = (await submit(s, deadlineTime=until.isoformat()))[1]["jobId"]
-            await scheduler.notify(job, "RUNNING")
+            await scheduler.send_notification(job, "RUNNING")
             if gave_up == "terminate":
-                status, info = await s.json("POST", f"/drmaa2/jobs/{job}/terminate")
+                status, info = await s.call_json("POST", f"/drmaa2/jobs/{job}/terminate")
                 assert (status, info["annotation"]) == (200, "terminated")
             else:
-                info = (await s.json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
+                info = (await s.call_json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
                 assert info["exception"] == "TimeoutException"
                 assert datetime.now(UTC) < until + timedelta(seconds=0.3)
-            assert await scheduler.notify(job, "DONE", output="") == 200
+            assert await scheduler.send_notification(job, "DONE", output="") == 200
             await trio.sleep(0.1)
-            first, second = [await s.json("GET", f"/drmaa2/jobs/{job}") for _ in range(2)]
+            first, second = [await s.call_json("GET", f"/drmaa2/jobs/{job}") for _ in range(2)]
             assert first == second == (200, info) and info["jobState"] == "FAILED"
             assert scheduler.targets().count(f"/drmaa2/jobs/id-{job}/terminate") == 1
             assert one_end(s) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("first", ["terminate", "notice", "together"])
@@ -212,49 +217,49 @@
     """Whichever is first, the job ends FAILED once, and its scheduler is told once."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            scheduler = s.add("s-1", takes)
+            scheduler = s.add_server("s-1", takes)
             await s.start()
             job = (await submit(s))[1]["jobId"]
             async with trio.open_nursery() as nursery:
                 calls = [
-                    lambda: s.json("POST", f"/drmaa2/jobs/{job}/terminate"),
-                    lambda: scheduler.notify(job, "RUNNING"),
+                    lambda: s.call_json("POST", f"/drmaa2/jobs/{job}/terminate"),
+                    lambda: scheduler.send_notification(job, "RUNNING"),
                 ]
                 for call in calls if first != "notice" else reversed(calls):
                     nursery.start_soon(call)
                     if first != "together":
                         await trio.sleep(0.05)
-            await scheduler.notify(job, "DONE", output="")
+            await scheduler.send_notification(job, "DONE", output="")
             await trio.sleep(0.1)
-            info = (await s.json("GET", f"/drmaa2/jobs/{job}"))[1]
+            info = (await s.call_json("GET", f"/drmaa2/jobs/{job}"))[1]
             assert (info["jobState"], info["annotation"]) == ("FAILED", "terminated")
             assert scheduler.targets().count(f"/drmaa2/jobs/id-{job}/terminate") == 1
             assert one_end(s) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_cancel_that_crosses_run_job_ends_the_job_once_its_id_is_known(tmp_path: Path) -> None:
     """The client hangs up before the scheduler's 201: the job must not run on unknown."""
 
-    async def slow(server: StandIn, request: Request) -> Response | None:
+    async def slow(server: FakeServer, request: Request) -> Response | None:
         if request.target == "/drmaa2/jobs":
             await trio.sleep(0.4)
         return await takes(server, request)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            scheduler = s.add("s-1", slow)
+            scheduler = s.add_server("s-1", slow)
             await s.start()
             with trio.move_on_after(0.2):
                 await s.admit("a1")
             await trio.sleep(0.5)
             assert scheduler.targets() == ["/drmaa2/jobs", "/drmaa2/jobs/id-a1/terminate"]
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(("operator", "server"), [(BOTH, later), (FRONT, full)])
@@ -262,63 +267,69 @@
     """Refused by all schedulers, unstarted: FAILED at once, with TryLaterException and a time."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = operator
-            s.add("s-1", server)
+            s.add_server("s-1", server)
             await s.start()
             job = (await submit(s))[1]["jobId"]
             with trio.fail_after(1):
-                info = (await s.json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
+                info = (await s.call_json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
             assert (info["jobState"], info["exception"]) == ("FAILED", "TryLaterException")
             assert 0 < info["retryAfter"] <= 2
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_job_refused_unsent_is_no_job(tmp_path: Path) -> None:
     """With every gate shut, runJob itself raises TryLaterException, and nothing was sent."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            scheduler = s.add("s-1", takes, state="DRAINING")
+            scheduler = s.add_server("s-1", takes, state="DRAINING")
             await s.start()
             reply = await s.call("POST", "/drmaa2/jobs", body=json.dumps(CALL).encode())
             error = json.loads(reply.body)
             assert (reply.status, error["exception"]) == (503, "TryLaterException")
             assert 0 < error["retryAfter"] <= 2
             assert float(reply.headers["retry-after"]) == pytest.approx(error["retryAfter"], abs=0.001)
-            assert scheduler.seen == []
+            assert scheduler.received == []
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_repeats_and_drains_are_kept_with_schedulers(tmp_path: Path) -> None:
     """A killed job goes out again in its cell only; a draining scheduler gets nothing new."""
 
-    async def kills(server: StandIn, request: Request) -> Response | None:
+    async def kills(server: FakeServer, request: Request) -> Response | None:
         job, answer = taken(request)
-        server.stage.nursery.start_soon(lambda: server.notify(job, "FAILED", terminatingSignal="SIGKILL"))
+        server.fixture.nursery.start_soon(
+            lambda: server.send_notification(job, "FAILED", terminatingSignal="SIGKILL")
+        )
         return answer
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = BOTH
-            schedulers = [s.add("s-1", kills), s.add("s-2", kills), s.add("s-3", kills, cell=1)]
+            schedulers = [
+                s.add_server("s-1", kills),
+                s.add_server("s-2", kills),
+                s.add_server("s-3", kills, cell=1),
+            ]
             await s.start()
             job = (await submit(s))[1]["jobId"]
-            info = (await s.json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
+            info = (await s.call_json("GET", f"/drmaa2/jobs/{job}/wait"))[1]
             assert (info["jobState"], info["exception"]) == ("FAILED", "InternalException")
-            cells = [{0: 0, 1: 0, 2: 1}[n] for n, scheduler in enumerate(schedulers) if scheduler.seen]
-            assert len(set(cells)) == 1 and max(len(scheduler.seen) for scheduler in schedulers) == 1
+            cells = [{0: 0, 1: 0, 2: 1}[n] for n, scheduler in enumerate(schedulers) if scheduler.received]
+            assert len(set(cells)) == 1 and max(len(scheduler.received) for scheduler in schedulers) == 1
             for name in ("s-1", "s-2", "s-3"):
-                s.change(name, state="DRAINING")
+                s.update_server(name, state="DRAINING")
             await trio.sleep(0.5)
-            before = sum(len(scheduler.seen) for scheduler in schedulers)
+            before = sum(len(scheduler.received) for scheduler in schedulers)
             assert (await submit(s))[0] == 503
-            assert sum(len(scheduler.seen) for scheduler in schedulers) == before
+            assert sum(len(scheduler.received) for scheduler in schedulers) == before
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -332,19 +343,19 @@
     monkeypatch.setattr("merlinbay.config.limits_from", lambda *_: limits)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = operator
-            s.add("s-1", schedules)
+            s.add_server("s-1", schedules)
             await s.start()
             jobs = []
             for _ in range(3):
                 jobs.append((await submit(s))[1]["jobId"])
-                await s.json("GET", f"/drmaa2/jobs/{jobs[-1]}/wait")
-            found = [await s.json("GET", f"/drmaa2/jobs/{job}") for job in jobs]
+                await s.call_json("GET", f"/drmaa2/jobs/{jobs[-1]}/wait")
+            found = [await s.call_json("GET", f"/drmaa2/jobs/{job}") for job in jobs]
             assert [status for status, _ in found] == [404, 200, 200]
             assert found[0][1]["exception"] == "InvalidArgumentException"
 
-    play(scene)
+    run_scenario(scene)
 
 
 BAD = [
--- a/tests/test_duplicates.py
+++ b/tests/test_duplicates.py
@@ -46,7 +46,7 @@
     start,
 )
 from tests.faulty_executor import HeldAttempt
-from tests.net import play
+from tests.net import run_scenario
 
 SINGLE = Profile("one attempt out, pushed lists")
 ASKED = Profile("one attempt out, asked lists, no cancels", pushed=False, cancels=False)
@@ -150,7 +150,7 @@
                 await at.board.wait_for(f"{rules.name}-second-0", 0)
         assert set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @over_strays
@@ -170,7 +170,7 @@
             assert at.board.probes >= len(EVERY_CLASS)
         assert statuses == {rules.name: 200 for rules in EVERY_CLASS}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -204,7 +204,7 @@
                 await at.board.wait_for(f"next-{rules.name}", 0)
         assert statuses == {rules.name: 200 for rules in EVERY_CLASS}
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Connections that break, and answers that the protocol page does not name.
@@ -239,7 +239,7 @@
         if point is not BreakPoint.AFTER_ANSWER:
             assert_repeats(at, profile)
 
-    play(scene)
+    run_scenario(scene)
 
 
 ODD_ANSWERS: dict[str, FirstAnswer] = {
@@ -281,7 +281,7 @@
             at.board.script = first_only(Behaviour(ODD_ANSWERS[name], after=runs_on))
             await for_each_class(one)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("breaks", [False, True], ids=["unanswered", "reset"])
@@ -300,7 +300,7 @@
             at.board.script = first_only(Behaviour(ODD_ANSWERS[name], after=(STARTED,)))
             await for_each_class(one)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("answer", [REFUSED, Answer(504, not_processed=True)], ids=["503", "504"])
@@ -322,7 +322,7 @@
         wanted = 503 if profile.send_cap == 1 else 200
         assert statuses == {rules.name: wanted for rules in EVERY_CLASS}
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Call-backs.
@@ -358,7 +358,7 @@
             await for_each_class(one)
         assert not never_ran or set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -383,7 +383,7 @@
             assert len(at.board.attempts) == len(EVERY_CLASS)
         assert set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("state", ["returned", "failed", "lost", "done"])
@@ -426,7 +426,7 @@
             assert len(at.board.attempts) == 2 * len(classes)
         assert set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("state", ["started", "returned", "failed", "lost", "done"])
@@ -454,7 +454,7 @@
             assert len(at.board.attempts) == len(EVERY_CLASS)
         assert set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 JOBS_PROBED = 4  # of each class
@@ -475,7 +475,7 @@
             assert at.board.probes > len(EVERY_CLASS)
         assert len(at.board.attempts) > JOBS_PROBED * len(EVERY_CLASS), "no copy was sent"
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("state", ["returned", "failed", "done"])
@@ -493,7 +493,7 @@
             await for_each_class(one)
             assert at.board.deletes
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Executors that hang, vanish, come up late or start anew elsewhere.
@@ -520,7 +520,7 @@
             await for_each_class(one)
             assert {rules.name for rules in EVERY_CLASS} == at.classes_sent()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_executors_that_do_not_come_up_have_run_nothing(tmp_path: Path) -> None:
@@ -539,7 +539,7 @@
             await for_each_class(one)
         assert set(statuses.values()) == {200}
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_executor_that_accepts_late_gets_each_job_once(tmp_path: Path) -> None:
@@ -561,7 +561,7 @@
                 executor.accept_again()
         assert set(statuses.values()) == {200} and len(at.board.attempts) == len(EVERY_CLASS)
 
-    play(scene)
+    run_scenario(scene)
 
 
 SLOW_DIALS = {
@@ -595,7 +595,7 @@
             for executor in at.executors.values():
                 executor.accept_again()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("rules", [BY_CELL, BY_ZONE], ids=lambda rules: rules.name)
@@ -622,7 +622,7 @@
             assert await at.faults() == []
             assert statuses == [200] * 3 and len(at.board.attempts) == 6
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("removed", [False, True], ids=["relisted", "removed and listed again"])
@@ -649,7 +649,7 @@
             )
             relisted.set()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("profile", [SINGLE, COPIES, TWO_NODES], ids=lambda profile: profile.name)
@@ -675,7 +675,7 @@
                 await one(rules)
         assert_repeats(at, profile)
 
-    play(scene)
+    run_scenario(scene)
 
 
 # What the settings say against what the request says.
@@ -693,7 +693,7 @@
             at.board.script = first_only(Behaviour(BreakOff(BreakPoint.BEFORE_ANSWER), after=()))
             await for_each_class(one)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_request_without_its_key_gets_no_copy(tmp_path: Path) -> None:
@@ -707,7 +707,7 @@
             at.board.script = first_only(Behaviour(after=(CallBack("started", delay=0.2), DONE)))
             await for_each_class(one)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(("path", "header"), [(ONCE, REPEATABLE), (REPEATABLE, ONCE), (BY_CELL, BY_ALL)])
@@ -721,7 +721,7 @@
             assert await at.request(header.name, path=f"/{path.name}") == 400
             assert not at.board.attempts
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("outcome", ["served", "failed"])
@@ -745,7 +745,7 @@
             for rules in EVERY_CLASS:
                 await one(rules)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_id_that_is_in_use_is_not_sent_twice(tmp_path: Path) -> None:
@@ -766,7 +766,7 @@
             replayed.set()
         assert statuses == [200] and len(at.board.of("in-use")) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Several nodes, and faults by chance.
@@ -836,4 +836,4 @@
             nursery.cancel_scope.cancel()
             assert at.classes_sent() == {rules.name for rules in EVERY_CLASS}
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_endpoint_lease_incident.py
+++ b/tests/test_endpoint_lease_incident.py
@@ -21,7 +21,7 @@
 import trio
 
 from merlinbay.http.connection import Request, Response
-from tests.net import LOAD, Stage, StandIn, play, stage
+from tests.net import LOAD_REPORT, FakeServer, NodeFixture, node_fixture, run_scenario
 
 NOTIFIED_S = 4.0  # after a new configuration, what its discovery has counts as told
 GRACE_S = 0.55  # with the rules' 50 ms for time limits
@@ -38,17 +38,17 @@
 class Directory:
     """A discovery at one address, whose answers are played call by call."""
 
-    scene: Stage
+    scene: NodeFixture
     answer: Answer
     calls: int = 0
-    stand_in: StandIn = field(init=False)
+    stand_in: FakeServer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.stand_in = StandIn(self.scene, "discovery", self.play)
+        self.stand_in = FakeServer(self.scene, "discovery", self.play)
         self.stand_in.sock.listen(16)
         self.scene.nursery.start_soon(self.stand_in.listen)
 
-    async def play(self, server: StandIn, request: Request) -> Response | None:
+    async def play(self, server: FakeServer, request: Request) -> Response | None:
         """Answer one call, the first few as the test wants."""
         self.calls += 1
         return await self.answer(self, self.calls)
@@ -56,7 +56,7 @@
     async def listing(self) -> Response:
         """Answer with the whole list of now, in turn."""
         await trio.sleep(CALL_S)
-        body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.rows})
+        body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.endpoint_rows})
         return Response(200, body.encode())
 
 
@@ -88,26 +88,26 @@
     return await directory.listing()
 
 
-async def takes_a_while(server: StandIn, request: Request) -> Response | None:
+async def takes_a_while(server: FakeServer, request: Request) -> Response | None:
     """Take a job that fills a slot for a while, so that all servers are needed."""
     job = request.headers.get("x-request-id", "")
 
     async def work() -> None:
-        await server.tell(job, "started")
+        await server.send_event(job, "started")
         await trio.sleep(RUN_S)
-        await server.tell(job, "done", result="x", load=LOAD)
+        await server.send_event(job, "done", result="x", load=LOAD_REPORT)
 
     if request.method == "POST":
-        server.stage.nursery.start_soon(work)
+        server.fixture.nursery.start_soon(work)
     return Response(202)
 
 
-def drains(server: StandIn, request: Request) -> bool:
+def drains(server: FakeServer, request: Request) -> bool:
     """Tell whether a server that drains was sent a new job."""
     return request.method == "POST" and server.name != "s-stays"
 
 
-async def hand_in(scene: Stage, answers: list[int]) -> None:
+async def hand_in(scene: NodeFixture, answers: list[int]) -> None:
     """Hand in a job every 50 ms."""
     number = 0
     while True:
@@ -116,15 +116,15 @@
         await trio.sleep(0.05)
 
 
-async def hand_in_one(scene: Stage, job: str, answers: list[int]) -> None:
+async def hand_in_one(scene: NodeFixture, job: str, answers: list[int]) -> None:
     """Hand in one job, and keep the status of its answer."""
     answers.append((await scene.admit(job, 3000)).status)
 
 
-async def move(scene: Stage, directory: Directory) -> float:
+async def move(scene: NodeFixture, directory: Directory) -> float:
     """Send the node a new configuration that names another discovery; return when."""
     assert scene.process is not None
-    scene.write(directory.stand_in.addr)
+    scene.write_configuration(directory.stand_in.addr)
     moved_at = trio.current_time()
     scene.process.send_signal(signal.SIGHUP)
     return moved_at
@@ -141,8 +141,8 @@
     """Whatever becomes of the calls: from the deadline and the grace on, only a new list allows sends."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            servers = [at.add(name, takes_a_while) for name in ("s-1", "s-2", "s-3", "s-stays")]
+        async with node_fixture(tmp_path) as at:
+            servers = [at.add_server(name, takes_a_while) for name in ("s-1", "s-2", "s-3", "s-stays")]
             await at.start(program=True, balancers=NODES, me=ME)
             answers: list[int] = []
             at.nursery.start_soon(hand_in, at, answers)
@@ -153,18 +153,18 @@
             moved_at = await move(at, directory := Directory(at, new))
             await trio.sleep(0.5)
             for name in ("s-1", "s-2", "s-3"):
-                at.change(name, state="DRAINING")
+                at.update_server(name, state="DRAINING")
             await trio.sleep_until(moved_at + 9.0)
             assert directory.calls > 0
             allowed = moved_at + NOTIFIED_S + GRACE_S + NOTED_S
             late = [
                 (server.name, round(seen - moved_at, 2))
                 for server in servers
-                for seen, request in server.seen
+                for seen, request in server.received
                 if drains(server, request) and seen > allowed
             ]
             assert not late, late[:5]
             if new is not silent:
                 assert answers[-20:].count(200) >= 2, answers[-20:]
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -23,7 +23,7 @@
 from merlinbay.http.connection import Request
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
-from tests.net import play
+from tests.net import run_scenario
 from tests.test_fuzz import FakeConnection
 
 
@@ -75,7 +75,7 @@
         with trio.fail_after(10):
             found.append((await child.run(), child))
 
-    play(body)
+    run_scenario(body)
     return found[0]
 
 
@@ -137,7 +137,7 @@
             with pytest.raises(ProcessStartError, match="No such file"):
                 await child.run()
 
-        play(body, ChildProcess(template, tmp_path))
+        run_scenario(body, ChildProcess(template, tmp_path))
 
 
 def state_of(child: ChildProcess) -> str:
@@ -169,7 +169,7 @@
                 child.signal(signal.SIGCONT)
         assert statuses == [0]
 
-    play(body)
+    run_scenario(body)
 
 
 def test_a_job_terminated_while_its_process_is_being_made_ends(tmp_path: Path) -> None:
@@ -184,7 +184,7 @@
                 assert child.process is None
                 assert await child.run() == -signal.SIGTERM
 
-    play(body)
+    run_scenario(body)
 
 
 def test_a_job_that_cannot_be_started_can_be_terminated(tmp_path: Path) -> None:
@@ -198,7 +198,7 @@
                 with pytest.raises(ProcessStartError):
                     await child.run()
 
-    play(body)
+    run_scenario(body)
 
 
 def test_an_executor_that_is_cancelled_leaves_no_process(tmp_path: Path) -> None:
@@ -223,7 +223,7 @@
             assert executor.slots.job("2").state is JobState.SUSPENDED
             nursery.cancel_scope.cancel()
 
-    play(body)
+    run_scenario(body)
     end = time.monotonic() + 60
     pids = [int((tmp_path / name).read_text()) for name in "12"]
     while (left := [pid for pid in pids if alive(pid)]) and time.monotonic() < end:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,7 +23,19 @@
 from merlinbay.handover.snapshot_codec import from_encoded
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Request, Response
-from tests.net import LIMITS, LOAD, ROOT, Play, Stage, StandIn, admission, free_port, play, serves, stage
+from tests.net import (
+    LIMITS,
+    LOAD_REPORT,
+    ROOT,
+    FakeServer,
+    NodeFixture,
+    ServerBehaviour,
+    admission_headers,
+    completes_job,
+    free_port,
+    node_fixture,
+    run_scenario,
+)
 from tests.support import entry, settings
 
 
@@ -31,7 +43,7 @@
 class House:
     """The platform's part: the socket it keeps, and the processes it starts on it."""
 
-    stage: Stage
+    fixture: NodeFixture
     environ: dict[str, str]
     sock: socket.socket
     processes: list[trio.Process] = field(default_factory=list)
@@ -45,7 +57,7 @@
             **self.environ,
             "LB_ACCEPT_FD": str(self.sock.fileno()),
             "LB_ADMIN_ADDR": f"127.0.0.2:{port}",
-            "TMPDIR": str(self.stage.folder),
+            "TMPDIR": str(self.fixture.folder),
         }
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "merlinbay"], cwd=ROOT, env=environ, pass_fds=[self.sock.fileno()]
@@ -54,7 +66,7 @@
         self.desks.append(port)
         while wait:
             try:
-                if (await self.stage.operate("status", port)).startswith("SUCCESS"):
+                if (await self.fixture.admin_call("status", port)).startswith("SUCCESS"):
                     break
             except OSError:
                 pass
@@ -65,13 +77,13 @@
 Scene = Callable[[House], Awaitable[None]]
 
 
-def by_house(folder: Path, scene: Scene, discovery: str = "subscribe", **servers: Play) -> None:
+def by_house(folder: Path, scene: Scene, discovery: str = "subscribe", **servers: ServerBehaviour) -> None:
     """Play a scene with a kept socket and these servers; processes are ended by their ids."""
 
     async def whole() -> None:
-        async with stage(folder) as s:
+        async with node_fixture(folder) as s:
             for name, one in servers.items():
-                s.add(name, one)
+                s.add_server(name, one)
             with socket.create_server(("127.0.0.2", s.port)) as sock:
                 found = House(s, s.configure(discovery=discovery), sock)
                 try:
@@ -81,15 +93,15 @@
                         if process.poll() is None:
                             process.kill()
 
-    play(whole)
+    run_scenario(whole)
 
 
 async def job(connection: ClientConnection, name: str) -> int:
     """Hand in a job on a kept connection; return the status of its answer."""
-    return (await connection.exchange("POST", "/admit", admission(name, 3000), b"seat")).status
+    return (await connection.exchange("POST", "/admit", admission_headers(name, 3000), b"seat")).status
 
 
-async def at_once(s: Stage, name: str) -> None:
+async def at_once(s: NodeFixture, name: str) -> None:
     """Hand in jobs side by side, so that more than one server is used, until all are served."""
 
     async def one(number: int) -> None:
@@ -104,12 +116,12 @@
                 nursery.start_soon(one, number)
 
 
-async def holds(server: StandIn, request: Request) -> Response | None:
+async def holds(server: FakeServer, request: Request) -> Response | None:
     """Serve all jobs but the one that is held: that one starts, and a test says when it is done."""
     name = request.headers.get("x-request-id", "")
     if request.method != "POST" or name != "held":
-        return await serves(server, request)
-    server.stage.nursery.start_soon(server.tell, name, "started")
+        return await completes_job(server, request)
+    server.fixture.nursery.start_soon(server.send_event, name, "started")
     return Response(202)
 
 
@@ -117,7 +129,7 @@
     """Kept connections go over unnoticed, also one whose job runs on; its call-backs reach either process."""
 
     async def scene(h: House) -> None:
-        s = h.stage
+        s = h.fixture
         old, _ = await h.start()
         kept, busy = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
         assert await job(kept, "first") == 200
@@ -132,7 +144,7 @@
                 holders := [
                     server
                     for server in s.servers
-                    if any(request.headers.get("x-request-id") == "held" for _, request in server.seen)
+                    if any(request.headers.get("x-request-id") == "held" for _, request in server.received)
                 ]
             ):
                 await trio.sleep(0.01)
@@ -143,8 +155,8 @@
                 assert (await s.admit(f"new-{number}", 3000)).status == 200
             assert old.poll() is None and not ends  # it still waits for its job
             for _ in range(3):  # each on a connection of its own, all to the new process
-                await holders[0].tell("held", "running", share=0.5)
-            await holders[0].tell("held", "done", result="x", load=LOAD)
+                await holders[0].send_event("held", "running", share=0.5)
+            await holders[0].send_event("held", "done", result="x", load=LOAD_REPORT)
         assert ends == [200]
         with trio.fail_after(2):
             assert await old.wait() == 0
@@ -158,29 +170,29 @@
     """Made before it starts or while both run; the configuration file's list is older than the node."""
 
     async def scene(h: House) -> None:
-        s = h.stage
+        s = h.fixture
         old, _ = await h.start()
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
-        s.change("c", state="DELETED")
+        assert (await s.admin_call("maint-on a", h.desks[0])).startswith("SUCCESS")
+        s.update_server("c", state="DELETED")
         await trio.sleep(0.3)
         _, admin_port = await h.start()
-        assert (await s.operate("maint-on b", h.desks[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on b", h.desks[0])).startswith("SUCCESS")
         await trio.sleep(0.1)
-        before = [len(s.stand(name).targets()) for name in "abc"]
+        before = [len(s.server(name).targets()) for name in "abc"]
         await at_once(s, "both")  # by both processes
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         await at_once(s, "new")
-        assert [len(s.stand(name).targets()) for name in "abc"] == before
-        assert (await s.operate("standby", admin_port)).startswith("SUCCESS")
+        assert [len(s.server(name).targets()) for name in "abc"] == before
+        assert (await s.admin_call("standby", admin_port)).startswith("SUCCESS")
         await h.start()
         assert (await s.call("GET", "/-/ready")).status == 503
-        assert (await s.operate("active", h.desks[-1])).startswith("SUCCESS")
-        assert (await s.operate("maint-off a", h.desks[-1])).startswith("SUCCESS")
+        assert (await s.admin_call("active", h.desks[-1])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-off a", h.desks[-1])).startswith("SUCCESS")
         await trio.sleep(0.1)
         assert [(await s.call("GET", "/-/ready")).status for _ in range(6)] == [200] * 6  # either one
 
-    by_house(tmp_path, scene, discovery, a=serves, b=serves, c=serves, d=serves)
+    by_house(tmp_path, scene, discovery, a=completes_job, b=completes_job, c=completes_job, d=completes_job)
 
 
 def test_a_node_whose_successor_died_leaves_as_one_without(tmp_path: Path) -> None:
@@ -188,7 +200,7 @@
 
     async def scene(h: House) -> None:
         old, _ = await h.start()
-        kept = await ClientConnection.connect(f"127.0.0.2:{h.stage.port}", LIMITS)
+        kept = await ClientConnection.connect(f"127.0.0.2:{h.fixture.port}", LIMITS)
         assert await job(kept, "first") == 200
         dead, _ = await h.start()
         dead.kill()
@@ -199,14 +211,14 @@
             await trio.sleep(0.05)
             assert await job(kept, f"kept-{number}") in (200, 503)  # some spared, as without a successor
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    by_house(tmp_path, scene, a=completes_job, b=completes_job)
 
 
 def test_a_successor_that_dies_leaves_the_node_as_it_was(tmp_path: Path) -> None:
     """It serves on, and the next successor is met as the first one was."""
 
     async def scene(h: House) -> None:
-        s = h.stage
+        s = h.fixture
         old, _ = await h.start()
         kept = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
         assert await job(kept, "first") == 200
@@ -215,14 +227,14 @@
         await dead.wait()
         await trio.sleep(0.1)
         assert await job(kept, "second") == 200 and (await s.admit("third")).status == 200
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on a", h.desks[0])).startswith("SUCCESS")
         _, _admin_port = await h.start()
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         assert await job(kept, "fourth") == 200
-        assert s.stand("b").seen[-1][1].headers["x-request-id"] == "fourth"
+        assert s.server("b").received[-1][1].headers["x-request-id"] == "fourth"
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    by_house(tmp_path, scene, a=completes_job, b=completes_job)
 
 
 @pytest.mark.parametrize("what", ["stopped", "garbage", "nobody"])
@@ -230,9 +242,9 @@
     """An old process that hangs, a file in the socket's place, one that was left behind by a dead process."""
 
     async def scene(h: House) -> None:
-        s = h.stage
+        s = h.fixture
         old, _ = await h.start()
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on a", h.desks[0])).startswith("SUCCESS")
         if what == "stopped":
             old.send_signal(signal.SIGSTOP)
         else:
@@ -250,7 +262,7 @@
         for number in range(5):
             assert (await s.admit(f"job-{number}")).status == 200
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    by_house(tmp_path, scene, a=completes_job, b=completes_job)
 
 
 def test_a_message_too_long_for_a_packet_ends_nothing_else() -> None:
--- a/tests/test_handover_versions.py
+++ b/tests/test_handover_versions.py
@@ -182,7 +182,7 @@
         assert msgspec.to_builtins(to_encoded(inherited.snapshot)) == {**LEARNED, "workers": [WORKER]}
         await new.relays_to_core()
         new.steering.set_draining.assert_called_once_with(True, relayed=True)
-        ((sock, is_proven, calls_back),) = (call.args for call in new.listener.adopt.call_args_list)
+        ((sock, is_proven, calls_back),) = (call.args for call in new.listener.add_connection.call_args_list)
         assert (is_proven, calls_back) == (True, True)
         assert os.fstat(sock.fileno()).st_ino == os.fstat(client.fileno()).st_ino
         sock.close()
--- a/tests/test_in_service.py
+++ b/tests/test_in_service.py
@@ -17,24 +17,24 @@
 from merlinbay.decision.events import AttemptEnded, EndpointsChanged, MaintenanceChanged, RequestReceived
 from merlinbay.decision.outcomes import Outcome
 from merlinbay.http.client import ClientConnection
-from tests.net import LIMITS, ROOT, Stage, admission, free_port, play, stage
+from tests.net import LIMITS, ROOT, NodeFixture, admission_headers, free_port, node_fixture, run_scenario
 from tests.support import entry, settings
 
-Scene = Callable[[Stage], Awaitable[None]]
+Scene = Callable[[NodeFixture], Awaitable[None]]
 
 
 def in_service(folder: Path, scene: Scene, program: bool = False) -> None:
     """Play a scene with a node of two servers that operators can call."""
 
     async def whole() -> None:
-        async with stage(folder) as s:
+        async with node_fixture(folder) as s:
             s.admin_port = free_port()
-            s.add("s-1")
-            s.add("s-2")
+            s.add_server("s-1")
+            s.add_server("s-2")
             await s.start(program)
             await scene(s)
 
-    play(whole)
+    run_scenario(whole)
 
 
 CALLS = [
@@ -61,11 +61,11 @@
 def test_each_call_has_one_line_also_beside_callers_who_say_nothing(tmp_path: Path) -> None:
     """Forty connections without a word neither keep others out nor delay them."""
 
-    async def scene(s: Stage) -> None:
+    async def scene(s: NodeFixture) -> None:
         silent = [await trio.open_tcp_stream("127.0.0.2", s.admin_port) for _ in range(40)]
         for line, word in CALLS:
             with trio.fail_after(1):
-                answer = await s.operate(line)
+                answer = await s.admin_call(line)
             assert answer.startswith(word) and answer.count("\n") == 1, (line, answer)
         with trio.fail_after(1):  # the first have made room, and are not waited for
             assert await silent[0].receive_some(1) == b""
@@ -78,7 +78,7 @@
 def test_the_command_line_makes_calls(tmp_path: Path) -> None:
     """The answer's line, and an exit status that scripts can use."""
 
-    async def scene(s: Stage) -> None:
+    async def scene(s: NodeFixture) -> None:
         for at, words, status, line in [
             (s.admin_port, ["maint-on", "s-1"], 0, "SUCCESS"),
             (s.admin_port, ["maint-off", "x"], 9, "FAILURE nobody"),
@@ -99,21 +99,21 @@
 def test_nothing_goes_to_a_server_in_maintenance_whatever_is_listed(tmp_path: Path) -> None:
     """From the yes on, also when discovery lists it anew; after the call that ends it it is used again."""
 
-    async def scene(s: Stage) -> None:
-        assert (await s.operate("maint-on s-1")).startswith("SUCCESS")
-        before = len(s.stand("s-1").targets())
+    async def scene(s: NodeFixture) -> None:
+        assert (await s.admin_call("maint-on s-1")).startswith("SUCCESS")
+        before = len(s.server("s-1").targets())
         for number in range(20):
-            s.change("s-1", started_ms=1_000 + number)
+            s.update_server("s-1", started_ms=1_000 + number)
             assert (await s.admit(f"job-{number}")).status == 200
-        assert len(s.stand("s-1").targets()) == before
-        assert (await s.operate("maint-on s-2")).startswith("SUCCESS")
+        assert len(s.server("s-1").targets()) == before
+        assert (await s.admin_call("maint-on s-2")).startswith("SUCCESS")
         assert (await s.admit("nowhere")).status == 503
-        assert (await s.operate("maint-off s-1")).startswith("SUCCESS")
+        assert (await s.admin_call("maint-off s-1")).startswith("SUCCESS")
         tries = 0
         while (await s.admit(f"again-{tries}")).status != 200:  # a cold server's first turn is not at once
             tries += 1
             await trio.sleep(0.05)
-        assert tries < 20 and len(s.stand("s-1").targets()) == before + 1
+        assert tries < 20 and len(s.server("s-1").targets()) == before + 1
 
     in_service(tmp_path, scene)
 
@@ -176,33 +176,37 @@
 def test_clients_are_sent_away_without_a_request_lost_and_taken_back(tmp_path: Path) -> None:
     """The check says no at once; connections end with an answer, idle ones soon; those of servers stay."""
 
-    async def scene(s: Stage) -> None:
+    async def scene(s: NodeFixture) -> None:
         address = f"127.0.0.2:{s.port}"
         busy, idle, server = [await ClientConnection.connect(address, LIMITS) for _ in range(3)]
         event = b'{"id": "x", "from": "s-1", "state": "running"}'
         for connection in (busy, idle):
             name = f"first-{id(connection)}"
-            assert (await connection.exchange("POST", "/admit", admission(name), b"seat")).status == 200
+            assert (
+                await connection.exchange("POST", "/admit", admission_headers(name), b"seat")
+            ).status == 200
         await server.exchange("POST", "/v1/job-events", [], event)
         began = trio.current_time()
-        assert (await s.operate("standby")).startswith("SUCCESS")
+        assert (await s.admin_call("standby")).startswith("SUCCESS")
         assert (await s.call("GET", "/-/ready")).status == 503
         assert (await s.admit("still")).status == 200
-        assert (await s.operate("status")).startswith("SUCCESS")
+        assert (await s.admin_call("status")).startswith("SUCCESS")
         jobs = 0
         while busy.is_available():
             jobs += 1
-            assert (await busy.exchange("POST", "/admit", admission(f"busy-{jobs}"), b"seat")).status == 200
+            assert (
+                await busy.exchange("POST", "/admit", admission_headers(f"busy-{jobs}"), b"seat")
+            ).status == 200
         assert (
             trio.current_time() - began > LIMITS.standby_arrivals_for_s - 0.1 and idle.is_available()
         )  # these end later
         assert (await s.admit("late")).status == 200  # whoever comes all the same is served
         await trio.sleep(began + 2.0 - trio.current_time())
         assert not idle.is_available() and server.is_available()
-        assert (await s.operate("active")).startswith("SUCCESS")
+        assert (await s.admin_call("active")).startswith("SUCCESS")
         assert (await s.call("GET", "/-/ready")).status == 200
         kept = await ClientConnection.connect(address, LIMITS)
-        assert (await kept.exchange("POST", "/admit", admission("back"), b"seat")).status == 200
+        assert (await kept.exchange("POST", "/admit", admission_headers("back"), b"seat")).status == 200
         await trio.sleep(0.5)
         assert kept.is_available()
 
@@ -217,7 +221,7 @@
     """Status 2, nothing bound."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             environ = {**os.environ, **s.configure(), name: value}
             done = await trio.run_process(
                 [sys.executable, "-B", "-m", "merlinbay"],
@@ -230,4 +234,4 @@
             assert done.returncode == 2
             assert len(done.stderr.splitlines()) == 1 and value in done.stderr.decode()
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -42,7 +42,7 @@
 from merlinbay.platform import messages
 from merlinbay.platform.discovery import Discovery
 from merlinbay.platform.servers import PlatformServers
-from tests.net import LIMITS, Stage, StandIn, play, stage
+from tests.net import LIMITS, FakeServer, NodeFixture, node_fixture, run_scenario
 from tests.support import entry, settings
 
 SECOND = 1_000_000
@@ -298,13 +298,15 @@
 def test_a_node_with_1024_entries_keeps_to_its_descriptors(tmp_path: Path) -> None:
     """Every job is turned away and goes to one server after the other: old connections make room."""
 
-    async def turns_away(server: StandIn, request: Request) -> Response:
+    async def turns_away(server: FakeServer, request: Request) -> Response:
         return Response(503, b"", [(b"x-not-processed", b"1")])
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s-0", play=turns_away)
-            at.rows += [{**at.rows[0], "id": f"s-{n}", "cell": n // 6} for n in range(1, 1024)]
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s-0", behaviour=turns_away)
+            at.endpoint_rows += [
+                {**at.endpoint_rows[0], "id": f"s-{n}", "cell": n // 6} for n in range(1, 1024)
+            ]
             await at.start(program=True, discovery="automatic")
             assert at.process is not None
             most = 0
@@ -313,7 +315,7 @@
                 most = max(most, len(os.listdir(f"/proc/{at.process.pid}/fd")))
             assert len(server.connections) > 80 and most < at.sockets * 35 // 100 + 32
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Discovery on sockets.
@@ -322,9 +324,9 @@
 class Told:
     """A stand-in discovery, and what a node's watch of it tells."""
 
-    def __init__(self, scene: Stage, pushed: bool, plays: list[str], room: int = 100) -> None:
+    def __init__(self, scene: NodeFixture, pushed: bool, plays: list[str], room: int = 100) -> None:
         self.plays, self.lists = plays, 0
-        self.asked = StandIn(scene, "discovery", self.answer)
+        self.asked = FakeServer(scene, "discovery", self.answer)
         self.asked.sock.listen(8)  # Guards against a first call that finds nobody.
         scene.nursery.start_soon(self.asked.listen)
         send, self.inbox = trio.open_memory_channel[Message](room)
@@ -342,7 +344,7 @@
         )
         scene.nursery.start_soon(self.discovery.run)
 
-    async def answer(self, server: StandIn, request: Request) -> Response | None:
+    async def answer(self, server: FakeServer, request: Request) -> Response | None:
         """Play the next of the plays, then a list in which the server drains."""
         what = self.plays.pop(0) if self.plays else "draining"
         rows = [{"id": "s", "addr": "127.0.0.2:1", "state": "SERVING" if what == "up" else "DRAINING"}]
@@ -383,7 +385,7 @@
     """Where lists are pushed by itself; where they are asked for as soon as the module says so."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, pushed, ["up", *trouble.split()])
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "up" and told.discovery.is_up("s")
@@ -395,7 +397,7 @@
             assert refused == [True] + [False] * (len(refused) - 1) and refused
             assert news.entries[0].state == "draining" and not told.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("what", ["cut", "odd"])
@@ -403,7 +405,7 @@
     """It is asked for once more on the same watch, and the next one counts."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, False, ["up", what, "indented"])
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "up"
@@ -412,14 +414,14 @@
             assert told.counters.counts["lists_spoilt"] == 1 and not told.counters.counts["watches_failed"]
             assert len(told.asked.connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_new_configuration_at_the_same_place_is_answered_though_nothing_has_changed(tmp_path: Path) -> None:
     """Right after the moment that it has set, which would never be lifted else. The watch stays as it is."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, False, ["up", *["nothing"] * 999])
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "up"
@@ -430,86 +432,86 @@
             assert (news.scope, news.entries, news.is_from_former_discovery) == ("changes", [], False)
             assert len(told.asked.connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_answer_that_crosses_a_new_configuration_is_marked_as_a_former_one_s(tmp_path: Path) -> None:
     """It comes from where the configuration points no more."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, False, ["up", "draining"])
             told.discovery.subscribe()
             assert not (await told.news()).is_from_former_discovery
             told.discovery.move("127.0.0.2:9")
             assert (await told.news()).is_from_former_discovery
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_watch_s_call_ends_right_after_the_moment_that_has_to_be_confirmed(tmp_path: Path) -> None:
     """Else a node would refuse until the call ends by itself."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             discovery = Told(at, False, []).discovery
             discovery.limits = LIMITS
             assert discovery._next_wait_s() == LIMITS.watch_wait_s
             discovery.confirm_after(300_000)
             assert 0.3 < discovery._next_wait_s() <= 0.3 + LIMITS.confirm_margin_s
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_news_that_were_taken_in_and_not_told_are_asked_for_again(tmp_path: Path) -> None:
     """A new call ends the watch while it waits to tell them: the next asks for the whole list."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, False, ["up", "draining"], room=0)
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "up"
             while told.discovery.is_up("s"):
                 await trio.sleep(0.01)
-            calls = len(told.asked.seen)
+            calls = len(told.asked.received)
             told.discovery.subscribe()
             assert (await told.news()).entries[0].state == "draining"
-            assert "after=" not in told.asked.seen[calls][1].target
+            assert "after=" not in told.asked.received[calls][1].target
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_whole_list_that_no_longer_names_a_server_ends_it(tmp_path: Path) -> None:
     """Gone without a word of its own."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, True, ["up", "empty"])
             await told.news()
             assert (await told.news()).entries == [] and not told.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_pushed_list_is_watched_at_the_new_agent_at_once(tmp_path: Path) -> None:
     """The old one still holds the call; it may tell nothing any more."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             old, new = Told(at, True, ["up", "silent"]), Told(at, True, ["empty"] * 99)
             assert (await old.news()).entries[0].state == "up"
             assert old.discovery.move(new.asked.addr)
             news = await old.news()
             assert (news.scope, news.entries) == ("all", [])
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_news_that_wait_for_a_full_inbox_count_already(tmp_path: Path) -> None:
     """The dispatcher is behind by a hundred messages; what is sent meanwhile looks at what was heard."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             told = Told(at, True, ["up"], room=1)
             while told.lists < 2:
                 await trio.sleep(0.01)
@@ -518,7 +520,7 @@
             assert told.inbox.statistics().current_buffer_used == 1
             assert not told.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 # The whole node where lists are pushed.
@@ -528,12 +530,12 @@
     """Nothing new to a server that drains; the next goes to the one that is left."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            left = at.add("left")
+        async with node_fixture(tmp_path) as at:
+            left = at.add_server("left")
             await at.start(discovery="automatic")
             assert (await at.admit("j")).status == 200 and left.targets()
-            at.add("stays")
-            at.change("left", state="DRAINING")
+            at.add_server("stays")
+            at.update_server("left", state="DRAINING")
             heard = at.counters.counts["entries_all"]
             while at.counters.counts["entries_all"] < heard + 2:
                 await trio.sleep(0.01)
@@ -541,35 +543,35 @@
             assert {(await at.admit(f"k{n}")).status for n in range(8)} == {200}
             assert len(left.targets()) == before
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_node_that_starts_sends_nothing_by_the_old_list_it_knew(tmp_path: Path) -> None:
     """What the agent has counts as told from the first moment: the node is ready once it has heard it."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            left = at.add("left")
+        async with node_fixture(tmp_path) as at:
+            left = at.add_server("left")
             listed = at.discovery
 
-            async def late(server: StandIn, request: Request) -> Response | None:
+            async def late(server: FakeServer, request: Request) -> Response | None:
                 await trio.sleep(0.1)
                 return await listed(server, request)
 
             at.discovery = late  # type: ignore[method-assign]
             environ = at.configure(discovery="automatic")
-            at.rows[0]["state"] = "DRAINING"  # after the node's file was written
+            at.endpoint_rows[0]["state"] = "DRAINING"  # after the node's file was written
             at.configure = lambda **conf: environ  # type: ignore[method-assign]
             await at.start()
             assert (await at.admit("j")).status == 503 and not left.targets()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Between placing and the first byte.
 
 
-async def takes(server: StandIn, request: Request) -> Response:
+async def takes(server: FakeServer, request: Request) -> Response:
     """Take whatever comes."""
     return Response(202)
 
@@ -578,8 +580,8 @@
     """The connection is kept for what else is to be said to that server."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, leaves = at.add("s", play=takes), False
+        async with node_fixture(tmp_path) as at:
+            server, leaves = at.add_server("s", behaviour=takes), False
             server.sock.listen(8)
             counters = Counters()
             pool = ConnectionPool(LIMITS, counters, lambda name: not leaves)
@@ -593,15 +595,15 @@
             assert server.targets() == ["/"] and len(server.connections) == 1
             assert counters.counts["sends_withheld"] == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_attempt_withheld_ends_as_never_sent(tmp_path: Path) -> None:
     """The module may send it elsewhere, whatever the job's class."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, counters, clock = at.add("s", play=takes), Counters(), Clock()
+        async with node_fixture(tmp_path) as at:
+            server, counters, clock = at.add_server("s", behaviour=takes), Counters(), Clock()
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, counters, lambda name: False)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -611,17 +613,17 @@
             servers.start(ServerAttempt(RequestSpec("j", "admit", now, SECOND), 1, 0, "s", now, now + SECOND))
             ended = await inbox.receive()
             assert isinstance(ended, AttemptFinished) and ended.outcome is Outcome.MOOT
-            assert not server.seen
+            assert not server.received
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_server_under_another_address_gets_no_job_that_was_chosen_before(tmp_path: Path) -> None:
     """It is another process: what was known of it at the choice is void."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s")
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s")
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters(), lambda name: True)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -637,7 +639,7 @@
                 await pool.exchange("s", JOB_REQUEST)
             assert not server.targets()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_the_module_takes_the_watch_s_last_answer() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,17 @@
 
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Request, Response
-from tests.net import LIMITS, LOAD, ROOT, Play, StandIn, admission, play, serves, stage
+from tests.net import (
+    LIMITS,
+    LOAD_REPORT,
+    ROOT,
+    FakeServer,
+    ServerBehaviour,
+    admission_headers,
+    completes_job,
+    node_fixture,
+    run_scenario,
+)
 from tests.test_drmaa import schedules, submit
 
 BAD = {
@@ -53,7 +63,7 @@
     """The listener cannot be bound: non-zero, one line, no traceback."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             environ = s.configure()
             with socket.socket() as taken:
                 taken.bind(("127.0.0.2", s.port))
@@ -69,21 +79,21 @@
             assert done.stderr.decode().startswith("merlinbay: cannot listen at 127.0.0.2:")
             assert len(done.stderr.splitlines()) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
-def runs(seconds: Callable[[str], float]) -> Play:
+def runs(seconds: Callable[[str], float]) -> ServerBehaviour:
     """Return the play of a server whose jobs run so long, by their id; 0 is for ever."""
 
-    async def play(server: StandIn, request: Request) -> Response | None:
+    async def play(server: FakeServer, request: Request) -> Response | None:
         async def work(job: str) -> None:
-            await server.tell(job, "started")
+            await server.send_event(job, "started")
             await trio.sleep(seconds(job))
             if seconds(job):
-                await server.tell(job, "done", result="x", load=LOAD)
+                await server.send_event(job, "done", result="x", load=LOAD_REPORT)
 
         if request.method == "POST":
-            server.stage.nursery.start_soon(work, request.headers["x-request-id"])
+            server.fixture.nursery.start_soon(work, request.headers["x-request-id"])
         return Response(202)
 
     return play
@@ -93,8 +103,8 @@
     """Kept connections serve until shortly before SIGKILL, 3.7 s on; what is left then fails in time."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-1", runs(lambda job: 0 if job == "stuck" else 0.4))
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-1", runs(lambda job: 0 if job == "stuck" else 0.4))
             await s.start(program=True)
             assert s.process is not None
             answers: dict[str, tuple[int, bytes]] = {}
@@ -118,22 +128,22 @@
                 "new": (503, b"refused\n"),
             }
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_node_that_leaves_keeps_connections_free(tmp_path: Path) -> None:
     """Of six kept connections three may be busy after SIGTERM; on a fourth, a job is refused at once."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             for name in ("s-1", "s-2"):
-                s.add(name, runs(lambda job: 0.05 if job.startswith("first") else 0.8))
+                s.add_server(name, runs(lambda job: 0.05 if job.startswith("first") else 0.8))
             await s.start(program=True)
             assert s.process is not None
             kept = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(6)]
 
             async def one(number: int, job: str, statuses: list[int]) -> None:
-                reply = await kept[number].exchange("POST", "/admit", admission(job), b"x")
+                reply = await kept[number].exchange("POST", "/admit", admission_headers(job), b"x")
                 statuses.append(reply.status)
 
             for number in range(6):
@@ -148,20 +158,20 @@
                 assert statuses == [503]
             assert statuses == [503, 200, 200, 200]
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_node_that_leaves_others_sends_its_clients_there(tmp_path: Path) -> None:
     """Before jobs are refused, idle connections end and answers end theirs; what still comes is served."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-1")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-1")
             await s.start(program=True, balancers=2)
             assert s.process is not None
             kept = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
             for number, connection in enumerate(kept):
-                reply = await connection.exchange("POST", "/admit", admission(f"a{number}"), b"x")
+                reply = await connection.exchange("POST", "/admit", admission_headers(f"a{number}"), b"x")
                 assert reply.status == 200
             s.process.send_signal(signal.SIGTERM)
             await trio.sleep(2.4)
@@ -171,15 +181,15 @@
             reply = await s.admit("b1")
             assert (reply.status, reply.headers["connection"]) == (200, "close")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_sighup_moves_the_watch_and_keeps_all_else(tmp_path: Path) -> None:
     """Twice, under a request: the list comes from the new address at once; a broken file changes nothing."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-1", runs(lambda job: 1.2))
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-1", runs(lambda job: 1.2))
             await s.start(program=True)
             assert s.process is not None
             answers: list[bytes] = []
@@ -191,23 +201,23 @@
                 nursery.start_soon(one)
                 await trio.sleep(0.1)
                 for name in ("s-2", "s-3"):  # each move finds another list, at a lower version
-                    server = StandIn(s, name, serves)
+                    server = FakeServer(s, name, completes_job)
                     s.nursery.start_soon(server.listen)
                     body = json.dumps(
                         {
                             "version": 0,
                             "full": True,
-                            "servers": [{**s.rows[0], "id": name, "addr": server.addr}],
+                            "servers": [{**s.endpoint_rows[0], "id": name, "addr": server.addr}],
                         }
                     ).encode()
 
-                    async def listing(asked: StandIn, request: Request, body: bytes = body) -> Response:
+                    async def listing(asked: FakeServer, request: Request, body: bytes = body) -> Response:
                         await trio.sleep(3 if "wait_ms" in request.target else 0)
                         return Response(200, body)
 
-                    moved = StandIn(s, "discovery", listing)
+                    moved = FakeServer(s, "discovery", listing)
                     s.nursery.start_soon(moved.listen)
-                    s.write(moved.addr)
+                    s.write_configuration(moved.addr)
                     await trio.sleep(0.1)
                     s.process.send_signal(signal.SIGHUP)
                     await trio.sleep(0.4)
@@ -222,15 +232,15 @@
             with trio.fail_after(4):
                 assert await s.process.wait() == 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_the_program_outlives_a_lack_of_descriptors(tmp_path: Path) -> None:
     """With fewer descriptors than connections, it goes on accepting once some are closed."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-1", serves)
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-1", completes_job)
             await s.start(program=True)
             assert s.process is not None
             subprocess.run(["prlimit", f"--pid={s.process.pid}", "--nofile=24:24"], check=True)
@@ -243,31 +253,31 @@
             await trio.sleep(0.3)
             assert (await s.admit("a1")).status == 200
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_the_program_takes_drmaa_submissions(tmp_path: Path) -> None:
     """With an operator's file, a job goes from runJob to DONE at a stand-in scheduler."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.operator = "[drmaa]\nfront = true\naccess.open = true\nservers = true\n"
-            s.add("s-1", schedules)
+            s.add_server("s-1", schedules)
             await s.start(program=True)
             status, job = await submit(s)
             assert (status, job["jobState"]) == (201, "QUEUED")
-            info = (await s.json("GET", f"/drmaa2/jobs/{job['jobId']}/wait"))[1]
+            info = (await s.call_json("GET", f"/drmaa2/jobs/{job['jobId']}/wait"))[1]
             assert (info["jobState"], info["exitStatus"]) == ("DONE", 0)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_counters_are_printed_on_request_and_at_exit(tmp_path: Path) -> None:
     """SIGUSR1 and the exit each print one line that counts what was taken, sent and answered."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-1")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-1")
             environ = s.configure()
             s.process = await trio.lowlevel.open_process(
                 [sys.executable, "-B", "-m", "merlinbay"],
@@ -292,4 +302,4 @@
                 assert " requests_taken=1 " in line and " attempts_sent=1 " in line
                 assert " answers_served=1 " in line
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -25,7 +25,7 @@
 )
 from merlinbay.reserve.timeline import Timeline
 from tests import support
-from tests.net import Stage, StandIn
+from tests.net import FakeServer, NodeFixture
 from tests.test_drmaa import CALL, FRONT
 from tests.test_front import Q, Scheduler, scene, state
 
@@ -266,12 +266,12 @@
 )
 
 
-async def run(s: Stage, count: int, **template: object) -> list[str]:
+async def run(s: NodeFixture, count: int, **template: object) -> list[str]:
     """Submit jobs; return their ids."""
     jobs = []
     for _ in range(count):
         wish = {"jobTemplate": {**CALL["jobTemplate"], **template}}
-        status, body = await s.json("POST", f"{Q}/jobs", wish)
+        status, body = await s.call_json("POST", f"{Q}/jobs", wish)
         assert status == 201, body
         jobs.append(str(body["jobId"]))
     return jobs
@@ -285,10 +285,10 @@
 def test_a_reservation_is_kept_for_its_jobs_and_its_drain_is_said(tmp_path: Path) -> None:
     """Jobs of it wait for its window and then run at its machines alone; a drain's loss is an event."""
 
-    async def body(s: Stage, server: StandIn, scheduler: Scheduler) -> None:
+    async def body(s: NodeFixture, server: FakeServer, scheduler: Scheduler) -> None:
         other = Scheduler()
-        s.add("s-2", other)
-        s.change("s-2")
+        s.add_server("s-2", other)
+        s.update_server("s-2")
         wish = {
             "reservationTemplate": {
                 "startTime": at(0.5),
@@ -297,32 +297,32 @@
                 "candidateMachines": ["s-2"],
             }
         }
-        while (found := await s.json("POST", "/drmaa2/reservations", wish))[0] != 201:
+        while (found := await s.call_json("POST", "/drmaa2/reservations", wish))[0] != 201:
             await trio.sleep(0.05)  # until discovery's news of s-2 are in
         name = found[1]["reservationId"]
         assert found[1]["reservedMachines"] == [{"machineName": "s-2", "slots": 3}]
-        again = await s.json("POST", "/drmaa2/reservations", wish)
+        again = await s.call_json("POST", "/drmaa2/reservations", wish)
         assert again[1]["exception"] == "OutOfResourceException"
         mine = await run(s, 3, reservationId=name)
-        infos = [(await s.json("GET", f"{Q}/jobs/{job}"))[1] for job in mine]
+        infos = [(await s.call_json("GET", f"{Q}/jobs/{job}"))[1] for job in mine]
         assert {info["jobSubState"] for info in infos} == {"not before its start time"}
         await other.heard("runJob", 3)
         assert sorted(other.jobs) == sorted(mine) and not scheduler.jobs
         extra = (await run(s, 1, reservationId=name))[0]  # all its slots are in use
         await trio.sleep(0.3)
-        assert (await s.json("GET", f"{Q}/jobs/{extra}"))[1]["jobState"] == "QUEUED"
-        await s.stand("s-2").notify(mine[0], "RUNNING")
-        await s.stand("s-2").notify(mine[0], "DONE", exitStatus=0)
+        assert (await s.call_json("GET", f"{Q}/jobs/{extra}"))[1]["jobState"] == "QUEUED"
+        await s.server("s-2").send_notification(mine[0], "RUNNING")
+        await s.server("s-2").send_notification(mine[0], "DONE", exitStatus=0)
         await state(s, mine[0], "DONE")
         await other.heard("runJob", 4)
-        s.change("s-2", state="DRAINING")
-        while (info := (await s.json("GET", f"/drmaa2/reservations/{name}"))[1])["state"] != "ENDED":
+        s.update_server("s-2", state="DRAINING")
+        while (info := (await s.call_json("GET", f"/drmaa2/reservations/{name}"))[1])["state"] != "ENDED":
             await trio.sleep(0.02)
         assert info["lostSlots"] == 3 and "s-2 drains" in info["annotation"]
-        events = (await s.json("GET", "/drmaa2/events?event=ATTRIBUTE_CHANGE"))[1]["events"]
+        events = (await s.call_json("GET", "/drmaa2/events?event=ATTRIBUTE_CHANGE"))[1]["events"]
         assert [e["jobState"] for e in events if e["jobId"] == f"reservation:{name}"][-1] == "ENDED"
         wish = {"jobTemplate": {**CALL["jobTemplate"], "reservationId": name}}
-        late = await s.json("POST", f"{Q}/jobs", wish)
+        late = await s.call_json("POST", f"{Q}/jobs", wish)
         assert late[1]["exception"] == "InvalidArgumentException"
 
     scene(tmp_path, body, operator=OPERATOR)
@@ -331,8 +331,8 @@
 def test_others_keep_out_of_what_is_reserved(tmp_path: Path) -> None:
     """Of four slots with three reserved one is left; where the reservation ends, all are there again."""
 
-    async def body(s: Stage, server: StandIn, scheduler: Scheduler) -> None:
-        status, found = await s.json(
+    async def body(s: NodeFixture, server: FakeServer, scheduler: Scheduler) -> None:
+        status, found = await s.call_json(
             "POST",
             "/drmaa2/reservations",
             {"reservationTemplate": {"duration": 60, "minSlots": 3, "reservationName": "council"}},
@@ -343,9 +343,11 @@
         await scheduler.heard("runJob")
         await trio.sleep(0.5)
         assert len(scheduler.jobs) == 1
-        assert (await s.json("POST", f"/drmaa2/reservations/{found['reservationId']}/terminate"))[0] == 200
+        assert (await s.call_json("POST", f"/drmaa2/reservations/{found['reservationId']}/terminate"))[
+            0
+        ] == 200
         await scheduler.heard("runJob", 2)
-        assert (await s.json("GET", "/drmaa2/supports/ADVANCE_RESERVATION"))[1]["supported"]
+        assert (await s.call_json("GET", "/drmaa2/supports/ADVANCE_RESERVATION"))[1]["supported"]
 
     scene(tmp_path, body, slots=4, operator=OPERATOR)
 
@@ -353,9 +355,9 @@
 def test_reservation_sessions_and_their_misuse(tmp_path: Path) -> None:
     """Created, listed, destroyed with what they hold; each wrong call raises its exception."""
 
-    async def body(s: Stage, server: StandIn, scheduler: Scheduler) -> None:
+    async def body(s: NodeFixture, server: FakeServer, scheduler: Scheduler) -> None:
         async def call(method: str, path: str, value: object = None) -> Any:
-            status, answer = await s.json(method, f"/drmaa2/reservation{path}", value)
+            status, answer = await s.call_json(method, f"/drmaa2/reservation{path}", value)
             return answer.get("exception", answer) if status >= 300 else answer
 
         await call("POST", "Sessions", {"sessionName": "shared"})
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -30,7 +30,7 @@
 from merlinbay.log import Log
 from merlinbay.platform.discovery import UnexpectedStatusError, failure_of
 from merlinbay.platform.start_times import StartTimes
-from tests.net import LIMITS, play, stage
+from tests.net import LIMITS, node_fixture, run_scenario
 from tests.support import entry, settings
 
 SECOND = 1_000_000
@@ -62,8 +62,8 @@
     ]
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            at.add("s")
+        async with node_fixture(tmp_path) as at:
+            at.add_server("s")
             await at.start()
             left = list(numbers)
             with patch.object(TRIO_SOCKET, "accept", failing(TRIO_SOCKET.accept, left)):
@@ -71,15 +71,15 @@
                 assert (await at.admit("j")).status == 200
             assert not left and at.counters.counts["accepts_failed"] == len(numbers)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_connection_that_has_ended_by_its_accept_ends_no_listener(tmp_path: Path) -> None:
     """Options cannot be set on it any more; the next client is served."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            at.add("s")
+        async with node_fixture(tmp_path) as at:
+            at.add_server("s")
             await at.start()
             setsockopt = TRIO_SOCKET.setsockopt
             ended: list[Any] = []
@@ -95,7 +95,7 @@
                     await at.call("GET", "/-/ready")
                 assert ended and (await at.admit("j")).status == 200
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_failed_accept_does_not_end_the_wait_for_a_successor() -> None:
@@ -157,8 +157,8 @@
     """No local port for a while: jobs are refused, and the next one is served by the only server."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            at.add("s")
+        async with node_fixture(tmp_path) as at:
+            at.add_server("s")
             await at.start()
             connect = TRIO_SOCKET.connect
 
@@ -172,7 +172,7 @@
             assert (await at.admit("j-2")).status == 200
             assert at.counters.counts["dials_short"] > 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("step_s", [3600.0, 5.0, -5.0, -3600.0])
--- a/tests/test_wire_and_configuration.py
+++ b/tests/test_wire_and_configuration.py
@@ -191,7 +191,7 @@
     # Each step of the end has its time before the cut-off, and that comes before SIGKILL.
     steps = (
         limits.stop_serving_for_s
-        + limits.stop_answers_for_us / 1e6
+        + limits.stop_responses_for_us / 1e6
         + limits.stop_rejecting_for_s
         + limits.stop_close_timeout_s
     )
