--- a/bench/view.py
+++ b/bench/view.py
@@ -142,7 +142,7 @@
     found = []
     for seed in range(*asked):
         try:
-            random_walk.walk(seed)
+            random_walk.run_walk(seed)
             scenarios.run_scenario(seed)
         except (simulation.InvariantViolationError, random_walk.EpochConflictError) as error:
             found.append(f"seed {seed}: {error}")
@@ -175,7 +175,7 @@
         code = (
             "from merlinbay.fleet import random_walk, scenarios, simulation\n"
             "for seed in range(400):\n"
-            "    try: random_walk.walk(seed)\n"
+            "    try: random_walk.run_walk(seed)\n"
             "    except random_walk.EpochConflictError as error:\n"
             "        print('walk', seed, error); raise SystemExit\n"
             "for seed in range(150):\n"
@@ -235,9 +235,9 @@
     sim.net.loss_share = loss
     quiet = 30.0 if members >= 1000 else 60.0
     sim.run(5.0)
-    sent, began = sim.bytes, sim.now_s
+    sent, began = sim.bytes_sent, sim.now_s
     sim.run(began + quiet)
-    rate = (sim.bytes - sent) / quiet / members
+    rate = (sim.bytes_sent - sent) / quiet / members
     logs = [event for node in sim.nodes.values() for event in node.log if began <= event.at_s]
     hours = members * quiet / 3600
     wrong = sum(event.kind == "died" and event.subject in states for event in logs) / hours
@@ -252,7 +252,7 @@
     for name in gone:
         times = [
             e.at_s - at
-            for node in sim.live()
+            for node in sim.running_nodes()
             for e in node.log
             if e.kind == "died" and e.subject == name and e.at_s > at
         ]
--- a/merlinbay/fleet/control.py
+++ b/merlinbay/fleet/control.py
@@ -38,7 +38,7 @@
         "draining": state.is_draining,
         "tags": state.tags,
         "gauges": state.gauges,
-        "for_s": round(now_s - member.since_s, 1),
+        "for_s": round(now_s - member.health_since_s, 1),
     }
 
 
@@ -53,7 +53,7 @@
 
     def _notify(self) -> None:
         """Wake the callers that wait for events."""
-        event_count = self._net.first_event + len(self._net.events)
+        event_count = self._net.first_event_number + len(self._net.events)
         if event_count != self._event_count:
             self._event_count = event_count
             self._events_added.set()
@@ -127,9 +127,9 @@
             return _json({"error": "after is a number"}, 400)
         net, wanted = self._net, int(after)
         with trio.move_on_after(EVENTS_TIMEOUT_S):
-            while wanted >= net.first_event + len(net.events):
+            while wanted >= net.first_event_number + len(net.events):
                 await self._events_added.wait()
-        first, now_s = max(wanted, net.first_event), trio.current_time()
+        first, now_s = max(wanted, net.first_event_number), trio.current_time()
         events = [
             {
                 "ago_s": round(now_s - event.at_s, 2),
@@ -137,7 +137,7 @@
                 "name": event.subject,
                 "text": event.text,
             }
-            for event in net.events[first - net.first_event :]
+            for event in net.events[first - net.first_event_number :]
         ]
         return _json({"next": first + len(events), "missed": max(first - wanted, 0), "events": events})
 
--- a/merlinbay/fleet/epochs.py
+++ b/merlinbay/fleet/epochs.py
@@ -62,13 +62,13 @@
 
     def __init__(
         self,
-        me: str,
+        own_voter_id: str,
         expected: int,
         state: AcceptorState | None,
         store: Callable[[AcceptorState], None],
         random: Callable[[], float],
     ) -> None:
-        self.me, self._expected, self._store, self._random = me, expected, store, random
+        self.own_voter_id, self._expected, self._store, self._random = own_voter_id, expected, store, random
         self.state = state or AcceptorState()
         self.proposal: Proposal | None = None
         self.outbox: list[tuple[str, EpochRequest]] = []  # voter and request, to be sent
@@ -107,24 +107,24 @@
             return
         epoch = self.epoch
         voters = tuple(voter for voter in sorted(present) if not epoch.number or voter in epoch.members)
-        if not voters or voters[0] != self.me or candidate == epoch.members or not candidate:
+        if not voters or voters[0] != self.own_voter_id or candidate == epoch.members or not candidate:
             return
         if len(voters) < self.majority():
             return
-        ballot = (max(self._highest_ballot[0], self.state.promised[0]) + 1, self.me)
+        ballot = (max(self._highest_ballot[0], self.state.promised[0]) + 1, self.own_voter_id)
         self.proposal = Proposal(
             epoch.number + 1, ballot, voters, self.majority(), candidate, now_s + PHASE_TIMEOUT_S
         )
-        self._request_votes(Prepare(epoch.number + 1, ballot, self.me, epoch))
+        self._request_votes(Prepare(epoch.number + 1, ballot, self.own_voter_id, epoch))
 
     def _request_votes(self, request: Prepare | Accept) -> None:
         proposal = self.proposal
         assert proposal is not None
         for voter in proposal.voters:
-            if voter != self.me:
+            if voter != self.own_voter_id:
                 self.outbox.append((voter, request))
                 continue
-            self.handle_answer(self.me, self.handle_request(request))
+            self.handle_answer(self.own_voter_id, self.handle_request(request))
             if self.proposal is not proposal:
                 return
 
@@ -153,15 +153,17 @@
     def _end_phase(self, proposal: Proposal) -> None:
         if not proposal.is_accepting:
             proposal.is_accepting, proposal.votes = True, set()
-            self._request_votes(Accept(proposal.number, proposal.ballot, self.me, self.epoch, proposal.value))
+            self._request_votes(
+                Accept(proposal.number, proposal.ballot, self.own_voter_id, self.epoch, proposal.value)
+            )
             return
         chosen = Epoch(proposal.number, proposal.value)
         self._adopt(chosen)
         self._announce(chosen, {*proposal.voters, *proposal.value})
 
     def _announce(self, epoch: Epoch, voters: set[str]) -> None:
-        learn = Learn(self.me, epoch)
-        self.outbox += [(voter, learn) for voter in sorted(voters - {self.me})]
+        learn = Learn(self.own_voter_id, epoch)
+        self.outbox += [(voter, learn) for voter in sorted(voters - {self.own_voter_id})]
 
     # Acceptor.
 
@@ -175,14 +177,14 @@
         if number != self.epoch.number + 1:
             return OtherEpoch(self.epoch)
         # Guards against a second vote of a node that lost its disk: with another disk it is another voter.
-        has_vote = not self.epoch.number or self.me in self.epoch.members
+        has_vote = not self.epoch.number or self.own_voter_id in self.epoch.members
         if not has_vote or ballot < self.state.promised or ballot == NO_BALLOT:
-            return Rejected(number, ballot, self.me, self.state.promised)
+            return Rejected(number, ballot, self.own_voter_id, self.state.promised)
         if isinstance(request, Prepare):
             self._save(replace(self.state, promised=ballot))
-            return Promise(number, ballot, self.me, self.state.accepted, self.state.value)
+            return Promise(number, ballot, self.own_voter_id, self.state.accepted, self.state.value)
         self._save(replace(self.state, promised=ballot, accepted=ballot, value=request.value))
-        return Accepted(number, ballot, self.me)
+        return Accepted(number, ballot, self.own_voter_id)
 
     def _save(self, state: AcceptorState) -> None:
         self._store(state)
--- a/merlinbay/fleet/member_table.py
+++ b/merlinbay/fleet/member_table.py
@@ -112,7 +112,7 @@
 
     def _change_health(self, member: Member, old: MemberState) -> None:
         new = member.state
-        member.since_s = self._timers.now_s
+        member.health_since_s = self._timers.now_s
         if new.health is Health.SUSPECT:
             member.accusers = {new.accuser}
             self.explain(member, f"suspected by {new.accuser}")
@@ -140,8 +140,8 @@
     def _declare_dead(self, member: Member) -> None:
         self.explain(
             member,
-            f"nothing heard for {self._timers.now_s - member.since_s:.1f} s after the first suspicion, "
-            f"by {', '.join(sorted(member.accusers))}",
+            f"no refutation {self._timers.now_s - member.health_since_s:.1f} s after the first suspicion; "
+            f"suspected by {', '.join(sorted(member.accusers))}",
         )
         self.merge(replace(member.state, health=Health.DEAD, accuser=self._local.name))
 
@@ -153,7 +153,7 @@
     def _reap(self) -> None:
         """Forget members that have been inactive for long, or are too many."""
         self._timers.schedule(self._settings.keep_dead / 4, self._reap)
-        inactive = sorted((m.since_s, m.name) for m in self.members.values() if not m.is_active)
+        inactive = sorted((m.health_since_s, m.name) for m in self.members.values() if not m.is_active)
         max_kept = MIN_KEPT_INACTIVE + KEPT_INACTIVE_PER_ACTIVE * (len(self.members) - len(inactive))
         for since_s, name in inactive:
             if self._timers.now_s - since_s > self._settings.keep_dead or len(inactive) > max_kept:
--- a/merlinbay/fleet/members.py
+++ b/merlinbay/fleet/members.py
@@ -55,7 +55,7 @@
     """A member as this node knows it."""
 
     state: MemberState
-    since_s: float  # when its health changed
+    health_since_s: float  # when its health changed
     accusers: set[str] = field(default_factory=set)  # members that suspect it
     history: list[tuple[float, str]] = field(default_factory=list)  # moments and causes of its health
 
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -35,7 +35,7 @@
         self._counters, self._log = counters, log
         self.on_change: list[Callable[[], None]] = []  # called after anything that may have changed the view
         self.events: list[MembershipEvent] = []
-        self.first_event = 0  # the number of the first event that is kept
+        self.first_event_number = 0  # the number of the first event that is kept
         self._sleep = trio.CancelScope()  # until the view's next tick
         self._streams = trio.Semaphore(MAX_STREAMS)
         self._udp = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -84,7 +84,7 @@
         for name, number in view.events.take_occurrences().items():
             self._counters.add(f"fleet_{name}", number)
         if len(self.events) > MAX_EVENTS:
-            self.first_event += len(self.events) - MAX_EVENTS
+            self.first_event_number += len(self.events) - MAX_EVENTS
             del self.events[:-MAX_EVENTS]
         if notify or events:  # guards against a look at all members for every packet
             for call in self.on_change:
--- a/merlinbay/fleet/random_walk.py
+++ b/merlinbay/fleet/random_walk.py
@@ -34,8 +34,8 @@
         self.rng = Random(f"{seed}/walk")
         self.names = [f"n{number}" for number in range(count or self.rng.randint(3, 5))]
         self.disks: dict[str, AcceptorState | None] = dict.fromkeys(self.names)
-        self.lost_disks = dict.fromkeys(self.names, 0)
-        self.keeps_disk = self.rng.choice(self.names)  # without any disk left, no epoch is known
+        self.lost_disk_counts = dict.fromkeys(self.names, 0)
+        self.disk_keeper = self.rng.choice(self.names)  # without any disk left, no epoch is known
         self.nodes: dict[str, EpochConsensus] = {}
         self.in_flight: list[Delivery] = []
         self.epochs: dict[int, Epoch] = {}
@@ -51,8 +51,10 @@
                 raise EpochConflictError(f"{name} has epoch {epoch.number} as {epoch.members}, not {known}")
             self.disks[name] = state
 
-        me = voter_id(name, str(self.lost_disks[name]))
-        self.nodes[name] = EpochConsensus(me, len(self.names), self.disks[name], store, self.rng.random)
+        own_voter_id = voter_id(name, str(self.lost_disk_counts[name]))
+        self.nodes[name] = EpochConsensus(
+            own_voter_id, len(self.names), self.disks[name], store, self.rng.random
+        )
 
     def step(self) -> None:
         """Do one random thing."""
@@ -68,13 +70,13 @@
             self.in_flight.pop(rng.randrange(len(self.in_flight)))
         elif roll < 0.84:
             self._start(name)  # restarted with its disk
-        elif roll < 0.843 and name != self.keeps_disk:
-            self.disks[name], self.lost_disks[name] = None, self.lost_disks[name] + 1
+        elif roll < 0.843 and name != self.disk_keeper:
+            self.disks[name], self.lost_disk_counts[name] = None, self.lost_disk_counts[name] + 1
             self._start(name)
         elif roll < 0.95:
             # Each sees itself as the first of the present voters, so that many propose at once.
             present = {
-                voter_id(other, str(self.lost_disks[other])): True
+                voter_id(other, str(self.lost_disk_counts[other])): True
                 for other in self.names
                 if other >= name or rng.random() < 0.2
             }
@@ -84,7 +86,7 @@
     def _deliver(self, delivery: Delivery) -> None:
         sender, receiver, message = delivery.sender, delivery.receiver, delivery.message
         node = self.nodes[node_of(receiver)]
-        if node.me != receiver:
+        if node.own_voter_id != receiver:
             return  # the receiver has lost its disk
         if isinstance(message, EpochRequest):
             self.in_flight.append(Delivery(receiver, sender, node.handle_request(message)))
@@ -94,13 +96,13 @@
 
     def _collect(self, name: str) -> None:
         node = self.nodes[name]
-        self.in_flight += [Delivery(node.me, voter, request) for voter, request in node.outbox]
+        self.in_flight += [Delivery(node.own_voter_id, voter, request) for voter, request in node.outbox]
         node.outbox.clear()
         node.chosen.clear()
         del self.in_flight[:-MAX_IN_FLIGHT]
 
 
-def walk(seed: int, steps: int = 600) -> RandomWalk:
+def run_walk(seed: int, steps: int = 600) -> RandomWalk:
     """Run a walk. Raises ``EpochConflictError``."""
     random_walk = RandomWalk(seed)
     for _ in range(steps):
--- a/merlinbay/fleet/scenarios.py
+++ b/merlinbay/fleet/scenarios.py
@@ -34,8 +34,8 @@
     name: str
     since_s: float
     until_s: float
-    excuses_accusers: bool = True  # others may declare the node dead
-    excuses_node: bool = True  # the node may declare others dead
+    may_be_declared_dead: bool = True  # others may declare the node dead
+    may_declare_others_dead: bool = True  # the node may declare others dead
 
 
 @dataclass
@@ -47,26 +47,27 @@
     windows: list[FaultWindow] = field(default_factory=list)
     deaths: dict[str, list[float]] = field(default_factory=dict)  # when each node declared another dead
 
-    def excuse(
+    def add_fault_windows(
         self,
         names: list[str],
         since_s: float,
         until_s: float,
-        excuses_accusers: bool = True,
-        excuses_node: bool = True,
+        may_be_declared_dead: bool = True,
+        may_declare_others_dead: bool = True,
     ) -> None:
         """Note a fault that affects some nodes."""
         self.windows += [
-            FaultWindow(name, since_s, until_s, excuses_accusers, excuses_node) for name in names
+            FaultWindow(name, since_s, until_s, may_be_declared_dead, may_declare_others_dead)
+            for name in names
         ]
 
-    def is_excused(self, accuser: str, name: str, at_s: float) -> bool:
+    def is_explained(self, accuser: str, name: str, at_s: float) -> bool:
         """Tell whether a fault explains that one node declares another dead."""
         return any(
             window.since_s <= at_s <= window.until_s + AFTERMATH_S
             and (
-                (window.excuses_accusers and window.name == name)
-                or (window.excuses_node and window.name == accuser)
+                (window.may_be_declared_dead and window.name == name)
+                or (window.may_declare_others_dead and window.name == accuser)
             )
             for window in self.windows
         )
@@ -81,7 +82,7 @@
         if other.view is None or other.is_stopped or other.view.local.is_leaving or node.view is None:
             return
         accuser = node.view.table.members[event.subject].state.accuser or node.name
-        if not self.is_excused(accuser, event.subject, self.sim.now_s):
+        if not self.is_explained(accuser, event.subject, self.sim.now_s):
             raise InvariantViolationError(
                 f"{self.sim.now_s:.3f}: {node.name} reports that {event.subject} {event.kind}, by {accuser}; "
                 f"no fault affected either"
@@ -109,46 +110,46 @@
         """Schedule faults of random kinds. The order of the draws is part of a seed's meaning."""
         self.is_single = number == 1
         names = list(self.sim.nodes)
-        keeps_disk = self.rng.choice(names)  # without any disk left, no epoch is known
+        disk_keeper = self.rng.choice(names)  # without any disk left, no epoch is known
         for _ in range(number):
             at_s, for_s = self.rng.uniform(8, 45), self.rng.uniform(1, 25)
             node = self.sim.nodes[self.rng.choice(names)]
             kind = self.rng.choice(kinds)
-            if kind != "disk" or node.name != keeps_disk:
+            if kind != "disk" or node.name != disk_keeper:
                 FAULTS[kind](self, node, at_s, at_s + for_s)
 
     def crash(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """End a process for good."""
         self.sim.schedule(at_s, node.kill)
-        self.observer.excuse([node.name], at_s, FOREVER_S, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, FOREVER_S, may_declare_others_dead=False)
 
     def crash_for_a_while(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """End a process, and start it later."""
         self.sim.schedule(at_s, node.kill)
         self.sim.schedule(until_s, node.start_if_down)
-        self.observer.excuse([node.name], at_s, until_s, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, until_s, may_declare_others_dead=False)
 
     def restart(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """End a process, and start it at once."""
         self.sim.schedule(at_s, node.restart)
-        self.observer.excuse([node.name], at_s, at_s, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, at_s, may_declare_others_dead=False)
 
     def restart_in_a_loop(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Restart a process again and again."""
         for turn in range(8):
             self.sim.schedule(at_s + turn * 1.5, node.restart)
-        self.observer.excuse([node.name], at_s, at_s + 12, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, at_s + 12, may_declare_others_dead=False)
 
     def lose_disk(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Restart a process with an empty disk."""
         self.sim.schedule(at_s, node.lose_disk)
-        self.observer.excuse([node.name], at_s, at_s, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, at_s, may_declare_others_dead=False)
 
     def leave(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Have a node leave the fleet, and end."""
         self.sim.schedule(at_s, node.leave)
         self.sim.schedule(at_s + 3, node.kill)
-        self.observer.excuse([node.name], at_s, FOREVER_S, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, FOREVER_S, may_declare_others_dead=False)
 
     def partition(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Cut the fleet in two."""
@@ -156,27 +157,27 @@
         side = set(self.rng.sample(names, self.rng.randint(1, len(names) - 1)))
         links = [(a, b) for a in names for b in names if (a in side) != (b in side)]
         self.sim.schedule(at_s, self._cut, links, until_s)
-        self.observer.excuse(names, at_s, until_s)
+        self.observer.add_fault_windows(names, at_s, until_s)
 
     def cut_outgoing(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Cut the links from a node to some others."""
         names = list(self.sim.nodes)
         links = [(node.name, other) for other in self.rng.sample(names, self.rng.randint(1, len(names)))]
         self.sim.schedule(at_s, self._cut, links, until_s)
-        self.observer.excuse(names, at_s, until_s)
+        self.observer.add_fault_windows(names, at_s, until_s)
 
     def cut_pair(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Cut the link between two nodes; as a single fault it excuses nothing, both reach a third."""
         other = self.rng.choice([name for name in self.sim.nodes if name != node.name])
         self.sim.schedule(at_s, self._cut, [(node.name, other), (other, node.name)], until_s)
         if not self.is_single:
-            self.observer.excuse([node.name, other], at_s, until_s)
+            self.observer.add_fault_windows([node.name, other], at_s, until_s)
 
     def stop(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
         """Stop a process by a signal, and have it go on."""
         self.sim.schedule(at_s, setattr, node, "is_stopped", True)
         self.sim.schedule(until_s, node.resume)
-        self.observer.excuse([node.name], at_s, until_s, excuses_node=False)
+        self.observer.add_fault_windows([node.name], at_s, until_s, may_declare_others_dead=False)
 
     def _cut(self, links: list[tuple[str, str]], until_s: float) -> None:
         nodes, cut_links = self.sim.nodes, self.sim.net.cut_links
--- a/merlinbay/fleet/settings.py
+++ b/merlinbay/fleet/settings.py
@@ -51,7 +51,7 @@
     gauges: Seconds = 5.0  # interval at which gauges are announced, if changed by a tenth
     tags: dict[str, str] = {}
 
-    def wrong(self) -> str:
+    def validation_error(self) -> str:
         """Return what is wrong with the section beyond its types: key and cause; empty: nothing."""
         if not self.listen:
             return "listen: needed, since other keys are set" if self != FleetSettings() else ""
--- a/merlinbay/fleet/simulated_node.py
+++ b/merlinbay/fleet/simulated_node.py
@@ -32,7 +32,7 @@
     def schedule(self, at_s: float, call: Callable[..., None], *args: Any) -> None:
         """Call a function at a moment."""
 
-    def carry(self, node: SimulatedNode, effect: Effect) -> None:
+    def transmit(self, node: SimulatedNode, effect: Effect) -> None:
         """Carry an effect of a node."""
 
     def check_epoch(self, node: str, epoch: Epoch) -> None:
@@ -44,7 +44,7 @@
 
     def __init__(self, sim: NodeEnvironment, name: str, addr: str) -> None:
         self.sim, self.name, self.addr = sim, name, addr
-        self.starts = 0
+        self.start_count = 0
         self.view: View | None = None  # None: the process does not run
         self.acceptor: AcceptorState | None = None  # on its disk
         self.disk_number = 0  # raised with each lost disk
@@ -56,11 +56,11 @@
 
     def start(self) -> None:
         """Start a process."""
-        self.starts += 1
+        self.start_count += 1
         self.incarnations = {}
         sim = self.sim
         seeds = [node.addr for node in list(sim.nodes.values())[:3]]
-        incarnation = self.starts << REFUTATION_BITS
+        incarnation = self.start_count << REFUTATION_BITS
         state = initial_state(self.name, self.addr, "", incarnation, sim.rng.getrandbits(62), {})
         state.disk_id = str(self.disk_number)
         rng = Random(sim.rng.getrandbits(64))
@@ -83,7 +83,7 @@
     def lose_disk(self) -> None:
         """End, and start with an empty disk."""
         self.kill()
-        self.acceptor, self.starts, self.disk_number = None, 0, self.disk_number + 1
+        self.acceptor, self.start_count, self.disk_number = None, 0, self.disk_number + 1
         self.start()
 
     def kill(self) -> None:
@@ -121,7 +121,7 @@
         if view is None:
             return
         for effect in view.take_effects():
-            sim.carry(self, effect)
+            sim.transmit(self, effect)
         events = view.take_events()
         self.log += events
         for event in events:
@@ -131,12 +131,12 @@
         due_at_s = view.next_at_s()
         if due_at_s < self._wake_at_s:
             self._wake_at_s = due_at_s
-            sim.schedule(due_at_s, self._tick, self.starts, due_at_s)
+            sim.schedule(due_at_s, self._tick, self.start_count, due_at_s)
 
     def _tick(self, starts: int, due_at_s: float) -> None:
         if self._wake_at_s == due_at_s:
             self._wake_at_s = math.inf
-        if self.view is None or starts != self.starts or self.is_stopped:
+        if self.view is None or starts != self.start_count or self.is_stopped:
             return
         self.view.tick(self.sim.now_s)
         self.flush()
--- a/merlinbay/fleet/simulation.py
+++ b/merlinbay/fleet/simulation.py
@@ -47,8 +47,8 @@
         self.number = 0
         self.net = SimulatedNetwork()
         self.nodes: dict[str, SimulatedNode] = {}
-        self.by_addr: dict[str, SimulatedNode] = {}
-        self.packets = self.bytes = 0
+        self.nodes_by_addr: dict[str, SimulatedNode] = {}
+        self.datagrams_sent = self.bytes_sent = 0
         self.epochs: dict[int, Epoch] = {}  # every one that a node has learned
         self.observe: Callable[[SimulatedNode, MembershipEvent], None] = lambda node, event: None
         for number in range(count):
@@ -57,7 +57,7 @@
     def add(self, name: str) -> SimulatedNode:
         """Add a node that has not started."""
         addr = f"10.0.{len(self.nodes) // 250}.{len(self.nodes) % 250}:7000"
-        node = self.nodes[name] = self.by_addr[addr] = SimulatedNode(self, name, addr)
+        node = self.nodes[name] = self.nodes_by_addr[addr] = SimulatedNode(self, name, addr)
         return node
 
     def schedule(self, at_s: float, call: Callable[..., None], *args: Any) -> None:
@@ -85,16 +85,16 @@
 
     # The network.
 
-    def carry(self, node: SimulatedNode, effect: Effect) -> None:
+    def transmit(self, node: SimulatedNode, effect: Effect) -> None:
         """Carry a datagram or a frame."""
-        net, other = self.net, self.by_addr.get(effect.addr)
+        net, other = self.net, self.nodes_by_addr.get(effect.addr)
         delay_s = net.delay_s * self.rng.uniform(0.5, 1.5)
         if isinstance(effect, SendDatagram):
             if len(effect.data) > wire.MAX_DATAGRAM_BYTES:
                 raise InvariantViolationError(
                     f"{self.now_s:.3f}: {node.name} sends a datagram of {len(effect.data)} bytes"
                 )
-            self.packets, self.bytes = self.packets + 1, self.bytes + len(effect.data)
+            self.datagrams_sent, self.bytes_sent = self.datagrams_sent + 1, self.bytes_sent + len(effect.data)
             if (
                 other is None
                 or (node.addr, effect.addr) in net.cut_links
@@ -107,12 +107,14 @@
             if net.duplicate_share and self.rng.random() < net.duplicate_share:
                 self.schedule(self.now_s + delay_s * 3, self._datagram, other, node.addr, effect.data)
             return
-        self.bytes += len(effect.data)
+        self.bytes_sent += len(effect.data)
         blocked = {(node.addr, effect.addr), (effect.addr, node.addr)} & net.cut_links
         if other is None or other.view is None or other.is_stopped or blocked:
-            self.schedule(self.now_s + NO_ANSWER_AFTER_S, self._answer, node, node.starts, effect.token, None)
+            self.schedule(
+                self.now_s + NO_ANSWER_AFTER_S, self._answer, node, node.start_count, effect.token, None
+            )
             return
-        self.schedule(self.now_s + delay_s, self._frame, other, node, node.starts, effect)
+        self.schedule(self.now_s + delay_s, self._frame, other, node, node.start_count, effect)
 
     def _datagram(self, node: SimulatedNode, source: str, data: bytes) -> None:
         if node.view is None:
@@ -131,11 +133,11 @@
             except wire.MessageRejectedError:
                 answer = None
             node.flush()
-            self.bytes += len(answer or b"")
+            self.bytes_sent += len(answer or b"")
         self.schedule(self.now_s + self.net.delay_s, self._answer, requester, starts, effect.token, answer)
 
     def _answer(self, node: SimulatedNode, starts: int, token: int, data: bytes | None) -> None:
-        if node.view is None or node.starts != starts:
+        if node.view is None or node.start_count != starts:
             return
         if node.is_stopped:
             node.backlog.append((self._answer, (node, starts, token, data)))
@@ -145,17 +147,19 @@
 
     # Invariants.
 
-    def live(self) -> list[SimulatedNode]:
+    def running_nodes(self) -> list[SimulatedNode]:
         """Return the nodes whose processes run."""
         return [node for node in self.nodes.values() if node.view is not None and not node.is_stopped]
 
     def _staying(self) -> list[SimulatedNode]:
-        return [node for node in self.live() if node.view is not None and not node.view.local.is_leaving]
+        return [
+            node for node in self.running_nodes() if node.view is not None and not node.view.local.is_leaving
+        ]
 
     def check(self) -> None:
         """Check the invariants of any moment. Raises ``InvariantViolationError``."""
         max_members = 64 + 3 * len(self.nodes) + 8
-        for node in self.live():
+        for node in self.running_nodes():
             assert node.view is not None
             members = node.view.table.members
             if len(members) > max_members or len(node.view.timers) > 60 + 40 * len(members):
--- a/merlinbay/fleet/suspicion.py
+++ b/merlinbay/fleet/suspicion.py
@@ -21,12 +21,12 @@
 
     def start(self, member: Member, active_count: int) -> None:
         """Start the timer of a new suspect, in a fleet with this many active members."""
-        member.since_s = self._timers.now_s
+        member.health_since_s = self._timers.now_s
         self.confirm(member, active_count)
 
     def confirm(self, member: Member, active_count: int) -> None:
         """Set the timer by the number of members that suspect it."""
-        expires_at_s = member.since_s + self._timeout_s(len(member.accusers), active_count)
+        expires_at_s = member.health_since_s + self._timeout_s(len(member.accusers), active_count)
         self.expires_at_s[member.name] = expires_at_s
         self._timers.schedule(max(expires_at_s - self._timers.now_s, 0.0), self._expire, member)
 
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -67,7 +67,7 @@
         _check_address("dnssd.nameserver", operator.dnssd.nameserver)
     if drmaa.front and (wrong := drmaa.access.wrong()):
         raise ConfigurationError(f"drmaa.{wrong}")
-    if wrong := fleet.wrong():
+    if wrong := fleet.validation_error():
         raise ConfigurationError(f"fleet.{wrong}")
     if control is not None and (wrong := control.wrong()):
         raise ConfigurationError(f"control.{wrong}")
--- a/merlinbay/scale/membership.py
+++ b/merlinbay/scale/membership.py
@@ -131,9 +131,9 @@
     def _look(self) -> None:
         """Write down what the view has told since the last look."""
         net = self.parts.net
-        for event in net.events[max(self.seen - net.first_event, 0) :]:
+        for event in net.events[max(self.seen - net.first_event_number, 0) :]:
             self.context.observe(event.kind, event.subject, event.at_s)
-        self.seen = net.first_event + len(net.events)
+        self.seen = net.first_event_number + len(net.events)
         for name, value in list(self.awaited.items()):
             member = net.view.table.members.get(name)
             if member is not None and member.state.gauges.get("marker") == value:
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -231,7 +231,7 @@
 
 def test_no_walk_makes_two_things_of_one_epoch() -> None:
     """Frames in any order, lost or doubled, restarts, lost disks, many proposers: agreement and progress."""
-    reached = [max(random_walk.walk(seed).epochs, default=0) for seed in range(150)]
+    reached = [max(random_walk.run_walk(seed).epochs, default=0) for seed in range(150)]
     assert sum(number >= 2 for number in reached) > 100
 
 
@@ -441,7 +441,7 @@
     accuser, harmless = sim.nodes["n0"], MembershipEvent(1.0, MembershipEventKind.DIED, "n1")
     sim.nodes["n2"].kill()
     observer(accuser, MembershipEvent(1.0, MembershipEventKind.DIED, "n2"))
-    observer.excuse(["n3"], sim.now_s, sim.now_s)
+    observer.add_fault_windows(["n3"], sim.now_s, sim.now_s)
     observer(accuser, MembershipEvent(1.0, MembershipEventKind.DIED, "n3"))
     with pytest.raises(simulation.InvariantViolationError, match="n0 reports that n1 died"):
         observer(accuser, harmless)
@@ -452,7 +452,10 @@
 def test_a_seed_gives_one_history() -> None:
     """The same packets and events, twice."""
     one, two = (scenarios.run_scenario(7) for _ in range(2))
-    assert (one.packets, one.bytes) == (two.packets, two.bytes) and one.packets > 1000
+    assert (one.datagrams_sent, one.bytes_sent) == (
+        two.datagrams_sent,
+        two.bytes_sent,
+    ) and one.datagrams_sent > 1000
     assert [node.log for node in one.nodes.values()] == [node.log for node in two.nodes.values()]
 
 
@@ -563,7 +566,7 @@
     sim = fleet(4)
     sim.nodes["n1"].kill()
     sim.run(sim.now_s + 40)
-    sim.nodes["n1"].starts = -20
+    sim.nodes["n1"].start_count = -20
     sim.nodes["n1"].start()
     sim.run(sim.now_s + 30)
     assert sim.view_mismatch() == ""
@@ -573,8 +576,8 @@
     """The newcomer is refused, with the name's address; one of the two falls silent and says so."""
     sim = fleet(4)
     twin = SimulatedNode(sim, "n1", "10.9.9.9:7000")
-    sim.by_addr[twin.addr] = twin
-    twin.starts = 50
+    sim.nodes_by_addr[twin.addr] = twin
+    twin.start_count = 50
     twin.start()
     sim.run(sim.now_s + 30)
     assert any(event.kind == "refused" and "is used at" in event.text for event in twin.log)
