--- a/merlinbay/drmaa/job_client.py
+++ b/merlinbay/drmaa/job_client.py
@@ -58,7 +58,7 @@
         """Take it that its server cannot be asked."""
         self._tell(self.front.engine.lost_sight)
 
-    def on_found_queued(self) -> None:
+    def on_still_queued(self) -> None:
         """Take it that its server has not started it."""
         self._tell(self.front.engine.found_queued)
 
@@ -110,6 +110,6 @@
             return "InternalException", ending.note or f"ended by {ending.signal}; it may have run"
         if ending.exit_status is not None:
             return "", ending.note
-        if now_us >= self.deadline_us - self.front.limits.answer_margin_us:
+        if now_us >= self.deadline_us - self.front.limits.response_margin_us:
             return "TimeoutException", "the deadline has passed; it may have run"
         return "InternalException", ending.note or "failed; it may have run"
--- a/merlinbay/drmaa/servers.py
+++ b/merlinbay/drmaa/servers.py
@@ -68,7 +68,7 @@
         else:
             self.report_not_sent(attempt)
 
-    def give_up(self, attempt: ServerAttempt) -> None:
+    def cancel(self, attempt: ServerAttempt) -> None:
         """Terminate the job, as soon as its id is known."""
         # Guards against a cancel that crosses runJob: closing the connection would leave a job running
         # whose id nobody has, so its answer is waited for and the job terminated then.
@@ -149,7 +149,9 @@
             templates.template_for(attempt.spec, attempt.deadline_at_us), attempt.server, self.notify
         )
         reply: Reply | Outcome = Outcome.TIMEOUT
-        with trio.move_on_at(self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer_timeout_s):
+        with trio.move_on_at(
+            self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_response_timeout_s
+        ):
             request = OutgoingRequest(
                 "POST",
                 JOBS,
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -10,7 +10,7 @@
 import pytest
 
 from merlinbay.decision import Balancer
-from tests.decision_streams import STEPS, Drawn, drawn_settings, event_of, row_of_action
+from tests.decision_streams import STEPS_PER_STREAM, StreamGenerator, drawn_settings, event_of, row_of_action
 
 
 def check_counts(balancer: Balancer) -> None:
@@ -37,13 +37,13 @@
 def test_counts_equal_the_open_attempts_after_every_step(seed: int) -> None:
     """The counts of requests, of endpoints and of the balancer agree with the open attempts."""
     settings = drawn_settings(seed)
-    stream = Drawn(settings, seed)
+    stream = StreamGenerator(settings, seed)
     balancer = Balancer(settings, seed, stream.now)
-    events = stream.first()
-    for _ in range(STEPS):
+    events = stream.first_events()
+    for _ in range(STEPS_PER_STREAM):
         actions = [
             row_of_action(action) for action in balancer.handle(stream.now, [event_of(row) for row in events])
         ]
-        stream.take(actions)
+        stream.apply_actions(actions)
         check_counts(balancer)
-        events = stream.cancelled(actions) or stream.next()
+        events = stream.ends_of_cancelled(actions) or stream.next_events()
