--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -1,8 +1,9 @@
 """The balancer: routes each event to the parts. Interface: ``settings``, ``events``, ``actions``.
 
-``parts.py`` wires the parts. Each owns its state and asks others by narrow calls; ``docs/DECISIONS.md`` draws
-who asks whom, and says for each rule which file and function decides it. No I/O and no clock: times are
-microseconds and come from the caller, random numbers from a seed.
+``parts.py`` wires the parts. Each part owns its state and calls others by a few public methods.
+``docs/DECISIONS.md`` shows which part calls which, and names the file and function that decides each rule.
+The balancer does no I/O and reads no clock: times are in microseconds and come from the caller, and random
+numbers come from a seed. An event about an unknown request or attempt is ignored.
 """
 
 from __future__ import annotations
@@ -41,16 +42,17 @@
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.settings import Settings
 
-LATE_START_SHARE = 0.05  # share of a mean run time after which a start means that there was no free slot
+# A start later than this share of the mean run time shows that the endpoint had no free slot.
+LATE_START_SHARE = 0.05
 
 
 class Balancer:
-    """The decisions of one scheduler."""
+    """Makes the decisions of one balancer; called by its adapter with events."""
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         self.parts = Parts(Context(settings, Random(seed), now_us))
-        for doubt in settings.doubts:
-            self.parts.context.emit(LogNotice(doubt))
+        for text in settings.doubts:
+            self.parts.context.emit(LogNotice(text))
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestReceived: self._on_request_received,
             ClientDisconnected: self._on_client_disconnected,
@@ -70,49 +72,49 @@
         if settings.must_subscribe:
             self.parts.context.emit_all(self.parts.polling.start(now_us))
 
-    # The interface.
+    # Interface.
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take events of one instant; return what to do, in order. A clock that goes back stands still."""
+        """Handle events of one instant; return actions in order. A clock that goes back counts as stopped."""
         self.parts.context.advance(now_us)
         for event in events:
             self._handlers[type(event)](event)
         return self.parts.context.take_actions()
 
     def may_begin(self, request_id: int, number: int, now_us: int) -> bool:
-        """Tell whether an attempt that was decided on still keeps the rules, right before its first byte."""
+        """Return whether an attempt still keeps the rules. Called right before its first byte is sent."""
         return self.parts.eligibility.may_begin(request_id, number, now_us)
 
     def knows(self, name: str) -> bool:
-        """Tell whether an endpoint is listed, or disabled by operators."""
+        """Return whether an endpoint is listed or disabled by operators."""
         return self.parts.endpoints.knows(name)
 
     @property
     def settings(self) -> Settings:
-        """The settings, with the present count of balancers."""
+        """The settings, with the present number of balancers."""
         return self.parts.context.settings
 
     @property
     def in_flight_slots(self) -> float:
-        """Slots of our open attempts."""
+        """Slots of the open attempts of this balancer."""
         return self.parts.requests.in_flight_slots
 
     def endpoint_views(self, now_us: int) -> list[dict[str, Any]]:
-        """Return what is believed of each endpoint, for operators."""
+        """Return the present state and estimates of each endpoint, for operators."""
         return [
             endpoint_view(endpoint, self.parts.load, self.parts.warm_up, now_us)
             for endpoint in self.parts.endpoints.by_name.values()
         ]
 
     def take_snapshot(self) -> HandoverSnapshot:
-        """Return what has been learned, for the process that takes this one's place."""
+        """Return a snapshot of what has been learned, for the process that replaces this one."""
         return self.parts.snapshots.take()
 
     def restore_snapshot(self, snapshot: HandoverSnapshot) -> None:
-        """Take over what a former process has learned."""
+        """Restore the snapshot of a former process."""
         self.parts.snapshots.restore(snapshot)
 
-    # A request's life.
+    # Events about requests.
 
     def _on_request_received(self, event: RequestReceived) -> None:
         request = self._new_request(event)
@@ -148,15 +150,15 @@
         )
 
     def _decide(self, request: TrackedRequest) -> None:
-        """Decide on a first attempt or a retry, once the health checks that pay are answered."""
+        """Decide on a first attempt or a retry, after the answers to any worthwhile health checks."""
         if not self.parts.health_checks.begin(request):
             self.parts.dispatching.decide(request)
 
     def _on_execution_observed(self, event: ExecutionStarted | ExecutionProgressed | StreamStarted) -> None:
-        found = self.parts.requests.find(event.id, event.attempt)
-        if found is None:
+        tracked = self.parts.requests.find(event.id, event.attempt)
+        if tracked is None:
             return
-        request, attempt = found
+        request, attempt = tracked
         self.parts.outliers.note_answer(attempt.endpoint)
         if attempt.started_at_us:
             return
@@ -169,11 +171,12 @@
         self.parts.hedging.schedule_run_check(request, attempt, event.attempt)
 
     def _on_execution_paused(self, event: ExecutionPaused) -> None:
-        # Guards against a suspended request that makes its endpoint look slow, or gets a hedge.
-        found = self.parts.requests.find(event.id, event.attempt)
-        if found is None:
+        # Leaves pauses out of the run time, so that a suspended request neither makes its endpoint look slow
+        # nor gets a hedge.
+        tracked = self.parts.requests.find(event.id, event.attempt)
+        if tracked is None:
             return
-        request, attempt = found
+        request, attempt = tracked
         if not attempt.started_at_us or event.paused == (attempt.paused_at_us > 0):
             return
         if event.paused:
@@ -183,10 +186,10 @@
             self.parts.hedging.schedule_check_after_resume(request, attempt, event.attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        found = self.parts.requests.find(event.id, event.attempt)
-        if found is None:
+        tracked = self.parts.requests.find(event.id, event.attempt)
+        if tracked is None:
             return
-        request, attempt = found
+        request, attempt = tracked
         has_started = attempt.started_at_us > 0
         self.parts.requests.end_attempt(request, attempt, not never_ran(event.outcome, has_started))
         if request.uses_reservation:
@@ -227,14 +230,14 @@
         for request, number in self.parts.timers.take_due():
             if number != HEALTH_CHECKS:
                 self.parts.hedging.check_attempt(request, number)
-            elif self.parts.health_checks.stop_waiting(request):  # an answer is lost or late
+            elif self.parts.health_checks.stop_waiting(request):  # An answer is lost or late.
                 self.parts.dispatching.decide(request)
         self.parts.timers.set_next()
 
-    # The endpoint list.
+    # Events about endpoints and balancers.
 
     def _on_discovery_changed(self, event: DiscoveryChanged) -> None:
-        # A pushed list is watched again by itself.
+        # The adapter renews the watch of a pushed list by itself; only a polled list needs a poll.
         poll_now = event.moved and self.parts.context.settings.must_subscribe
         self.parts.context.emit_all(
             self.parts.polling.discovery_changed(self.parts.context.now_us, event.notified_after_us, poll_now)
@@ -246,8 +249,8 @@
             return
         now_us = self.parts.context.now_us
         if event.former:
-            # Guards against an answer that was under way when a new configuration came: what it does not
-            # name counts as notified by the new discovery all the same.
+            # This answer was under way when a new configuration came, so it does not renew the lease: changes
+            # that it does not contain count as notified by the new discovery all the same.
             self.parts.polling.former_poll_answered(now_us)
         elif event.scope != "remembered":
             late_us = self.parts.polling.poll_answered(now_us)
@@ -268,9 +271,9 @@
             )
 
     def _on_balancer_count_changed(self, event: BalancerCountChanged) -> None:
-        before = self.parts.context.settings.balancers
+        previous_count = self.parts.context.settings.balancers
         self.parts.context.set_balancer_count(event.count, event.me)
-        if self.parts.context.settings.balancers > before:
+        if self.parts.context.settings.balancers > previous_count:
             self.parts.slow_start.balancers_were_added()
         self.parts.polling.set_balancer_count(event.me, self.parts.context.settings.balancers)
 
@@ -288,6 +291,6 @@
             self.parts.capacity.learn_from_operator(endpoint.kind, event.of)
 
     def _begin_warm_up(self, endpoint: Endpoint) -> None:
-        """Take it that an endpoint has just started, empty."""
+        """Treat an endpoint as just started, without any requests of peers."""
         self.parts.load.observe_peers(endpoint, 0.0)
         self.parts.slow_start.begin(endpoint)
--- a/merlinbay/decision/dispatching.py
+++ b/merlinbay/decision/dispatching.py
@@ -1,4 +1,8 @@
-"""Carries a decision out: a dispatch with all that it changes, or the final answer; and cancels."""
+"""Carries out decisions: dispatches a request and updates every part that counts it, sheds it, or cancels.
+
+Called for each first attempt and retry, and by ``Hedging`` for hedges. A request without a suitable endpoint
+gets its final answer from ``Admission.shed``.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
 
 class Dispatching:
-    """Tells each part of a dispatch; no state of its own."""
+    """Emits dispatches and cancels, and notifies each part of them. It has no state of its own."""
 
     def __init__(
         self,
@@ -42,18 +46,18 @@
     def decide(self, request: TrackedRequest) -> None:
         """Dispatch the request if an endpoint is found, else give its final answer.
 
-        While it waits for health checks it is dispatched to free slots only, and not answered.
+        While the request waits for health checks, it is dispatched to free slots only and gets no answer.
         """
-        waits = request.pending_health_checks > 0
-        endpoint = self._placement.choose(request, waits or request.needs_free_slots)
+        waits_for_checks = request.pending_health_checks > 0
+        endpoint = self._placement.choose(request, waits_for_checks or request.needs_free_slots)
         if endpoint is not None:
             self.dispatch(request, endpoint)
-        elif not waits:
+        elif not waits_for_checks:
             self._requests.forget(request)
             self._admission.shed(request)
 
     def dispatch(self, request: TrackedRequest, endpoint: Endpoint) -> None:
-        """Send an attempt to an endpoint that was found eligible."""
+        """Send an attempt to an eligible endpoint."""
         self._context.emit(Dispatch(request.id, endpoint.name))
         self._health_checks.forget(request)
         has_free_slots = self._load.free_slots(endpoint) >= request.slots
@@ -68,18 +72,18 @@
         self._timers.set_hedge_check(request)
 
     def cancel(self, request: TrackedRequest, number: int) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel one attempt."""
         self._context.emit(Cancel(request.id, number))
 
     def cancel_all(self, request: TrackedRequest) -> None:
-        """Cancel all open attempts, where that is possible."""
+        """Cancel all open attempts, if the deployment permits cancels."""
         if self._context.settings.limits.cancelling:
             for number, attempt in enumerate(request.attempts):
                 if attempt.is_open:
                     self.cancel(request, number)
 
     def cancel_waiting(self, request: TrackedRequest, started: Attempt) -> None:
-        """Cancel the attempts beside one that has started; one that runs too goes on until the first ends."""
+        """Cancel the waiting attempts of a request that has started; those that run go on until one ends."""
         if self._context.settings.limits.cancelling and request.open_attempts > 1:
             for number, attempt in enumerate(request.attempts):
                 if attempt.is_open and attempt is not started and not attempt.started_at_us:
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -1,9 +1,11 @@
-"""Which endpoints may take a request now: the rules of its class and the endpoints' condition, no choice.
+"""Decides which endpoints may take a request now, by the rules of its class and the endpoints' condition.
 
-Every dispatch goes through ``eligible``: first attempts, those after health checks, hedges, retries, reserved
-and bound requests. A path that looks at endpoints of its own, without asking here, is a fault. None begins by
-an overdue endpoint list. ``may_begin`` asks again right before the first byte, since a dial lies between, and
-``may_reject`` before a rejection, after which the client sends the request again.
+It does not choose among them. Every dispatch goes through ``eligible``: first attempts, attempts after health
+checks, hedges, retries, and requests with reserved slots or a list of allowed endpoints. Code that dispatches
+to an endpoint without calling ``eligible`` is faulty. No attempt begins while the endpoint list is overdue.
+
+``may_begin`` repeats the check right before the first byte, because a dial may have taken long since the
+decision. ``may_reject`` is called before a rejection, after which the client sends the request again.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 
 class Eligibility:
-    """The rules that every dispatch and rejection is checked by; no state of its own."""
+    """The rules that every dispatch and rejection is checked against. It has no state of its own."""
 
     def __init__(
         self,
@@ -42,12 +44,12 @@
         self._outliers, self._warm_up = outliers, warm_up
         self._slow_start, self._reports = slow_start, reports
 
-    # Questions from other parts.
+    # Called by other parts.
 
     def may_dispatch(self, request: TrackedRequest) -> bool:
-        """Tell whether a further attempt keeps the rules of its class now, wherever it goes."""
-        # Guards against a dispatch to a draining endpoint, of which the node counts as notified: by an
-        # overdue list any of them may drain. Planning polls by the deadline does not make them arrive.
+        """Return whether the rules of its class permit another attempt now, at whichever endpoint."""
+        # Does not dispatch by an overdue list: any endpoint on it may be draining, and the node counts as
+        # notified of that. Polls are planned before the deadline, but their answers may not arrive by then.
         now_us = self._context.now_us
         if not self._lease.is_usable(now_us) or now_us >= request.deadline_at_us:
             return False
@@ -56,9 +58,9 @@
         return self._may_repeat(request, request.attempts, now_us)
 
     def may_begin(self, request_id: int, number: int, now_us: int) -> bool:
-        """Tell whether an attempt that was decided on, and is open, still keeps the rules of its class.
+        """Return whether an open attempt, which has been decided on, still keeps the rules of its class.
 
-        Only other attempts count, whichever was decided on first: a later one may have gone out before it.
+        It is compared with all other attempts, later ones too, since a later one may have been sent first.
         """
         request = self._requests.by_id.get(request_id)
         if not self._lease.is_usable(now_us):
@@ -66,17 +68,17 @@
         if request is None or not 0 <= number < len(request.attempts):
             return False
         attempt = request.attempts[number]
-        others = [other for other in request.attempts if other is not attempt]
-        if not attempt.is_open or not self._may_repeat(request, others, now_us):
+        other_attempts = [other for other in request.attempts if other is not attempt]
+        if not attempt.is_open or not self._may_repeat(request, other_attempts, now_us):
             return False
         return request.idempotency is Idempotency.ALWAYS or all(
             self._is_in_scope(request, other, attempt.zone, attempt.cell)
-            for other in others
+            for other in other_attempts
             if other.may_have_run
         )
 
     def may_reject(self, request: TrackedRequest, wait_us: int = 0) -> bool:
-        """Tell whether the request may be rejected, and so be sent again by its client after a wait."""
+        """Return whether the request may be rejected, after which its client sends it again after a wait."""
         unresolved, spec = request.first_that_may_have_run, request.class_state.spec
         if unresolved is None or request.idempotency is Idempotency.ALWAYS:
             return True
@@ -85,7 +87,7 @@
         return self._context.now_us + wait_us < unresolved.dispatched_at_us + spec.window_us
 
     def eligible(self, request: TrackedRequest, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return those of the endpoints, in their order, that may be sent the request now."""
+        """Return the endpoints that may be sent the request now, in the given order."""
         if not self.may_dispatch(request):
             return []
         by_key = request.idempotency is Idempotency.BY_KEY
@@ -99,7 +101,7 @@
         ]
 
     def scope_of_repeat(self, request: TrackedRequest) -> list[Endpoint] | None:
-        """Return the usable endpoints that drop a repeat of the request, or None where any may take it."""
+        """Return the usable endpoints that drop a repeat of the request, or None if any may take it."""
         spec, unresolved = request.class_state.spec, request.first_that_may_have_run
         if unresolved is None or request.idempotency is not Idempotency.BY_KEY or spec.group == "all":
             return None
@@ -109,19 +111,19 @@
 
     # Rules.
 
-    def _may_repeat(self, request: TrackedRequest, others: list[Attempt], now_us: int) -> bool:
-        """Tell whether an attempt beside the others keeps the rules of its class, wherever it goes."""
+    def _may_repeat(self, request: TrackedRequest, other_attempts: list[Attempt], now_us: int) -> bool:
+        """Return whether the class permits an attempt beside the others, at whichever endpoint."""
         second_copies = self._context.settings.limits.second_copies
-        if not second_copies and any(other.is_open for other in others):
+        if not second_copies and any(other.is_open for other in other_attempts):
             return False
-        unresolved = next((other for other in others if other.may_have_run), None)
+        unresolved = next((other for other in other_attempts if other.may_have_run), None)
         if unresolved is None or request.idempotency is Idempotency.ALWAYS:
             return True
         window_us = request.class_state.spec.window_us
         return request.idempotency is Idempotency.BY_KEY and now_us < unresolved.dispatched_at_us + window_us
 
     def _is_ready(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
-        """Tell whether the endpoint's condition lets it be sent the request now."""
+        """Return whether the endpoint is in a condition to be sent the request now."""
         if endpoint.state != "up" or self._outliers.is_ejected(endpoint):
             return False
         if self._outliers.is_hung(endpoint):
@@ -131,19 +133,19 @@
         return self._slow_start.may_admit(endpoint, request.run_time_us * request.slots)
 
     def _can_run(self, endpoint: Endpoint, request: TrackedRequest) -> bool:
-        """Tell whether the endpoint can run the request, and has not been sent it before."""
+        """Return whether the endpoint can run the request and has not been sent it before."""
         if request.allowed_endpoints and endpoint.name not in request.allowed_endpoints:
             return False
         kind = request.class_state.spec.kind
         if kind >= 0 and self._endpoints.kinds[self._context.settings.kinds[kind]] is not endpoint.kind:
             return False
-        # Guards against an endpoint that was forgotten and listed anew: the names match, the records do not.
+        # Compares names, not records: an endpoint that was forgotten and listed again has a new record.
         if any(attempt.endpoint.name == endpoint.name for attempt in request.attempts):
             return False
         return not self._reports.lacks_memory(endpoint, request.memory)
 
     def _is_in_scope(self, request: TrackedRequest, unresolved: Attempt, zone: str, cell: int) -> bool:
-        """Tell whether endpoints of a zone and cell drop a repeat of an attempt that may have run."""
+        """Return whether endpoints of this zone and cell drop a repeat of an attempt that may have run."""
         scope = request.class_state.spec.group
         if scope == "zone":
             return unresolved.zone == zone
--- a/merlinbay/decision/health_checks.py
+++ b/merlinbay/decision/health_checks.py
@@ -1,6 +1,8 @@
-"""When endpoints are sent health checks, and which requests wait for the answers.
+"""Decides when endpoints are sent health checks, and which requests wait for the answers.
 
-Only where endpoints report their load to health checks alone (``Settings.asks_first``).
+Checks are sent only where endpoints report their load in answers to health checks and nowhere else
+(``Settings.asks_first``), and where the deployment permits them. An answer may get lost, so a request waits
+for a limited time and is then placed by the answers that have come.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.requests import TrackedRequests
 
-CHECKS_PER_BATCH = 3  # endpoints checked first for one request in the own zone, and as many in others
-REPLY_TIMEOUT_US = 150_000  # the answers are waited for no longer: one may get lost
+CHECKS_PER_BATCH = 3  # health checks sent for one request to the own zone, and as many to other zones
+REPLY_TIMEOUT_US = 150_000  # A request waits no longer for answers, since one may get lost.
 
 
 class HealthChecks:
-    """Owns the health checks that are sent, and what requests wait for."""
+    """Owns the times of the last health checks, and which requests wait for which endpoints."""
 
     def __init__(
         self,
@@ -42,24 +44,24 @@
         self._placement, self._costs = placement, costs
         self._waiting: dict[
             str, list[TrackedRequest]
-        ] = {}  # by endpoint: the requests that wait for its answer
+        ] = {}  # by endpoint name: the requests that wait for its answer
 
     def begin(self, request: TrackedRequest) -> bool:
-        """Send the health checks that pay now; tell whether the request has to wait for their answers."""
+        """Send the health checks that are worthwhile; return whether the request must wait for answers."""
         self.forget(request)
         settings = self._context.settings
         if settings.asks_first and settings.limits.probes:
             near, far = self._endpoints.pools.get(request.class_state.spec.kind) or ([], [])
-            all_of_them = near + far
+            all_endpoints = near + far
             checks = CHECKS_PER_BATCH * (1 + bool(far))
-            if all_of_them and self._costs.is_waiting_worthwhile(
-                all_of_them[0].kind, checks, len(all_of_them)
+            if all_endpoints and self._costs.is_waiting_worthwhile(
+                all_endpoints[0].kind, checks, len(all_endpoints)
             ):
                 self._check_for(request)
             else:
-                crossing = self._placement.cross_zone_share
-                self._check_stale(near, 1 - crossing)
-                self._check_stale(far, crossing)
+                cross_zone_share = self._placement.cross_zone_share
+                self._check_stale(near, 1 - cross_zone_share)
+                self._check_stale(far, cross_zone_share)
         if not request.pending_health_checks:
             return False
         left_us = request.deadline_at_us - self._context.now_us
@@ -67,7 +69,7 @@
         return True
 
     def _check_for(self, request: TrackedRequest) -> None:
-        """Check endpoints for the request, which waits for the first that has free slots."""
+        """Send health checks for the request, which waits for the first endpoint that has free slots."""
         for batch in self._placement.candidate_batches(request):
             chosen = self._eligibility.eligible(request, batch)[:CHECKS_PER_BATCH]
             self._context.emit_all(CheckHealth(endpoint.name) for endpoint in chosen)
@@ -77,9 +79,9 @@
             request.pending_health_checks += len(chosen)
 
     def _check_stale(self, pool: list[Endpoint], share: float) -> None:
-        """Check endpoints of a pool whose last health check is too old.
+        """Send health checks to a sample of endpoints of a pool whose last health check is too old.
 
-        How old pays depends on the share of our requests that the pool gets.
+        The interval depends on the share of this balancer's requests that the pool gets.
         """
         now_us = self._context.now_us
         for endpoint in self._endpoints.sample(pool, SAMPLE_SIZE):
@@ -91,9 +93,9 @@
                 self._context.emit(CheckHealth(endpoint.name))
 
     def take_waiting(self, name: str) -> TrackedRequest | None:
-        """Return the first request that still waits for an answer of this endpoint, and count the answer."""
+        """Remove and return the first request that still waits for an answer of this endpoint, if any."""
         queue = self._waiting.pop(name, [])
-        waiting = [one for one in queue if one.pending_health_checks and not one.is_done]
+        waiting = [request for request in queue if request.pending_health_checks and not request.is_done]
         if not waiting:
             return None
         if len(waiting) > 1:
@@ -101,13 +103,13 @@
         return waiting[0]
 
     def add_answer(self, request: TrackedRequest, endpoint: Endpoint | None) -> None:
-        """Count an answer that the request waited for; ``endpoint``: one that may be chosen by it."""
+        """Count an answer that the request waited for; the request may then choose ``endpoint``, if given."""
         request.pending_health_checks -= 1
         if endpoint is not None:
             request.health_check_replies.append(endpoint)
 
     def stop_waiting(self, request: TrackedRequest) -> bool:
-        """Wait for no more answers of the request's; tell whether it waited for any."""
+        """Stop waiting for answers to the request's health checks; return whether it waited for any."""
         waited = request.pending_health_checks > 0
         request.pending_health_checks = 0
         return waited
@@ -115,6 +117,6 @@
     def forget(self, request: TrackedRequest) -> None:
         """Forget the request's health checks.
 
-        Guards against a hedge that goes by the answers to an earlier attempt's health checks.
+        A hedge is thus not placed by the answers to an earlier attempt's health checks.
         """
         request.health_check_replies, request.pending_health_checks = [], 0
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -1,4 +1,8 @@
-"""Which endpoint a request goes to: affinity, free slots first, then the gate, then a crossing's price."""
+"""Chooses the endpoint of a request: by affinity, by free slots, by the queue limit, by the cross-zone price.
+
+It is asked at each first attempt, retry and hedge. It returns no endpoint where the request may wait at none;
+the caller then sheds the request, or leaves it with the attempts that it has.
+"""
 
 from __future__ import annotations
 
@@ -17,21 +21,21 @@
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.slow_start import SlowStart
 
-SAMPLE_SIZE = 8  # endpoints sampled for one request: bounds its cost at any fleet size
-AFFINITY_ENDPOINTS = 2  # endpoints over all zones that a key prefers after its first in the own zone
-MAX_CACHED_KEYS = 4096  # keys whose endpoints are remembered, to save hashing the fleet anew
-CROSS_ZONE_SHARE_WEIGHT = 0.02  # weight of one request in the share that crosses zones
+SAMPLE_SIZE = 8  # endpoints sampled for one request, which bounds its cost at any fleet size
+AFFINITY_ENDPOINTS = 2  # endpoints of any zone that a key prefers after its first one in the own zone
+MAX_CACHED_KEYS = 4096  # keys whose endpoints are remembered, to avoid hashing the fleet for each request
+CROSS_ZONE_SHARE_WEIGHT = 0.02  # weight of one request in the smoothed share that crosses zones
 
 
 class Candidate(NamedTuple):
-    """An endpoint that may be chosen, and its free slots; below 0, so many wait."""
+    """An endpoint that may be chosen, and its free slots. A negative number counts the slots waited for."""
 
     endpoint: Endpoint
     free_slots: float
 
 
 class Placement:
-    """Owns the endpoints that keys prefer, and the share of our requests that crosses zones."""
+    """Owns the endpoints that keys prefer, and the share of this balancer's requests that crosses zones."""
 
     def __init__(
         self,
@@ -48,26 +52,26 @@
         self._load, self._slow_start, self._eligibility = load, slow_start, eligibility
         self._admission, self._costs = admission, costs
         self.cross_zone_share = 0.0
-        self._affinity: dict[str, list[Endpoint]] = {}  # by key: its few endpoints, in order
+        self._affinity: dict[str, list[Endpoint]] = {}  # by key: the endpoints that it prefers, in order
 
     def candidate_batches(self, request: TrackedRequest) -> list[list[Endpoint]]:
-        """Return batches of endpoints to look at, the preferred ones first."""
+        """Return batches of candidate endpoints, the preferred ones first."""
         near, far = self._endpoints.pools.get(request.class_state.spec.kind) or ([], [])
         scope = self._eligibility.scope_of_repeat(request)
         if scope is not None:
             return [scope]
         if request.allowed_endpoints:
-            # Guards against samples that miss the few endpoints that the request is bound to.
+            # Looks at all endpoints that the request is bound to: a sample might miss these few.
             by_name = self._endpoints.by_name
             return [[by_name[name] for name in request.allowed_endpoints if name in by_name]]
         if request.key:
-            # Guards against keys fetched everywhere: what an endpoint caches for a key is worth more than
-            # free slots, so a request with a key stays with its few endpoints while one of them can be used.
+            # Keeps a request with a key at its few endpoints while one of them can be used. What an endpoint
+            # has cached for the key is worth more than free slots; otherwise all endpoints would fetch it.
             preferred = self._eligibility.eligible(request, self._preferred(request.key, near, far))
             if preferred:
                 return [[endpoint] for endpoint in preferred]
-        # Guards against recovering endpoints that nobody tries: idle ones have more free slots than one that
-        # warms up. Warming ones come first while we have a share of their budget.
+        # Puts recovering endpoints first: while they warm up, idle endpoints show more free slots, and nobody
+        # would try them. Warming endpoints come first while this balancer has a share of their budget left.
         warming, sample = self._slow_start.candidates(SAMPLE_SIZE), self._endpoints.sample
         return [
             self._endpoints.recovering,
@@ -78,14 +82,15 @@
     def choose(
         self, request: TrackedRequest, free_only: bool = False, spread_share: float = SPREAD_SHARE
     ) -> Endpoint | None:
-        """Return an endpoint with free slots for the request, else one under its gate; nearer ones first.
+        """Return an endpoint with free slots for the request, else one below its queue limit; own zone first.
 
-        ``free_only``: none where the request would wait. ``spread_share``: see ``LoadEstimates.free_slots``.
+        With ``free_only``, endpoints where the request would wait are left out. For ``spread_share`` see
+        ``LoadEstimates.free_slots``.
         """
         own_zone = self._context.settings.zone
-        waits_for_checks = request.health_check_replies or request.pending_health_checks
-        batches = self._health_checked(request) if waits_for_checks else self.candidate_batches(request)
-        gates: dict[int, float] = {}  # by kind: how many may wait
+        uses_checks = request.health_check_replies or request.pending_health_checks
+        batches = self._health_checked(request) if uses_checks else self.candidate_batches(request)
+        queue_limits: dict[int, float] = {}  # by kind: how many requests may wait
         best, near, best_rank = None, None, (True, math.inf)
         for batch in batches:
             for endpoint in self._eligibility.eligible(request, batch):
@@ -95,8 +100,8 @@
                     continue
                 if free < request.slots:
                     if free_only or endpoint.reserved_slots or request.uses_reservation:
-                        continue  # nobody waits for reserved slots
-                    if not self._may_wait(request, endpoint, free, gates):
+                        continue  # No request waits for reserved slots.
+                    if not self._may_wait(request, endpoint, free, queue_limits):
                         continue
                 best, best_rank = Candidate(endpoint, free), rank
             if best is not None and (best.free_slots >= request.slots or request.key):
@@ -111,18 +116,18 @@
         return self._load.free_slots(endpoint, spread_share)
 
     def _may_wait(
-        self, request: TrackedRequest, endpoint: Endpoint, free: float, gates: dict[int, float]
+        self, request: TrackedRequest, endpoint: Endpoint, free: float, queue_limits: dict[int, float]
     ) -> bool:
-        """Tell whether the endpoint's gate admits the request. A gate is drawn once for each kind."""
+        """Return whether the queue limit admits the request. The limit is drawn once for each kind."""
         kind = id(endpoint.kind)
-        if kind not in gates:
-            gates[kind] = self._admission.max_waiting(endpoint.kind, request)
-        return -free < gates[kind]
+        if kind not in queue_limits:
+            queue_limits[kind] = self._admission.max_waiting(endpoint.kind, request)
+        return -free < queue_limits[kind]
 
     def _weigh_crossing(
         self, request: TrackedRequest, best: Candidate | None, near: Candidate | None
     ) -> Endpoint | None:
-        """Return the best endpoint, or the best of our own zone where the crossing is not worth its price."""
+        """Return the best endpoint, or the best of the own zone if crossing zones is not worth its price."""
         if best is None:
             return None
         settings = self._context.settings
@@ -134,9 +139,9 @@
         return near.endpoint if near else None
 
     def _health_checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
-        """Return the endpoints that answered the request's health checks.
+        """Return batches of the endpoints that answered the request's health checks.
 
-        Where crossings cost, those of other zones count only once all have answered.
+        Where crossing zones has a price, endpoints of other zones count only after all answers have come.
         """
         replies, settings = request.health_check_replies, self._context.settings
         far = [endpoint for endpoint in replies if endpoint.zone != settings.zone]
@@ -146,7 +151,7 @@
         return [near] if request.pending_health_checks else [near, far]
 
     def _preferred(self, key: str, near: list[Endpoint], far: list[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints that a key prefers, by highest hash: the same at every balancer."""
+        """Return the endpoints that a key prefers, highest hash first: the same ones at every balancer."""
         if key not in self._affinity:
             if len(self._affinity) >= MAX_CACHED_KEYS:
                 self._affinity.clear()
@@ -155,19 +160,19 @@
                 near + far, key=lambda endpoint: zlib.crc32(endpoint.name.encode(), seed), reverse=True
             )
             first = [endpoint for endpoint in ranked if endpoint.zone == own_zone][:1]
-            others = [endpoint for endpoint in ranked if endpoint not in first]
-            self._affinity[key] = first + others[:AFFINITY_ENDPOINTS]
+            remaining = [endpoint for endpoint in ranked if endpoint not in first]
+            self._affinity[key] = first + remaining[:AFFINITY_ENDPOINTS]
         return self._affinity[key]
 
     def cached_key_count(self) -> int:
-        """Return for how many keys endpoints are remembered."""
+        """Return the number of keys whose endpoints are remembered."""
         return len(self._affinity)
 
     def forget_affinity(self) -> None:
-        """Forget the endpoints that keys prefer: the endpoint list has changed."""
+        """Forget the endpoints that keys prefer. Called when the endpoint list has changed."""
         self._affinity.clear()
 
     def note_dispatch(self, endpoint: Endpoint) -> None:
-        """Count a dispatch in the share that crosses zones."""
+        """Update the share of requests that crosses zones."""
         crosses = endpoint.zone != self._context.settings.zone
         self.cross_zone_share += (crosses - self.cross_zone_share) * CROSS_ZONE_SHARE_WEIGHT
