--- a/merlinbay/decision/__init__.py
+++ b/merlinbay/decision/__init__.py
@@ -1,4 +1,7 @@
-"""Admission and placement decisions of a balancer that forwards requests to servers."""
+"""Decides for a balancer whether requests are admitted and which servers they are sent to.
+
+The package does no I/O: an adapter passes events to ``Balancer`` and carries out the actions it returns.
+"""
 
 from merlinbay.decision.actions import (
     Action,
--- a/merlinbay/decision/actions.py
+++ b/merlinbay/decision/actions.py
@@ -1,4 +1,7 @@
-"""What the balancer wants done. A request with no action is held. Durations are microseconds."""
+"""The actions that ``Balancer.handle`` returns and the adapter carries out.
+
+A request for which no action is returned is held. Durations are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,10 @@
 
 @dataclass(slots=True)
 class Dispatch:
-    """Send an attempt; attempts of a job count 0, 1, 2 ... ``timeout_us`` 0: until the client gives up."""
+    """Send an attempt of a request; its attempts are numbered 0, 1, 2 ... in the order of their dispatches.
+
+    ``timeout_us`` 0 means that the attempt lasts until the client gives up.
+    """
 
     id: int
     endpoint: str
@@ -16,7 +22,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     id: int
     attempt: int
@@ -24,30 +30,30 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, trying again is harmless."""
+    """Give the final answer that the request is rejected and a repeat is harmless."""
 
     id: int
     retry_after_us: int = 0
-    reason: str = "no_room"  # for the counters: ``no_room`` or ``list_overdue``
+    reason: str = "no_room"  # reason that the counters show: ``no_room`` or ``list_overdue``
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, the effect is not known."""
+    """Give the final answer that the request has failed and its effect is not known."""
 
     id: int
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Test an endpoint."""
+    """Send a health check to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired``."""
+    """Ask for a ``TimerFired`` with this token after a delay."""
 
     in_us: int
     token: str
@@ -55,14 +61,14 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list: poll discovery now, and take its changes."""
+    """Poll discovery for the endpoint list now, and watch it for changes."""
 
-    patience_us: int = 0  # how long the first answer is waited for; 0: as long as is usual
+    patience_us: int = 0  # timeout of the first answer; 0: the adapter's default
 
 
 @dataclass(slots=True)
 class LogNotice:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/merlinbay/decision/context.py
+++ b/merlinbay/decision/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the balancer share: the time, the settings, the random numbers and the actions."""
+"""The state that all parts of the balancer share: the time, the settings, random numbers and the actions."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from merlinbay.decision.actions import Action
 from merlinbay.decision.settings import Settings
 
-# Fraction of the golden ratio: its multiples modulo 1 divide any run of balancer numbers evenly.
+# Fraction of the golden ratio. Its multiples modulo 1 spread any sequence of consecutive numbers evenly.
 GOLDEN_FRACTION = (math.sqrt(5) - 1) / 2
 
 
 class Context:
-    """The state that belongs to no single part. Only ``Balancer`` moves it on."""
+    """Owns the state that belongs to no single part. Only ``Balancer`` advances it and takes the actions."""
 
     def __init__(self, settings: Settings, rng: Random, now_us: int) -> None:
         self.settings = settings
@@ -25,7 +25,7 @@
         self._actions: list[Action] = []
 
     def advance(self, now_us: int) -> None:
-        """Move the time on. A clock that goes back stands still."""
+        """Set the present time. A clock that goes back counts as stopped."""
         self.now_us = max(self.now_us, now_us)
 
     def emit(self, action: Action) -> None:
@@ -37,10 +37,10 @@
         self._actions.extend(actions)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions since the last call."""
+        """Remove and return the actions added since the last call."""
         actions, self._actions = self._actions, []
         return actions
 
     def set_balancer_count(self, count: int, number: int) -> None:
-        """Take the number of balancers that share the work, and which of them this one is."""
+        """Set the number of balancers that share the work, and the number of this one."""
         self.settings = dataclasses.replace(self.settings, balancers=max(count, 1), me=number)
--- a/merlinbay/decision/events.py
+++ b/merlinbay/decision/events.py
@@ -1,4 +1,7 @@
-"""What a balancer is notified of while it runs. Times are microseconds on the caller's monotonic clock."""
+"""The events that the adapter passes to ``Balancer.handle``.
+
+Times are in microseconds on the caller's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -16,48 +19,48 @@
     cell: int = 0
     state: str = "up"  # up | draining | removed
     share: float = 1.0
-    ready_at_us: int = 0  # the latest start; 0: long ago
+    ready_at_us: int = 0  # time of the latest start; 0: long ago
 
 
 class CallFailure(Enum):
-    """How a call to discovery failed, or a watch ended."""
+    """How a call to discovery failed, or how a watch ended."""
 
-    BROKEN = "broken"  # the connection ended, or the answer cannot be read: it may have had changes
-    SILENT = "silent"  # nothing came in time
-    UNAVAILABLE = "unavailable"  # discovery's own word that it is down, or that the call has waited too long
-    UNREACHABLE = "unreachable"  # no connection comes up
+    BROKEN = "broken"  # The connection ended or the answer cannot be read; the answer may have had changes.
+    SILENT = "silent"  # Nothing came in time.
+    UNAVAILABLE = "unavailable"  # Discovery answered that it is down or that the call has waited too long.
+    UNREACHABLE = "unreachable"  # No connection could be made.
 
 
 @dataclass(slots=True)
 class EndpointsChanged:
-    """The endpoint list: ``changes``, ``all``, ``remembered``, or ``refused`` (a call for it failed)."""
+    """An endpoint list or changes to it, or the failure of a call for it."""
 
-    scope: str
+    scope: str  # changes | all | remembered (from before the start) | refused (the call failed)
     entries: list[EndpointEntry]
-    last_answer_at_us: int = -1  # of a watch that broke: when its last answer came; -1: when it broke
-    failure: CallFailure = CallFailure.BROKEN  # of a call or watch that failed
-    former: bool = False  # it comes from a discovery that the configuration names no more
+    last_answer_at_us: int = -1  # time of the last answer on a watch that broke; -1: when it broke
+    failure: CallFailure = CallFailure.BROKEN  # how the call or watch failed, where the scope is ``refused``
+    former: bool = False  # whether it comes from a discovery that the configuration no longer names
 
 
 @dataclass(slots=True)
 class DiscoveryChanged:
-    """A new configuration has come; all that its discovery has counts as notified after ``told_us``."""
+    """A new configuration has come. After ``notified_after_us``, all that its discovery has is notified."""
 
     notified_after_us: int
-    moved: bool = True  # it names another discovery, which is to be called
+    moved: bool = True  # whether it names another discovery, which must be polled
 
 
 @dataclass(slots=True)
 class BalancerCountChanged:
-    """So many balancers share the work from now on, this one included: beside the configured count."""
+    """The number of balancers that share the work has changed. It replaces the configured number."""
 
-    count: int
-    me: int = 0  # which of them, in an order that all have
+    count: int  # number of balancers, this one included
+    me: int = 0  # number of this balancer, in an order that all balancers share
 
 
 @dataclass(slots=True)
 class MaintenanceChanged:
-    """Operators take an endpoint out (``on``), above whatever is listed, or put it back, restarted."""
+    """Operators disable an endpoint (``on``), whatever is listed, or enable it after a restart."""
 
     endpoint: str
     on: bool
@@ -65,7 +68,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request; it gets one final answer within ``budget_us``."""
+    """A request of a client. It gets one final answer within ``budget_us``."""
 
     id: int
     job_class: str
@@ -74,33 +77,33 @@
     memory: float = 0.0
     key: str = ""
     tenant: str = ""
-    returned: bool = False  # the client says that it is a repeat
-    hint_us: int = 0  # expected run time; 0: none came with it
-    only: tuple[str, ...] = ()  # the endpoints that may run it; empty: any
-    room_only: bool = False  # it takes free slots, and no place behind others
-    reserved: bool = False  # the reserved slots are for it
-    keyless: bool = False  # it carries no key by which endpoints could know a repeat
+    returned: bool = False  # whether the client marks it as a repeat
+    hint_us: int = 0  # run time that the client expects; 0: no hint came
+    only: tuple[str, ...] = ()  # names of the endpoints that may run it; empty: any
+    room_only: bool = False  # whether it may take free slots only, and no place in a queue
+    reserved: bool = False  # whether it runs on reserved slots
+    keyless: bool = False  # whether it has no key by which endpoints recognise a repeat
 
 
 @dataclass(slots=True)
 class SlotsReserved:
-    """So many slots of an endpoint are kept free from now on, but for requests that reserved them."""
+    """Some slots of an endpoint are kept free from now on for the requests that reserved them."""
 
     endpoint: str
-    slots: float
-    of: float = 0.0  # all that it has, as the operator says
+    slots: float  # number of reserved slots; 0: none any more
+    of: float = 0.0  # total slots of the endpoint according to the operator
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected; its request needs no answer any more."""
+    """The client has disconnected, so its request needs no answer."""
 
     id: int
 
 
 @dataclass(slots=True)
 class ExecutionStarted:
-    """An endpoint has started the attempt."""
+    """The endpoint has started the attempt."""
 
     id: int
     attempt: int
@@ -108,7 +111,7 @@
 
 @dataclass(slots=True)
 class ExecutionProgressed:
-    """The attempt runs; ``done`` is the share done."""
+    """The attempt runs. ``done`` is the share of the work that is done."""
 
     id: int
     attempt: int
@@ -117,7 +120,7 @@
 
 @dataclass(slots=True)
 class ExecutionPaused:
-    """The endpoint has suspended the attempt, or goes on with it."""
+    """The endpoint has suspended (``paused``) or resumed the attempt."""
 
     id: int
     attempt: int
@@ -126,7 +129,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer streams to the client, to whom the attempt now belongs."""
+    """The answer has begun to stream to the client, so the attempt is bound to this client."""
 
     id: int
     attempt: int
@@ -134,7 +137,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The attempt's one outcome. ``final``: the request has its final answer."""
+    """The attempt has ended; it ends once. With ``final``, the request has its final answer."""
 
     id: int
     attempt: int
@@ -147,7 +150,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The outcome of a probe."""
+    """A health check has ended."""
 
     endpoint: str
     outcome: int
--- a/merlinbay/decision/parts.py
+++ b/merlinbay/decision/parts.py
@@ -1,4 +1,7 @@
-"""Wires the parts of the balancer. ``docs/DECISIONS.md`` draws who asks whom."""
+"""Creates the parts of the balancer and connects them, once at the start.
+
+``docs/DECISIONS.md`` shows which part calls which.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class Parts:
-    """All parts of one balancer."""
+    """Holds all parts of one balancer."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -39,7 +42,7 @@
         self._wire_dispatch()
 
     def _wire_state(self) -> None:
-        """Make the parts that remember: the list, its lease, requests, run times, the offered load."""
+        """Create the parts that hold state: endpoints, their lease, requests, run times, the offered load."""
         context, settings = self.context, self.context.settings
         safety = settings.safety
         self.lease = EndpointLease(safety.must_ask_in_us, safety.drain_grace_us)
@@ -50,12 +53,13 @@
         self.requests = TrackedRequests(context)
         self.timers = AttemptTimers(context, self.requests)
         self.run_times = RunTimes(context)
-        # Guards against a flood to warming endpoints at the start: the least run time counts as the mean.
-        least_us = min(one.run_time_us for one in self.run_times.classes.values())
+        # Starts with the least run time of all classes as the mean, so that warming endpoints are not flooded
+        # at the start.
+        least_us = min(class_state.run_time_us for class_state in self.run_times.classes.values())
         self.offered = OfferedLoad(context, least_us)
 
     def _wire_estimates(self) -> None:
-        """Make the parts that learn of endpoints."""
+        """Create the parts that learn about endpoints."""
         context, endpoints, requests, offered = self.context, self.endpoints, self.requests, self.offered
         self.warm_up = WarmUp(context)
         self.outliers = OutlierDetection(context, offered)
@@ -82,7 +86,7 @@
         )
 
     def _wire_choice(self) -> None:
-        """Make the parts that decide."""
+        """Create the parts that decide on endpoints."""
         context, endpoints, requests, offered = self.context, self.endpoints, self.requests, self.offered
         outliers, warm_up, slow_start = self.outliers, self.warm_up, self.slow_start
         load, run_times = self.load, self.run_times
@@ -97,7 +101,7 @@
         )
 
     def _wire_dispatch(self) -> None:
-        """Make the parts that carry decisions out and look at them again."""
+        """Create the parts that carry out decisions and check attempts later."""
         context, endpoints, requests, offered = self.context, self.endpoints, self.requests, self.offered
         outliers, warm_up, slow_start = self.outliers, self.warm_up, self.slow_start
         load, run_times, timers = self.load, self.run_times, self.timers
@@ -137,7 +141,7 @@
             self.dispatching,
         )
 
-    # Called back by the table of endpoints.
+    # Callbacks of ``Endpoints``.
 
     def _on_endpoint_restarted(self, endpoint: Endpoint) -> None:
         self.run_times.forget(endpoint)
--- a/merlinbay/decision/request_state.py
+++ b/merlinbay/decision/request_state.py
@@ -1,4 +1,7 @@
-"""The state of requests, their attempts and their classes. Times are microseconds, counts are slots."""
+"""The state of requests, their attempts and their classes. Times are in microseconds, sizes in slots.
+
+The records hold state only; the part named in each docstring or comment writes them.
+"""
 
 from __future__ import annotations
 
@@ -10,66 +13,68 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClassState:
-    """A class's settings and its run time; written by ``RunTimes``."""
+    """The settings of a class and its learned run time. Written by ``RunTimes``."""
 
     spec: RequestClass
-    run_time_us: float  # smoothed
-    completed: int = 0  # requests that the run time rests on
-    hint_ratio: float = 1.0  # run times over the hints that came with the requests
+    run_time_us: float  # smoothed run time
+    completed: int = 0  # number of requests from which the run time was learned
+    hint_ratio: float = 1.0  # smoothed ratio of run times to the hints that came with the requests
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One dispatch of a request; written by ``TrackedRequests`` but where a field says otherwise."""
+    """One dispatch of a request. Written by ``TrackedRequests`` unless a field says otherwise."""
 
     endpoint: Endpoint
     dispatched_at_us: int
-    zone: str = field(init=False)  # of the endpoint at the dispatch: a later list may name another zone,
-    cell: int = field(init=False)  # and another cell
-    found_free_slots: bool = False  # the endpoint seemed to have free slots
-    started_at_us: int = 0  # 0: not started
-    recheck_at_us: int = 0  # when to check that it still runs; written by ``AttemptTimers``
-    paused_at_us: int = 0  # it is suspended since then; 0: it is not
+    zone: str = field(init=False)  # zone of the endpoint at the dispatch; a later list may name another one
+    cell: int = field(init=False)  # cell of the endpoint at the dispatch; a later list may name another one
+    found_free_slots: bool = False  # whether the endpoint seemed to have free slots at the dispatch
+    started_at_us: int = 0  # time of the start, moved on by pauses; 0: not started
+    recheck_at_us: int = 0  # time of the next check of a running attempt; written by ``AttemptTimers``
+    paused_at_us: int = 0  # time since which it is suspended; 0: not suspended
     is_open: bool = True
-    ended_possibly_run: bool = False  # it has ended, and may have run
+    ended_possibly_run: bool = False  # whether it has ended in a way that does not exclude that it has run
 
     def __post_init__(self) -> None:
         self.zone, self.cell = self.endpoint.zone, self.endpoint.cell
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it is open, or has ended in a way that does not exclude that it has run."""
+        """Whether the attempt is open, or has ended in a way that does not exclude that it has run."""
         return self.is_open or self.ended_possibly_run
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class TrackedRequest:
-    """A request, from its arrival until its last attempt has ended; written by ``TrackedRequests``."""
+    """A request from its arrival to the end of its last attempt. Written by ``TrackedRequests``."""
 
     id: int
     class_state: RequestClassState
-    run_time_us: float  # expected
+    run_time_us: float  # expected run time
     priority_weight: float
     deadline_at_us: int
     arrived_at_us: int = 0
     slots: float = 1.0
     memory: float = 0.0
     key: str = ""  # affinity key; empty: none
-    allowed_endpoints: tuple[str, ...] = ()  # the endpoints that may run it; empty: any
-    needs_free_slots: bool = False  # it takes free slots, and no place in a queue
-    uses_reservation: bool = False  # the reserved slots are for it
-    hint_us: float = 0.0  # the run time that came with it; 0: none
-    lacks_idempotency_key: bool = False  # endpoints could not recognise a repeat
+    allowed_endpoints: tuple[str, ...] = ()  # names of the endpoints that may run it; empty: any
+    needs_free_slots: bool = False  # whether it may take free slots only, and no place in a queue
+    uses_reservation: bool = False  # whether it runs on reserved slots
+    hint_us: float = 0.0  # run time that the client expects; 0: no hint came
+    lacks_idempotency_key: bool = False  # whether it has no key by which endpoints recognise a repeat
     hedging_delay_us: float = 0.0  # how long an attempt may wait unstarted before a hedge
     attempts: list[Attempt] = field(default_factory=list)
     open_attempts: int = 0
-    is_done: bool = False  # it has its final answer, or its client has left
-    health_check_replies: list[Endpoint] = field(default_factory=list)  # written by ``HealthChecks``
-    pending_health_checks: int = 0  # written by ``HealthChecks``
+    is_done: bool = False  # whether it has its final answer or its client has disconnected
+    # Endpoints that answered the request's health checks, and checks not answered yet; both are written by
+    # ``HealthChecks``.
+    health_check_replies: list[Endpoint] = field(default_factory=list)
+    pending_health_checks: int = 0
 
     @property
     def idempotency(self) -> Idempotency:
-        """What a repeat does. Without its key a request idempotent by key must not be repeated."""
+        """The effect of a repeat: ``NONE`` also if the class is ``BY_KEY`` and the request has no key."""
         declared = self.class_state.spec.idempotency
         return Idempotency.NONE if declared is Idempotency.BY_KEY and self.lacks_idempotency_key else declared
 
--- a/merlinbay/decision/settings.py
+++ b/merlinbay/decision/settings.py
@@ -1,4 +1,8 @@
-"""What a deployment permits and asks for. Durations are microseconds; names are opaque."""
+"""The settings of a balancer: what a deployment permits and asks for.
+
+They are read once at the start; invalid ones raise ``ValueError``. Durations are in microseconds. Names of
+classes, tenants, zones and machine kinds are opaque.
+"""
 
 from __future__ import annotations
 
@@ -9,36 +13,39 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does. The values are the words of the setting ``effect``."""
+    """The effect of a repeat of a request. The values are those of the setting ``effect``."""
 
-    ALWAYS = "repeatable"  # a repeat is harmless
-    BY_KEY = "by_key"  # endpoints of the idempotency scope drop a repeat within the window
-    NONE = "once"  # a repeat has a second effect
+    ALWAYS = "repeatable"  # A repeat is harmless.
+    BY_KEY = "by_key"  # Endpoints of the idempotency scope drop a repeat within the idempotency window.
+    NONE = "once"  # A repeat has a second effect.
 
 
-EFFECTS = {one.value: one for one in Idempotency}  # by the words of the setting
+EFFECTS = {idempotency.value: idempotency for idempotency in Idempotency}  # by value of the setting
 
 
 def require(ok: bool, name: str, value: object) -> None:
-    """Raise ``ValueError`` naming the setting unless ``ok``."""
+    """Raise ``ValueError`` with the name of the setting unless ``ok``."""
     if not ok:
         raise ValueError(f"{name}: invalid value {value!r}")
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of jobs. In time means within ``aim_us`` + ``stretch`` x the job's own run time."""
+    """One class of requests.
+
+    An answer is in time within ``aim_us`` + ``stretch`` x the request's own run time.
+    """
 
     name: str
     aim_us: int
     deadline_us: int
-    worth: float = 1.0
+    worth: float = 1.0  # priority weight of an answer in time
     effect: str = "repeatable"  # repeatable | by_key | once
-    group: str = "all"  # by_key: the endpoints that drop a repeat: all | zone | cell
-    window_us: int = 0  # by_key: for how long they remember
-    late_worth: float = 0.0  # share of the worth earned by a late answer
+    group: str = "all"  # idempotency scope of by_key, whose endpoints drop a repeat: all | zone | cell
+    window_us: int = 0  # idempotency window of by_key, in which endpoints recognise a repeat
+    late_worth: float = 0.0  # share of the worth that a late answer earns
     stretch: float = 0.0
-    kind: int = -1  # index of the one machine kind that runs it, -1: any
+    kind: int = -1  # index of the only machine kind that runs it; -1: any kind
     priority: int = 0
     stream: bool = False
 
@@ -56,13 +63,13 @@
 
     @property
     def idempotency(self) -> Idempotency:
-        """What a repeat does."""
+        """The effect of a repeat."""
         return EFFECTS[self.effect]
 
 
 @dataclass(slots=True)
 class DispatchLimits:
-    """What the deployment permits."""
+    """Actions that the deployment permits, and their limits."""
 
     cancelling: bool = False
     probes: bool = False
@@ -79,15 +86,16 @@
 
 @dataclass(slots=True)
 class SafetyMargins:
-    """Margins of the rules: on answers, repeats, draining endpoints, and endpoints in slow start."""
-
-    drain_grace_us: int = 0  # after a drain is notified, requests may still be sent for so long
-    cold_from: float = 1.0  # share of its capacity that an endpoint has at its start; it grows evenly
-    cold_us: int = 0  # how long after its start an endpoint warms up
-    tip_multiple: float = 1.0  # a warming endpoint is overloaded by work of so many times its capacity
-    overload_for_us: int = 1_000_000  # in a span of this length
+    """Margins of the rules on answers, repeats, draining endpoints and warming endpoints."""
+
+    drain_grace_us: int = 0  # how long after a drain is notified requests may still be sent
+    cold_from: float = 1.0  # share of its capacity that an endpoint has at its start; it grows linearly
+    cold_us: int = 0  # how long an endpoint warms up after its start
+    # A warming endpoint is overloaded by work of ``tip_multiple`` times its capacity in ``overload_for_us``.
+    tip_multiple: float = 1.0
+    overload_for_us: int = 1_000_000
     answer_slack_us: int = 0  # how much later than its deadline an answer may come
-    must_ask_in_us: int = 0  # how often discovery is to be polled at the least; 0: not stated
+    must_ask_in_us: int = 0  # longest permitted interval between polls of discovery; 0: not stated
 
     def __post_init__(self) -> None:
         require(0 < self.cold_from <= 1, "safety.cold_from", self.cold_from)
@@ -98,7 +106,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant, its share of the service and its quota over all schedulers."""
+    """A tenant, its share of the service, and its quota over all balancers."""
 
     name: str
     quota_per_s: float
@@ -110,7 +118,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """Everything that a balancer is configured with."""
+    """All settings of one balancer."""
 
     classes: list[RequestClass]
     balancers: int = 1
@@ -122,21 +130,22 @@
     tenants: list[Tenant] = field(default_factory=list)
     over_share_worth: float = 1.0
     report_fields: list[str] = field(default_factory=list)
-    free_slots_field: str = ""  # the report field that holds free slots, if any
-    errors_field: str = ""  # the report field that counts its errors a second, if any
-    held_field: str = ""  # the report field that counts the requests held there, if any
-    queued_field: str = ""  # the report field that counts the requests waiting there, if any
-    free_memory_field: str = ""  # the report field that holds free memory, if any
-    tells_start: bool = False
-    progress_us: int = 0  # progress notes come this often while a job runs; 0: never
-    queue_order: str = "fifo"  # fifo | backfill | priority
-    must_subscribe: bool = False  # discovery tells nothing unasked
-    cross_zone_price: float = 0.0
-    asks_first: bool = False  # endpoints report their load to probes only
-    probe_price: float = 0.0  # of one probe for each request
-    waste_price: float = 0.0  # of as much work without an answer as was asked for
-    worth_by_work: bool = False  # a job's worth grows with its work
-    doubts: list[str] = field(default_factory=list)  # what was not understood, and what it is taken for
+    # Names of load report fields; empty where endpoints do not report the value.
+    free_slots_field: str = ""  # free slots
+    errors_field: str = ""  # errors a second
+    held_field: str = ""  # requests that the endpoint holds
+    queued_field: str = ""  # requests that wait at the endpoint
+    free_memory_field: str = ""  # free memory
+    tells_start: bool = False  # whether endpoints report the start of an attempt
+    progress_us: int = 0  # interval of progress reports while an attempt runs; 0: never reported
+    queue_order: str = "fifo"  # order of an endpoint's queue: fifo | backfill | priority
+    must_subscribe: bool = False  # whether the list must be polled, as discovery pushes nothing unasked
+    cross_zone_price: float = 0.0  # price of a request that is sent to another zone
+    asks_first: bool = False  # whether endpoints report their load to health checks only
+    probe_price: float = 0.0  # price of one health check for each request
+    waste_price: float = 0.0  # price of work without an answer, for as much work as was requested
+    worth_by_work: bool = False  # whether the priority weight of a request grows with its work
+    doubts: list[str] = field(default_factory=list)  # log lines on settings that were not understood
 
     def __post_init__(self) -> None:
         require(bool(self.classes), "classes", self.classes)
@@ -150,7 +159,7 @@
             )
 
     def read(self, report: list[object]) -> dict[str, float]:
-        """Return a load report's values by field; those that make no sense are left out."""
+        """Return the values of a load report by field name, without values that are no valid numbers."""
         return {
             name: float(value)
             for name, value in zip(self.report_fields, report, strict=False)
