--- a/merlinbay/decision/settings.py
+++ b/merlinbay/decision/settings.py
@@ -145,7 +145,7 @@
     probe_price: float = 0.0  # price of one health check for each request
     waste_price: float = 0.0  # price of work without an answer, for as much work as was requested
     worth_by_work: bool = False  # whether the priority weight of a request grows with its work
-    doubts: list[str] = field(default_factory=list)  # log lines on settings that were not understood
+    doubts: list[str] = field(default_factory=list)  # unknown settings, with the meaning each is taken for
 
     def __post_init__(self) -> None:
         require(bool(self.classes), "classes", self.classes)
--- a/tests/support.py
+++ b/tests/support.py
@@ -117,7 +117,7 @@
     conf: Settings
     balancer: DecisionModule
     now: int = 1_000_000
-    violations: list[str] = field(default_factory=list)
+    broken: list[str] = field(default_factory=list)
     requests: dict[int, ObservedRequest] = field(default_factory=dict)
     drain_notified_at: dict[str, int] = field(default_factory=dict)
     ready: dict[str, int] = field(default_factory=dict)
@@ -178,12 +178,12 @@
             job = self.requests[action.id]
             job.answers += 1
             if job.is_settled:
-                self.violations.append("1: answered twice")
+                self.broken.append("1: answered twice")
             if action.id in ended_now:
                 return
             job.is_settled = True
             if isinstance(action, Reject) and not self._may_reject(job, action.retry_after_us):
-                self.violations.append("2: refused though it may have run")
+                self.broken.append("2: refused though it may have run")
         elif isinstance(action, Cancel):
             assert action.attempt < len(self.requests[action.id].attempts), "cancelled an attempt never sent"
 
@@ -196,25 +196,25 @@
 
     def _check_dispatch(self, job: ObservedRequest, action: Dispatch) -> None:
         if job.is_settled:
-            self.violations.append("1: sent after the end")
+            self.broken.append("1: sent after the end")
         unsure = job.unresolved
         pending = [sent for sent in job.attempts if not sent.outcome]
         if pending and not self.conf.limits.second_copies:
-            self.violations.append("2: second copy where none is allowed")
+            self.broken.append("2: second copy where none is allowed")
         if unsure and job.effect == "once":
-            self.violations.append("2: once sent again")
+            self.broken.append("2: once sent again")
         cell, zone = self.cell[action.endpoint]
         if unsure and job.effect == "by_key":
             home = unsure[0]
             same = {"all": True, "cell": cell == home.cell, "zone": zone == home.zone}[job.cls.group]
             if not same or self.now - home.at > job.cls.window_us:
-                self.violations.append("2: keyed sent outside its group or window")
+                self.broken.append("2: keyed sent outside its group or window")
         job.attempts.append(ObservedAttempt(action.endpoint, self.now, cell, zone))
         if len(job.attempts) > self.conf.limits.send_cap:
-            self.violations.append("send cap passed")
+            self.broken.append("send cap passed")
         off = self.drain_notified_at.get(action.endpoint)
         if off is not None and self.now - off > self.conf.safety.drain_grace_us:
-            self.violations.append("3: sent to a drained worker")
+            self.broken.append("3: sent to a drained worker")
         started = self.ready.get(action.endpoint, 0)
         if started and self.now - started < self.conf.safety.cold_us:
             self.slow_start_dispatches.setdefault(action.endpoint, []).append((self.now, job.event.slots))
@@ -232,7 +232,7 @@
                 share = safety.cold_from + (1 - safety.cold_from) * age / safety.cold_us
                 span = [s for t, s in sends if at <= t < at + safety.overload_for_us]
                 if sum(span[1:]) * run_us > budget * share:
-                    self.violations.append("4: cold budget passed")
+                    self.broken.append("4: cold budget passed")
 
     def pass_time(self, us: int) -> None:
         """Let time go by, firing due timers and the deadlines of pending attempts."""
@@ -275,7 +275,7 @@
         for number, job in self.requests.items():
             served = any(sent.outcome == 1 for sent in job.attempts)
             if job.answers + (served and not job.answers) != 1:
-                self.violations.append(f"1: {job.answers} answers for {number}")
+                self.broken.append(f"1: {job.answers} answers for {number}")
 
 
 def request_of(made: Balancer, job_class: str, **changes: Any) -> TrackedRequest:
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -69,16 +69,16 @@
         if isinstance(action, CheckHealth):
             self.probes.append(action.endpoint)
             if not self.conf.limits.probes:
-                self.violations.append("probed where no probes are allowed")
+                self.broken.append("probed where no probes are allowed")
         if isinstance(action, Cancel) and not self.conf.limits.cancelling:
-            self.violations.append("cancelled where that is not allowed")
+            self.broken.append("cancelled where that is not allowed")
         super()._check_action(action, ended_now)
 
     def _check_dispatch(self, job: ObservedRequest, action: Dispatch) -> None:
         if any(sent.endpoint == action.endpoint and not sent.outcome for sent in job.attempts):
-            self.violations.append("two attempts at one worker at once")
+            self.broken.append("two attempts at one worker at once")
         if job.event.only and action.endpoint not in job.event.only:
-            self.violations.append("sent to a worker that the job is not bound to")
+            self.broken.append("sent to a worker that the job is not bound to")
         super()._check_dispatch(job, action)
 
 
@@ -228,7 +228,7 @@
     conf, fleet = deployment
     check = StrictChecker(conf, Balancer(conf, 7, 1_000_000))
     play(check, fleet.rows(), steps)
-    assert check.violations == []
+    assert check.broken == []
 
 
 def probing(path: Path) -> Settings:
@@ -249,7 +249,7 @@
     zones = (conf.zone, "another")
     rows = [EndpointEntry(f"w{n}", zones[n // 6], conf.kinds[n % len(conf.kinds)], n // 3) for n in range(12)]
     play(check, rows, steps)
-    assert check.violations == []
+    assert check.broken == []
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -265,7 +265,7 @@
             check.act(HealthCheckEnded(check.probes.popleft(), 1, 900, [3, 0]))  # all are full
         check.pass_time(30_000)
     assert sum(len(job.attempts) for job in check.requests.values()) > len(check.requests), "no copy was sent"
-    assert check.violations == []
+    assert check.broken == []
 
 
 def eight_workers(conf: Settings) -> tuple[Balancer, list[Endpoint]]:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -90,7 +90,7 @@
     check.pass_time(10_000_000)
     assert bad in serve(check, range(300, 360))
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def run_fleet(check: Checker, numbers: range, slow: str, times: float) -> list[str]:
@@ -127,7 +127,7 @@
     check.pass_time(40_000_000)
     assert run_fleet(check, range(500, 700), "w2", 1).count("w2") >= 10
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_connections_that_break_now_and_then_leave_no_worker_out() -> None:
@@ -150,7 +150,7 @@
         for endpoint in check.balancer.parts.endpoints.by_name.values()
     )
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_hung_worker_gets_nothing_new_and_comes_back() -> None:
@@ -168,7 +168,7 @@
     check.pass_time(30_000_000)
     assert "w2" in serve(check, range(400, 460), cls="unsafe")
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_unstarted_job_gets_a_second_copy_and_the_first_to_start_keeps_it() -> None:
@@ -198,7 +198,7 @@
         check.pass_time(2_000)
     assert asked < 25
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_frozen_report_is_taken_once() -> None:
@@ -225,7 +225,7 @@
     check.deliver(EndpointsChanged("all", [entry(n) for n in range(6)]))
     assert offer(check, 51)
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_flapping_list() -> None:
@@ -236,7 +236,7 @@
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
         check.pass_time(60_000)
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_restart_with_a_stale_list_under_load() -> None:
@@ -251,7 +251,7 @@
                 end(check, number, 5 if sent.endpoint in ("w0", "w1", "w2", "w3") else 1, i)
         check.pass_time(30_000)
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
     assert sum(any(s.outcome == 1 for s in job.attempts) for job in check.requests.values()) > 70
 
 
@@ -266,7 +266,7 @@
     check.pass_time(1)
     assert offer(check, 52)
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_other_kinds_are_tried() -> None:
@@ -390,7 +390,7 @@
     for name in asked:
         last = check.deliver(HealthCheckEnded(name, 1, 500, [90, 0]))
     assert [type(a) for a in last] == [Reject]
-    assert not check.violations
+    assert not check.broken
 
 
 def test_a_worker_that_drains_after_its_answer_gets_nothing() -> None:
@@ -429,7 +429,7 @@
     for name in asked:  # answers to probes for jobs that are settled serve the one that waits
         check.deliver(HealthCheckEnded(name, 4, 100_000, None))
     assert check.requests[3].attempts or check.requests[3].answers
-    assert not check.violations
+    assert not check.broken
 
 
 def test_reports_that_lie_lose_their_weight() -> None:
@@ -450,7 +450,7 @@
     balancer.parts.load.observe_peers(seen, 5.0)
     check.deliver(HealthCheckEnded("w0", 1, 300, [4.9]))  # it says that it holds nothing
     assert balancer.parts.load.peer_slots(seen) > 4
-    assert not check.violations
+    assert not check.broken
 
 
 def test_an_overloaded_zone_sends_its_jobs_away() -> None:
@@ -477,7 +477,7 @@
     check.pass_time(9_000_000)
     assert sum(map(bool, serve(check, range(200, 260)))) > 50
     check.finish()
-    assert not check.violations
+    assert not check.broken
 
 
 def test_overlapping_failures_keep_the_rules() -> None:
@@ -497,7 +497,7 @@
     check.pass_time(20_000_000)
     assert sum(map(bool, serve(check, range(1000, 1040)))) > 35
     check.finish()
-    assert not check.violations
+    assert not check.broken
 
 
 def test_a_share_of_a_cold_workers_budget_is_used() -> None:
@@ -533,7 +533,7 @@
     end(check, 12)
     check.pass_time(1_000_000)
     assert offer(check, 13, memory=0.5) == "w0"
-    assert check.violations == []
+    assert check.broken == []
 
 
 def test_copies_that_all_came_back_unstarted_leave_a_job_that_may_be_refused() -> None:
@@ -547,7 +547,7 @@
         actions = end(check, 1, Outcome.FULL, second)
         while not any(isinstance(action, Reject | Fail) for action in actions):
             actions = end(check, 1, Outcome.FULL, len(check.requests[1].attempts) - 1)
-        assert any(isinstance(action, Reject) for action in actions) and not check.violations
+        assert any(isinstance(action, Reject) for action in actions) and not check.broken
 
 
 def test_a_suspended_job_tells_no_pace_and_gets_no_copy() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -160,7 +160,7 @@
     conf.classes[1].group = group
     check = Checker(conf, Balancer(conf, 7, 1_000_000))
     play(check, steps)
-    assert check.violations == []
+    assert check.broken == []
 
 
 class Wrong:
@@ -187,11 +187,11 @@
     check = started(conf, Wrong(conf, lambda a: [] if isinstance(a, (Fail, Reject)) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert any(text.startswith("1: 0 answers") for text in check.violations)
+    assert any(text.startswith("1: 0 answers") for text in check.broken)
     check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, (Fail, Reject)) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert "1: answered twice" in check.violations
+    assert "1: answered twice" in check.broken
 
 
 def test_checker_sees_repeated_effects() -> None:
@@ -200,10 +200,10 @@
     check = started(conf, Wrong(conf, lambda a: [Reject(a.id)] if isinstance(a, Fail) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert "2: refused though it may have run" in check.violations
+    assert "2: refused though it may have run" in check.broken
     check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, Dispatch) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
-    assert "2: once sent again" in check.violations
+    assert "2: once sent again" in check.broken
 
 
 def test_checker_sees_broken_drains() -> None:
@@ -214,7 +214,7 @@
     check.deliver(EndpointsChanged("changes", [entry(0, "draining")]))
     check.pass_time(300_000)
     check.deliver(RequestReceived(1, "safe", 1_000_000))
-    assert "3: sent to a drained worker" in check.violations
+    assert "3: sent to a drained worker" in check.broken
 
 
 def cold_burst(balancer: DecisionModule, conf: Settings) -> Checker:
@@ -235,9 +235,9 @@
     conf = settings(balancers=40)
     check = cold_burst(Balancer(conf, 1, 1_000_000), conf)
     check.check_slow_start(slots=3, run_us=100_000)
-    assert check.violations == []
+    assert check.broken == []
     assert sum(len(sends) for sends in check.slow_start_dispatches.values()) >= 2
     wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Reject) else [a])
     check = cold_burst(wrong, conf)
     check.check_slow_start(slots=3, run_us=100_000)
-    assert "4: cold budget passed" in check.violations
+    assert "4: cold budget passed" in check.broken
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -127,7 +127,7 @@
         if rng.random() < 0.05:
             check.deliver(EndpointsChanged("refused", [], check.now - 1_000_000))
     check.finish()
-    assert check.violations == []
+    assert check.broken == []
 
 
 @pytest.mark.parametrize(
