--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The four rules over random legal event sequences, judged by the checker in ``support``."""
+"""Checks the four rules over drawn sequences of legal events with the checker in ``support``.
+
+The last tests put faults into the balancer's actions, to show that the checker finds them.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +28,8 @@
 from merlinbay.decision.settings import DispatchLimits, Settings
 from tests.support import Checker, DecisionModule, ObservedAttempt, ObservedRequest, entry, settings
 
-WORKERS = 8
-STEP = st.tuples(
+ENDPOINTS = 8
+STEP = st.tuples(  # action, a number to choose by, variant of the action
     st.sampled_from(
         [
             "job",
@@ -61,75 +64,75 @@
 
 
 def choose_open(check: Checker, pick: int) -> tuple[int, ObservedRequest, int, ObservedAttempt] | None:
-    """Choose one pending attempt."""
+    """Choose a pending attempt; return its request's id, its request, its number and itself."""
     pending = [
-        (n, job, i, sent)
-        for n, job in check.requests.items()
-        for i, sent in enumerate(job.attempts)
-        if not sent.outcome
+        (n, request, i, attempt)
+        for n, request in check.requests.items()
+        for i, attempt in enumerate(request.attempts)
+        if not attempt.outcome
     ]
     return pending[pick % len(pending)] if pending else None
 
 
 def play(check: Checker, steps: list[tuple[str, int, int]]) -> None:
-    """Turn drawn steps into legal events."""
-    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
-    for what, pick, small in steps:
-        if what == "job":
+    """Turn drawn steps into legal events, and pass them to the checker's balancer."""
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(ENDPOINTS)]))
+    for action, pick, variant in steps:
+        if action == "job":
             cls = check.conf.classes[pick % len(check.conf.classes)]
             number = len(check.requests) + 1
             check.deliver(
                 RequestReceived(
                     number,
                     cls.name,
-                    cls.deadline_us >> (small % 3),
-                    1.0 + small % 2,
-                    key="key" if small == 7 else "",
+                    cls.deadline_us >> (variant % 3),
+                    1.0 + variant % 2,
+                    key="key" if variant == 7 else "",
                 )
             )
-        elif what in ("start", "progress", "end"):
-            found = choose_open(check, pick)
-            if found is None:
+        elif action in ("start", "progress", "end"):
+            chosen = choose_open(check, pick)
+            if chosen is None:
                 continue
-            number, job, i, sent = found
-            if what == "start":
+            number, request, i, attempt = chosen
+            if action == "start":
                 check.deliver(ExecutionStarted(number, i))
-            elif what == "progress":
+            elif action == "progress":
                 check.deliver(ExecutionProgressed(number, i, 0.5))
             else:
-                outcome = (1, 1, 2, 3, 3, 5, 6, 7)[small]
+                outcome = (1, 1, 2, 3, 3, 5, 6, 7)[variant]
                 check.deliver(
                     AttemptEnded(
                         number,
                         i,
                         outcome,
-                        check.now - sent.at,
-                        job.is_settled or outcome == 1,
+                        check.now - attempt.at,
+                        request.is_settled or outcome == 1,
                         REPORTS[pick % len(REPORTS)],
-                        sent.endpoint,
+                        attempt.endpoint,
                     )
                 )
-        elif what == "twice":  # several outcomes in one batch, with a withdrawal among them
-            found = choose_open(check, pick)
-            if found is not None:
-                number, job, i, sent = found
+        elif action == "twice":  # An attempt ends and the client disconnects, both in one batch.
+            chosen = choose_open(check, pick)
+            if chosen is not None:
+                number, request, i, attempt = chosen
                 check.deliver(
-                    AttemptEnded(number, i, 3, 1000, job.is_settled, None, sent.endpoint),
-                    *([] if job.is_settled else [ClientDisconnected(number)]),
+                    AttemptEnded(number, i, 3, 1000, request.is_settled, None, attempt.endpoint),
+                    *([] if request.is_settled else [ClientDisconnected(number)]),
                 )
-        elif what == "probe":
-            report: list[object] | None = REPORTS[small] if pick % 2 else [small, float(pick % 4)]
-            check.deliver(HealthCheckEnded(f"w{pick % WORKERS}", (1, 1, 1, 4)[small % 4], 900, report))
-        elif what == "time":
-            check.pass_time((small + 1) * (small + 1) * 20_000)
-        elif what == "list":
-            state = ("up", "up", "draining", "removed", "up", "up", "draining", "up")[small]
-            ready = check.now - 100_000 if small >= 4 else 0
-            check.deliver(EndpointsChanged("changes", [entry(pick % WORKERS, state, ready)]))
-        elif what == "full_list":
-            check.deliver(EndpointsChanged("all", [entry(n) for n in range(WORKERS) if pick >> n & 1]))
-        elif what == "gone":
-            live = [n for n, job in check.requests.items() if not job.is_settled]
+        elif action == "probe":
+            report: list[object] | None = REPORTS[variant] if pick % 2 else [variant, float(pick % 4)]
+            check.deliver(HealthCheckEnded(f"w{pick % ENDPOINTS}", (1, 1, 1, 4)[variant % 4], 900, report))
+        elif action == "time":
+            check.pass_time((variant + 1) * (variant + 1) * 20_000)
+        elif action == "list":
+            state = ("up", "up", "draining", "removed", "up", "up", "draining", "up")[variant]
+            ready = check.now - 100_000 if variant >= 4 else 0
+            check.deliver(EndpointsChanged("changes", [entry(pick % ENDPOINTS, state, ready)]))
+        elif action == "full_list":
+            check.deliver(EndpointsChanged("all", [entry(n) for n in range(ENDPOINTS) if pick >> n & 1]))
+        elif action == "gone":  # A client disconnects; events of unknown requests and endpoints follow.
+            live = [n for n, request in check.requests.items() if not request.is_settled]
             check.deliver(
                 *([ClientDisconnected(live[pick % len(live)])] if live else []),
                 ClientDisconnected(10**6),
@@ -163,81 +166,84 @@
     assert check.broken == []
 
 
-class Wrong:
-    """A balancer with a fault put in: rewrites what the real one answers."""
+class FaultyBalancer:
+    """A balancer with an injected fault: it changes the actions of a real one."""
 
     def __init__(self, conf: Settings, change: Callable[[Action], list[Action]]) -> None:
         self.real, self.change = Balancer(conf, 1, 1_000_000), change
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Answer wrongly."""
+        """Return the real balancer's actions with the fault in them."""
         return [new for action in self.real.handle(now_us, events) for new in self.change(action)]
 
 
 def started(conf: Settings, balancer: DecisionModule) -> Checker:
     """Return a checker whose balancer knows the endpoints."""
     check = Checker(conf, balancer)
-    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(WORKERS)]))
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(ENDPOINTS)]))
     return check
 
 
-def test_checker_sees_lost_requests() -> None:
-    """Rule 1: a request that is refused to nobody is noticed, and so is a second answer."""
+def test_checker_detects_missing_and_second_answers() -> None:
+    """Rule 1: the checker must not miss a request without an answer, nor one with two."""
     conf = settings()
-    check = started(conf, Wrong(conf, lambda a: [] if isinstance(a, (Fail, Reject)) else [a]))
+    check = started(conf, FaultyBalancer(conf, lambda a: [] if isinstance(a, (Fail, Reject)) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
     assert any(text.startswith("1: 0 answers") for text in check.broken)
-    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, (Fail, Reject)) else [a]))
+    check = started(conf, FaultyBalancer(conf, lambda a: [a, a] if isinstance(a, (Fail, Reject)) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
     assert "1: answered twice" in check.broken
 
 
-def test_checker_sees_repeated_effects() -> None:
-    """Rule 2: an unsafe job refused, or sent again, after it may have run is noticed."""
+def test_checker_detects_repeated_effects() -> None:
+    """Rule 2: the checker must not miss an unsafe request rejected or sent again after it may have run."""
     conf = settings()
-    check = started(conf, Wrong(conf, lambda a: [Reject(a.id)] if isinstance(a, Fail) else [a]))
+    check = started(conf, FaultyBalancer(conf, lambda a: [Reject(a.id)] if isinstance(a, Fail) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
     check.finish()
-    assert "2: refused though it may have run" in check.broken
-    check = started(conf, Wrong(conf, lambda a: [a, a] if isinstance(a, Dispatch) else [a]))
+    assert "2: rejected though it may have run" in check.broken
+    check = started(conf, FaultyBalancer(conf, lambda a: [a, a] if isinstance(a, Dispatch) else [a]))
     check.deliver(RequestReceived(1, "unsafe", 1_000_000))
-    assert "2: once sent again" in check.broken
+    assert "2: sent again though a repeat has a second effect" in check.broken
 
 
-def test_checker_sees_broken_drains() -> None:
-    """Rule 3: a send to an endpoint long after its drain was told is noticed."""
+def test_checker_detects_dispatches_to_draining_endpoints() -> None:
+    """Rule 3: the checker must not miss a dispatch to an endpoint after the grace of its drain."""
     conf = settings()
-    wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Dispatch) else [a])
-    check = started(conf, wrong)
+    faulty = FaultyBalancer(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Dispatch) else [a])
+    check = started(conf, faulty)
     check.deliver(EndpointsChanged("changes", [entry(0, "draining")]))
     check.pass_time(300_000)
     check.deliver(RequestReceived(1, "safe", 1_000_000))
-    assert "3: sent to a drained worker" in check.broken
+    assert "3: sent to a draining endpoint after the grace" in check.broken
 
 
-def cold_burst(balancer: DecisionModule, conf: Settings) -> Checker:
-    """Send many jobs while every endpoint has just started."""
+def burst_in_slow_start(balancer: DecisionModule, conf: Settings) -> Checker:
+    """Send 300 requests while every endpoint has just started."""
     check = Checker(conf, balancer)
     check.deliver(EndpointsChanged("all", [entry(n, "up", check.now) for n in range(2)]))
     for number in range(300):
         check.pass_time(20_000)
         check.deliver(RequestReceived(number, "safe", 5_000_000))
-        found = choose_open(check, 0)
-        if found is not None:
-            check.deliver(AttemptEnded(found[0], found[2], 1, 100_000, True, [1, 3], found[3].endpoint))
+        chosen = choose_open(check, 0)
+        if chosen is not None:
+            check.deliver(AttemptEnded(chosen[0], chosen[2], 1, 100_000, True, [1, 3], chosen[3].endpoint))
     return check
 
 
-def test_cold_budget() -> None:
-    """Rule 4: all endpoints restart at once under load; the sliding budget is kept, and yet they are used."""
+def test_slow_start_budget() -> None:
+    """Rule 4: endpoints that all restart at once under load must be neither overloaded nor left unused.
+
+    The checker must also find a balancer that exceeds the sliding budget.
+    """
     conf = settings(balancers=40)
-    check = cold_burst(Balancer(conf, 1, 1_000_000), conf)
+    check = burst_in_slow_start(Balancer(conf, 1, 1_000_000), conf)
     check.check_slow_start(slots=3, run_us=100_000)
     assert check.broken == []
-    assert sum(len(sends) for sends in check.slow_start_dispatches.values()) >= 2
-    wrong = Wrong(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Reject) else [a])
-    check = cold_burst(wrong, conf)
+    assert sum(len(dispatches) for dispatches in check.slow_start_dispatches.values()) >= 2
+    faulty = FaultyBalancer(conf, lambda a: [Dispatch(a.id, "w0")] if isinstance(a, Reject) else [a])
+    check = burst_in_slow_start(faulty, conf)
     check.check_slow_start(slots=3, run_us=100_000)
-    assert "4: cold budget passed" in check.broken
+    assert "4: slow start budget exceeded" in check.broken
