--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -57,7 +57,7 @@
 from merlinbay.handover.snapshot_codec import to_encoded
 from merlinbay.site_settings import settings_from
 from tests.support import settings as default_settings
-from tests.test_sites import SITES, conf_of
+from tests.test_sites import SITES, site_configuration
 
 DRAWN = 420
 STEPS_PER_STREAM = 110  # of a drawn stream
@@ -331,7 +331,11 @@
     rng = Random(f"settings/{seed}")
     paths: list[Path | None] = [None, *SITES]
     path = paths[seed % len(paths)]
-    base = default_settings() if path is None else settings_from(conf_of(path, ask=rng.random() < 0.5))
+    base = (
+        default_settings()
+        if path is None
+        else settings_from(site_configuration(path, ask=rng.random() < 0.5))
+    )
     base.balancers, base.me = rng.choice((1, 4, 60, 200)), rng.choice((0, 0, 3))
     base.asks_first = rng.random() < 0.4
     base.probe_price = rng.choice((0.0, 0.002, 0.05))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: whatever a deployment says, the decisions keep the four rules under it."""
+"""Checks that the decisions keep the four rules under the settings of each deployment in ``deploy/sites``."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 FIELDS = {"inflight": "active", "queue": "waiting", "eps": "err_rps", "util": "cpu"}
 
 
-def conf_of(path: Path, ask: bool) -> dict[str, Any]:
-    """Return what a node of a deployment is told: names as in the protocol, the worst of each range."""
+def site_configuration(path: Path, ask: bool) -> dict[str, Any]:
+    """Return the configuration of a deployment's node as in the protocol, with the worst of each range."""
     site = tomllib.loads(path.read_text())
     allow, rules, tier, kinds = site["allow"], site["rules"], site["tier"][0], site["tier"][0]["kind"]
     return {
@@ -73,8 +73,8 @@
     }
 
 
-def test_there_are_deployments_of_others() -> None:
-    """The folder is found, and its files differ in what a class may do."""
+def test_deployments_cover_all_effects() -> None:
+    """The other tests must not run on an empty folder, or on deployments that lack an effect."""
     assert len(SITES) >= 2
     effects = {row["effect"] for path in SITES for row in tomllib.loads(path.read_text())["class"]}
     assert effects == set(EFFECTS)
@@ -83,29 +83,31 @@
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
 @pytest.mark.parametrize("ask", [True, False])
 @pytest.mark.parametrize("seed", range(4))
-def test_the_rules_are_kept_under_other_customers_settings(path: Path, ask: bool, seed: int) -> None:
-    """Jobs of all classes, any outcome in any order, lists that change, clients that leave."""
-    conf, rng = settings_from(conf_of(path, ask)), Random(seed)
+def test_the_rules_are_kept_under_the_settings_of_each_deployment(path: Path, ask: bool, seed: int) -> None:
+    """No rule may be broken by requests of all classes, any outcomes, changing lists and leaving clients."""
+    conf, rng = settings_from(site_configuration(path, ask)), Random(seed)
     check = Checker(conf, Balancer(conf, seed, 1_000_000))
     rows = [EndpointEntry(f"w{n}", conf.zone, conf.kinds[n % len(conf.kinds)], n // 3) for n in range(9)]
     check.deliver(EndpointsChanged("all", rows))
     outcomes = [outcome for outcome in Outcome if outcome is not Outcome.MOOT]
-    quick = (0.2, 0.01)[seed % 2]  # what is slow outlasts the windows of repeats
+    progress_share = (0.2, 0.01)[seed % 2]  # With the lower share, attempts outlast the idempotency windows.
     for number in range(400):
         check.pass_time(rng.randrange(1, 60_000))
         cls = rng.choice(conf.classes)
         check.deliver(RequestReceived(number, cls.name, rng.randrange(cls.deadline_us // 4, cls.deadline_us)))
-        for job, seen in list(check.requests.items()):
-            for at, sent in enumerate(seen.attempts):
-                if not sent.outcome and rng.random() < quick:
+        for request_id, request in list(check.requests.items()):
+            for i, attempt in enumerate(request.attempts):
+                if not attempt.outcome and rng.random() < progress_share:
                     if rng.random() < 0.4:
-                        check.deliver(ExecutionStarted(job, at))
+                        check.deliver(ExecutionStarted(request_id, i))
                     else:
                         outcome = Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
-                        final = seen.is_settled or outcome == Outcome.OK
-                        check.deliver(AttemptEnded(job, at, outcome, 1000, final, None, sent.endpoint))
-            if not seen.is_settled and rng.random() < 0.01:
-                check.deliver(ClientDisconnected(job))
+                        final = request.is_settled or outcome == Outcome.OK
+                        check.deliver(
+                            AttemptEnded(request_id, i, outcome, 1000, final, None, attempt.endpoint)
+                        )
+            if not request.is_settled and rng.random() < 0.01:
+                check.deliver(ClientDisconnected(request_id))
         if rng.random() < 0.1:
             row = rng.choice(rows)
             check.deliver(
@@ -143,14 +145,15 @@
         ({"effect": "by_key", "group": "zone"}, "by_key", ""),
     ],
 )
-def test_what_settings_say_in_unknown_words_is_not_repeated(
-    row: dict[str, str], effect: str, doubt: str
-) -> None:
-    """The node starts, says so in its log, and keeps to the cautious meaning."""
-    conf = conf_of(SITES[0], False)
+def test_a_class_with_an_unknown_effect_is_not_repeated(row: dict[str, str], effect: str, doubt: str) -> None:
+    """Requests must not be repeated because a value of the settings is unknown.
+
+    The node starts, logs the unknown value, and takes the class for one that must not be repeated.
+    """
+    conf = site_configuration(SITES[0], False)
     conf["classes"][0].update(row)
-    found = settings_from(conf)
+    settings = settings_from(conf)
     doubts = [doubt] if doubt else []
-    assert (found.classes[0].effect, found.doubts) == (effect, doubts)
-    noted = Balancer(found, 1, 0).handle(0, [])
-    assert [action.text for action in noted if isinstance(action, LogNotice)] == doubts
+    assert (settings.classes[0].effect, settings.doubts) == (effect, doubts)
+    actions = Balancer(settings, 1, 0).handle(0, [])
+    assert [action.text for action in actions if isinstance(action, LogNotice)] == doubts
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,6 +1,7 @@
-"""The decision module stays short and knows no deployment and no wire; each field has one owner.
+"""Checks the sources of ``decision/``: size, independence of deployments and wire, one owner for each field.
 
-Replaces checks of one file, ``rules.py`` under 500 non-blank lines: every file of ``decision/`` is checked.
+Every file of ``decision/`` is checked. These checks replace an earlier one, that the single file ``rules.py``
+had under 500 non-blank lines.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 def too_long(text: str) -> list[str]:
-    """Return the functions of a file that are too long, docstrings included."""
+    """Return the names of the functions of a file that are too long, docstrings included."""
     return [
         node.name
         for node in ast.walk(ast.parse(text))
@@ -56,7 +57,7 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.name)
 def test_length(path: Path) -> None:
-    """Under 300 lines a file, at most 40 a function and 110 characters a line."""
+    """A file must have under 300 lines, a function at most 40 lines, and a line at most 110 characters."""
     lines = path.read_text().splitlines()
     assert len(lines) < MAX_FILE_LINES
     assert too_long(path.read_text()) == []
@@ -64,15 +65,15 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.name)
-def test_knows_no_deployment_and_no_wire(path: Path) -> None:
-    """No name of a deployment, class, place or wire message occurs."""
+def test_names_no_deployment_and_no_wire_message(path: Path) -> None:
+    """The module must not depend on a deployment: no name of one, of a class, place or message occurs."""
     text = path.read_text().lower()
     assert [word for word in FOREIGN if word.lower() in text] == []
     assert "msgspec" not in text and "simhost" not in text
 
 
 def test_interface_is_named_at_the_top() -> None:
-    """A reader finds the interface at once."""
+    """The first line of ``balancer.py`` names the interface, so that a reader finds it at once."""
     head = (DECISION / "balancer.py").read_text().splitlines()[0]
     assert "``settings``, ``events``, ``actions``" in head
 
@@ -81,7 +82,7 @@
 
 
 def fields_of(text: str) -> list[str]:
-    """Return the fields of all records of a file."""
+    """Return the names of the fields of all records in a file."""
     return [
         line.target.id
         for node in ast.parse(text).body
@@ -92,7 +93,7 @@
 
 
 def changed(node: ast.AST) -> Iterator[ast.expr]:
-    """Yield what a statement assigns to, deletes or changes in place."""
+    """Yield the expressions that a node assigns to, deletes or changes in place."""
     if isinstance(node, ast.Assign):
         yield from node.targets
     elif isinstance(node, (ast.AugAssign, ast.AnnAssign)):
@@ -110,8 +111,8 @@
 def attributes(target: ast.expr) -> Iterator[ast.Attribute]:
     """Yield the attributes that a target writes."""
     if isinstance(target, (ast.Tuple, ast.List)):
-        for one in target.elts:
-            yield from attributes(one)
+        for element in target.elts:
+            yield from attributes(element)
     elif isinstance(target, (ast.Starred, ast.Subscript)):
         yield from attributes(target.value)
     elif isinstance(target, ast.Attribute):
@@ -119,12 +120,12 @@
 
 
 def is_self(value: ast.expr) -> bool:
-    """Tell whether an expression is ``self``."""
+    """Return whether an expression is ``self``."""
     return isinstance(value, ast.Name) and value.id == "self"
 
 
 def writers(text: str, name: str) -> Iterator[tuple[str, ast.Attribute]]:
-    """Yield the attributes that are written in a file, each with its class, or file outside of classes."""
+    """Yield the attributes that a file writes, each with the class that writes it, else the file's name."""
     owner: dict[ast.AST, str] = {}
     tree = ast.parse(text)
     for part in tree.body:
@@ -137,9 +138,9 @@
 
 
 def written_by_two(files: dict[str, str], state: tuple[str, ...] = STATE_FILES) -> list[str]:
-    """Return the fields of state records that more than one class writes, and writes of parts' fields.
+    """Return the fields of state records that more than one class writes, and writes to fields of parts.
 
-    Fields go by their names alone: two records' fields of one name count as one.
+    Fields are told apart by their names alone, so two records' fields of the same name count as one.
     """
     fields = [field for name in state for field in fields_of(files[name])]
     faults = list[str]()
@@ -157,7 +158,7 @@
 
 
 def private_uses(text: str) -> list[str]:
-    """Return uses of what is private to another object."""
+    """Return the uses of another object's private attributes."""
     return [
         ast.unparse(node)
         for node in ast.walk(ast.parse(text))
@@ -172,13 +173,13 @@
 
 
 def test_no_field_is_written_by_two_classes() -> None:
-    """A record's field is written by its owner's methods alone; a part's own fields by itself alone."""
+    """Only its owner's methods may write a record's field, and only a part itself its own fields."""
     assert written_by_two(SOURCES) == []
 
 
 @pytest.mark.parametrize("name", sorted(SOURCES))
-def test_no_part_uses_what_is_private_to_another(name: str) -> None:
-    """Parts ask each other by public calls."""
+def test_no_part_uses_private_attributes_of_another(name: str) -> None:
+    """Parts may use only the public attributes and methods of other parts."""
     assert private_uses(SOURCES[name]) == []
 
 
@@ -197,7 +198,7 @@
         "for endpoint.zone in 'ab': pass",
     ],
 )
-def test_a_write_from_outside_is_seen(line: str) -> None:
-    """The check finds each way to write another part's field."""
+def test_the_check_finds_each_write_from_outside(line: str) -> None:
+    """The check must not miss any form of statement that writes another part's field."""
     intruder = f"class Intruder:\n    def change(self):\n        {line}\n"
     assert any("Intruder" in fault for fault in written_by_two({**SOURCES, "intruder.py": intruder}))
