--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -1,8 +1,10 @@
-"""Recorded event streams of the decision module, and the actions that it took.
+"""Records event streams of the decision module and the actions that it took, and reads them.
 
-``python -m tests.decision_streams FILE`` records them anew; ``test_decision_streams`` replays them.
-A stream names no type of the program: events, actions and settings are rows of plain values, in the order of
-the fields, so that types can be renamed. The first seconds of emulated days stand beside drawn streams.
+``python -m tests.decision_streams FILE`` records them again; ``test_decision_streams`` replays them. Most
+streams are drawn; the others are the first seconds of emulated days.
+
+A stream names no type of the program, so that types can be renamed: events, actions and settings are rows of
+plain values in the order of the fields.
 """
 
 from __future__ import annotations
@@ -59,11 +61,11 @@
 from tests.support import settings as default_settings
 from tests.test_sites import SITES, site_configuration
 
-DRAWN = 420
-STEPS_PER_STREAM = 110  # of a drawn stream
+DRAWN_STREAMS = 420
+STEPS_PER_STREAM = 110  # number of steps of a drawn stream
 EMULATED = ("calm", "burst", "crashes", "deploy-late-burst", "discovery-down", "flapping", "frozen", "monday")
 EMULATED_SEEDS = range(10)
-EMULATED_STEPS = 220
+EMULATED_STEPS = 220  # largest number of steps of an emulated stream
 PASSING_US = (300, 1_000, 4_000, 15_000, 60_000, 150_000, 400_000, 1_600_000)
 FAILURES = [failure.value for failure in CallFailure]
 
@@ -99,16 +101,16 @@
 
 
 class Step(msgspec.Struct, array_like=True):
-    """One call of the module."""
+    """One call of ``Balancer.handle``, and the pre-send checks after it."""
 
     now_us: int
     events: list[Row]
     actions: list[Row]
-    may_begin: list[tuple[int, int, bool]] = []  # asked after it: request, attempt, and the answer
+    may_begin: list[tuple[int, int, bool]] = []  # request, attempt, and the answer of ``may_begin``
 
 
 class Stream(msgspec.Struct):
-    """All calls of one module, and what it had learned at the end."""
+    """All calls of one balancer, and what it had learned at the end."""
 
     name: str
     settings: Row
@@ -119,56 +121,56 @@
 
 
 def plain(value: Any) -> Any:
-    """Return nested tuples and enums as lists and values."""
+    """Return nested tuples as lists, and enums as their values."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, (list, tuple)):
-        return [plain(one) for one in value]
+        return [plain(element) for element in value]
     return value
 
 
 def settings_of(row: Row) -> Settings:
-    """Make settings of their row."""
-    names = [one.name for one in dataclasses.fields(Settings)]
+    """Return the settings of a row."""
+    names = [setting.name for setting in dataclasses.fields(Settings)]
     values = dict(zip(names, row, strict=True))
-    values["classes"] = [RequestClass(*one) for one in values["classes"]]
+    values["classes"] = [RequestClass(*class_row) for class_row in values["classes"]]
     values["limits"], values["safety"] = DispatchLimits(*values["limits"]), SafetyMargins(*values["safety"])
-    values["tenants"] = [Tenant(*one) for one in values["tenants"]]
+    values["tenants"] = [Tenant(*tenant_row) for tenant_row in values["tenants"]]
     return Settings(**values)
 
 
 def event_of(row: Row) -> Event:
-    """Make an event of its row."""
+    """Return the event of a row."""
     code, values = row[0], list(row[1:])
     if code == "arrived":
         values[9] = tuple(values[9])
     elif code == "list":
-        values[1] = [EndpointEntry(*one) for one in values[1]]
+        values[1] = [EndpointEntry(*entry_row) for entry_row in values[1]]
         values[3] = CallFailure(values[3])
     event: Event = EVENTS[code](*values)
     return event
 
 
 def row_of_event(event: Event) -> Row:
-    """Return an event's row."""
+    """Return the row of an event."""
     return [EVENT_CODES[type(event)], *plain(dataclasses.astuple(event))]
 
 
 def row_of_action(action: Action) -> Row:
-    """Return an action's row. What a line for the log says may change."""
+    """Return the row of an action, without the text of a log line, which may change."""
     code = ACTIONS[type(action)]
     return [code] if code == "note" else [code, *plain(dataclasses.astuple(action))]
 
 
 def learned_by(balancer: Balancer) -> dict[str, Any]:
-    """Return what the module has learned, by the names that the hand-over gives it."""
-    found: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(to_encoded(balancer.take_snapshot())))
-    return found
+    """Return what the balancer has learned, by the names of the handover snapshot."""
+    learned: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(to_encoded(balancer.take_snapshot())))
+    return learned
 
 
 @dataclass
 class Request:
-    """A request of a drawn stream, as its client and servers see it."""
+    """A request of a drawn stream, as its client and servers know it."""
 
     sent: list[str] = field(default_factory=list)
     open: set[int] = field(default_factory=set)
@@ -178,7 +180,7 @@
 
 
 class StreamGenerator:
-    """Draws events that could come next, from what the module has done so far."""
+    """Draws the next legal events, given the actions that the module has taken so far."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng, self.now = settings, Random(seed), 1_000_000
@@ -203,7 +205,7 @@
             ]
 
     def first_events(self) -> list[Row]:
-        """Return the first events."""
+        """Return the first events, which list the endpoints."""
         return [["list", "remembered", [list(row) for row in self.rows.values()], -1, "broken", False]]
 
     def next_events(self) -> list[Row]:
@@ -215,17 +217,17 @@
         for _ in range(self.rng.choice((0, 1, 1, 2, 5))):
             events.append(self._arrival())
         for number, request in list(self.requests.items()):
-            events += self._request_news(number, request)
+            events += self._request_events(number, request)
         probes, self.probes = self.probes, []
         for name in probes:
             outcome = self.rng.choice((1, 1, 1, 4, 5))
             events.append(["probed", name, outcome, self.rng.randrange(500, 90_000), self._report()])
         if self.rng.random() < 0.25:
-            events.append(self._rare())
+            events.append(self._rare_event())
         return events
 
     def apply_actions(self, actions: list[Row]) -> None:
-        """Carry out what the module has done."""
+        """Carry out the actions that the module has returned."""
         for action in actions:
             if action[0] == "timer":
                 self.timers.append((self.now + action[1], action[2]))
@@ -268,7 +270,7 @@
             rng.random() < 0.05,
         ]
 
-    def _request_news(self, number: int, request: Request) -> list[Row]:
+    def _request_events(self, number: int, request: Request) -> list[Row]:
         events: list[Row] = []
         for attempt in sorted(request.open):
             draw = self.rng.random()
@@ -303,7 +305,7 @@
         draws = (0, 1, 2, 3, 7, 0.8, 2.4, None, "odd")
         return [self.rng.choice(draws) for _ in self.settings.report_fields]
 
-    def _rare(self) -> Row:
+    def _rare_event(self) -> Row:
         rng = self.rng
         draw = rng.randrange(9)
         name = rng.choice(sorted(self.rows))
@@ -312,7 +314,7 @@
             row[4] = rng.choice(("up", "up", "draining", "removed"))
             row[6] = rng.choice((row[6], self.now, self.now - 100_000))
             scope = rng.choice(("changes", "changes", "all"))
-            rows = [list(row)] if scope == "changes" else [list(one) for one in self.rows.values()]
+            rows = [list(row)] if scope == "changes" else [list(each_row) for each_row in self.rows.values()]
             return ["list", scope, rows, -1, "broken", rng.random() < 0.1]
         if draw < 5:
             heard = rng.choice((-1, self.now - 1_000_000))
@@ -327,7 +329,7 @@
 
 
 def drawn_settings(seed: int) -> Settings:
-    """Return settings of three deployments, with some of what they allow drawn."""
+    """Return the settings of one of several deployments, with some of its permissions and prices drawn."""
     rng = Random(f"settings/{seed}")
     paths: list[Path | None] = [None, *SITES]
     path = paths[seed % len(paths)]
@@ -357,7 +359,7 @@
 
 
 def draw(seed: int) -> Stream:
-    """Draw a stream, and record what the module does."""
+    """Draw a stream, and record the actions of the module."""
     settings = drawn_settings(seed)
     world = StreamGenerator(settings, seed)
     balancer = Balancer(settings, seed, world.now)
@@ -365,7 +367,9 @@
     stream = Stream(f"drawn-{seed}", row, seed, world.now, [], {})
     events = world.first_events()
     for _ in range(STEPS_PER_STREAM):
-        actions = [row_of_action(one) for one in balancer.handle(world.now, [event_of(e) for e in events])]
+        actions = [
+            row_of_action(action) for action in balancer.handle(world.now, [event_of(e) for e in events])
+        ]
         world.apply_actions(actions)
         asked = [(n, a) for n, request in world.requests.items() for a in sorted(request.open)][:3]
         answers = [(n, a, balancer.may_begin(n, a, world.now + 40_000)) for n, a in asked]
@@ -376,7 +380,7 @@
 
 
 class Recorder(Balancer):
-    """A module that notes what it is called with and answers."""
+    """A balancer that records its calls and the actions that it returns."""
 
     made: ClassVar[list[Recorder]] = []
 
@@ -387,7 +391,7 @@
         Recorder.made.append(self)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Decide, and note it."""
+        """Handle the events, and record the call."""
         rows = [row_of_event(event) for event in events]
         actions = super().handle(now_us, events)
         if len(self.stream.steps) < EMULATED_STEPS:
@@ -398,7 +402,7 @@
 
 
 def emulated(script: str, seed: int) -> Iterator[Stream]:
-    """Play a day of the emulator for as long as is recorded; yield the first node's stream."""
+    """Emulate the first seconds of a day; yield the stream of its first node."""
     Recorder.made = []
     day = load(script)
     day.seconds = min(day.seconds, 25)
@@ -418,12 +422,15 @@
 
 def main(path: Path) -> None:
     """Record all streams."""
-    found = [draw(seed) for seed in range(DRAWN)]
+    recorded = [draw(seed) for seed in range(DRAWN_STREAMS)]
     for script in EMULATED:
         for seed in EMULATED_SEEDS:
-            found += emulated(script, seed)
-    path.write_bytes(lzma.compress(msgspec.json.encode(found), preset=9))
-    print(f"{len(found)} streams, {sum(len(one.steps) for one in found)} steps, {path.stat().st_size} bytes")
+            recorded += emulated(script, seed)
+    path.write_bytes(lzma.compress(msgspec.json.encode(recorded), preset=9))
+    print(
+        f"{len(recorded)} streams, {sum(len(stream.steps) for stream in recorded)} steps, "
+        f"{path.stat().st_size} bytes"
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -272,7 +272,9 @@
         while check.probes:
             check.act(HealthCheckEnded(check.probes.popleft(), 1, 900, [3, 0]))  # No endpoint has free slots.
         check.pass_time(30_000)
-    assert sum(len(request.attempts) for request in check.requests.values()) > len(check.requests), "no hedge"
+    assert sum(len(request.attempts) for request in check.requests.values()) > len(check.requests), (
+        "no hedge was sent"
+    )
     assert check.broken == []
 
 
@@ -362,7 +364,7 @@
     assert allowed(balancer, request, now_listed) == expected
     scope = balancer.parts.eligibility.scope_of_repeat(request)
     assert scope is not None
-    assert "".join(sorted(endpoint.name[1:] for endpoint in scope if endpoint.name != "w0")) == expected
+    assert "".join(sorted(candidate.name[1:] for candidate in scope if candidate.name != "w0")) == expected
 
 
 def test_an_endpoint_with_a_new_record_gets_no_second_attempt() -> None:
--- a/tests/test_endpoint_lease_incident.py
+++ b/tests/test_endpoint_lease_incident.py
@@ -1,12 +1,12 @@
-"""Incident: requests went to draining servers for a second and more after a node counted as notified.
-
-Seen: several new configurations in a row moved discovery; soon after, three servers began to drain. One node
-of six sent to them until it had the list, more than a second after the grace of 0.5 s was over.
-How it came about: an answer of the new discovery never arrived whole. The next call came too late, and
-meanwhile the node used the list it had.
-Cause: the moment by which the list had to be there was only used to plan calls; no send ever looked at it.
-An answer of the former discovery even lifted it.
-Proof: whole processes over loopback, with a discovery that loses answers; each case fails without the repair.
+"""Incident: a node sent requests to draining servers for more than a second after it counted as notified.
+
+Several new configurations in a row moved discovery, and soon after three servers began to drain. An answer of
+the new discovery never arrived whole, and the next poll came too late. Meanwhile one node of six used its old
+list, until more than a second after the grace of 0.5 s. The deadline of the list was used only to plan polls
+and no send checked it. An answer of the former discovery even lifted it.
+
+The tests run whole processes over loopback, with a discovery that loses answers. Each case fails without the
+repair.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from merlinbay.http.connection import Request, Response
 from tests.net import LOAD, Stage, StandIn, play, stage
 
-NOTIFIED_S = 4.0  # after a new configuration, what its discovery has counts as told
-GRACE_S = 0.55  # with the rules' 50 ms for time limits
-NOTED_S = 0.05  # between a send and its note here
+NOTIFIED_S = 4.0  # time after a new configuration until all that its discovery has counts as notified
+GRACE_S = 0.55  # drain grace, with the 50 ms that the rules add to time limits
+RECORD_DELAY_S = 0.05  # longest time between a send and its record in the test
 NODES = 6
-ME = 3  # the number of one whose call after a failure comes late
-CALL_S = 0.4  # what a call takes discovery
-RUN_S = 0.25  # what a job takes
+ME = 3  # number of a node whose poll after a failure comes late
+POLL_S = 0.4  # time that discovery takes for a poll
+RUN_S = 0.25  # run time of a request
 
 Answer = Callable[["Directory", int], Awaitable[Response | None]]
 
 
 @dataclass
 class Directory:
-    """A discovery at one address, whose answers are played call by call."""
+    """A simulated discovery at one address; the test sets the answer to each poll."""
 
     scene: Stage
     answer: Answer
-    calls: int = 0
+    polls: int = 0
     stand_in: StandIn = field(init=False)
 
     def __post_init__(self) -> None:
@@ -49,80 +49,80 @@
         self.scene.nursery.start_soon(self.stand_in.listen)
 
     async def play(self, server: StandIn, request: Request) -> Response | None:
-        """Answer one call, the first few as the test wants."""
-        self.calls += 1
-        return await self.answer(self, self.calls)
+        """Answer one poll as the test sets it."""
+        self.polls += 1
+        return await self.answer(self, self.polls)
 
     async def listing(self) -> Response:
-        """Answer with the whole list of now, in turn."""
-        await trio.sleep(CALL_S)
+        """Return the present complete list, after the time that a poll takes."""
+        await trio.sleep(POLL_S)
         body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.rows})
         return Response(200, body.encode())
 
 
-async def without_news(directory: Directory, call: int) -> Response | None:
-    """Answer the first call with the list as it is, and hold the next as long as the node waits."""
-    if call > 1:
+async def without_changes(directory: Directory, poll: int) -> Response | None:
+    """Answer the first poll with the list as it is, and never answer the next ones."""
+    if poll > 1:
         await trio.sleep_forever()
     return await directory.listing()
 
 
-async def silent(directory: Directory, call: int) -> Response | None:
-    """Take every call, and never answer."""
+async def silent(directory: Directory, poll: int) -> Response | None:
+    """Accept every poll, and never answer."""
     await trio.sleep_forever()
     return None
 
 
-async def first_answer_lost(directory: Directory, call: int) -> Response | None:
-    """Never answer the first call; the connection stays open."""
-    if call == 1:
+async def first_answer_lost(directory: Directory, poll: int) -> Response | None:
+    """Never answer the first poll; its connection stays open."""
+    if poll == 1:
         await trio.sleep_forever()
     return await directory.listing()
 
 
-async def first_call_fails_late(directory: Directory, call: int) -> Response | None:
-    """Fail the first call after a wait in turn."""
-    if call == 1:
+async def first_poll_fails_late(directory: Directory, poll: int) -> Response | None:
+    """Answer the first poll with 503, after it has queued for 1.5 s."""
+    if poll == 1:
         await trio.sleep(1.5)
         return Response(503)
     return await directory.listing()
 
 
-async def takes_a_while(server: StandIn, request: Request) -> Response | None:
-    """Take a job that fills a slot for a while, so that all servers are needed."""
-    job = request.headers.get("x-request-id", "")
+async def run_request(server: StandIn, request: Request) -> Response | None:
+    """Accept a request that fills a slot for a while, so that all servers are needed."""
+    request_id = request.headers.get("x-request-id", "")
 
     async def work() -> None:
-        await server.tell(job, "started")
+        await server.tell(request_id, "started")
         await trio.sleep(RUN_S)
-        await server.tell(job, "done", result="x", load=LOAD)
+        await server.tell(request_id, "done", result="x", load=LOAD)
 
     if request.method == "POST":
         server.stage.nursery.start_soon(work)
     return Response(202)
 
 
-def drains(server: StandIn, request: Request) -> bool:
-    """Tell whether a server that drains was sent a new job."""
+def is_sent_to_draining(server: StandIn, request: Request) -> bool:
+    """Return whether a call is a new request to one of the servers that drain."""
     return request.method == "POST" and server.name != "s-stays"
 
 
-async def hand_in(scene: Stage, answers: list[int]) -> None:
-    """Hand in a job every 50 ms."""
+async def send_requests(scene: Stage, answers: list[int]) -> None:
+    """Send a request every 50 ms."""
     number = 0
     while True:
         number += 1
-        scene.nursery.start_soon(hand_in_one, scene, f"job-{number}", answers)
+        scene.nursery.start_soon(send_request, scene, f"job-{number}", answers)
         await trio.sleep(0.05)
 
 
-async def hand_in_one(scene: Stage, job: str, answers: list[int]) -> None:
-    """Hand in one job, and keep the status of its answer."""
-    answers.append((await scene.admit(job, 3000)).status)
+async def send_request(scene: Stage, name: str, answers: list[int]) -> None:
+    """Send one request, and record the status of its answer."""
+    answers.append((await scene.admit(name, 3000)).status)
 
 
-async def move(scene: Stage, directory: Directory) -> float:
-    """Send the node a new configuration that names another discovery; return when."""
+async def move_discovery(scene: Stage, directory: Directory) -> float:
+    """Give the node a new configuration that names another discovery; return when."""
     assert scene.process is not None
     scene.write(directory.stand_in.addr)
     moved_at = trio.current_time()
@@ -132,36 +132,39 @@
 
 @pytest.mark.parametrize(
     ("former", "new"),
-    [([], silent), ([], first_answer_lost), ([without_news], first_call_fails_late)],
+    [([], silent), ([], first_answer_lost), ([without_changes], first_poll_fails_late)],
     ids=["silent", "first_answer_lost", "former_discovery_answers"],
 )
-def test_no_server_that_may_drain_gets_a_job_once_the_list_is_overdue(
+def test_no_draining_server_gets_a_request_once_the_list_is_overdue(
     tmp_path: Path, former: list[Answer], new: Answer
 ) -> None:
-    """Whatever becomes of the calls: from the deadline and the grace on, only a new list allows sends."""
+    """After the deadline of the list and the grace, no request may be sent by the old list.
+
+    The polls of the new discovery get no answer, lose the first one, or fail late.
+    """
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            servers = [at.add(name, takes_a_while) for name in ("s-1", "s-2", "s-3", "s-stays")]
+            servers = [at.add(name, run_request) for name in ("s-1", "s-2", "s-3", "s-stays")]
             await at.start(program=True, balancers=NODES, me=ME)
             answers: list[int] = []
-            at.nursery.start_soon(hand_in, at, answers)
+            at.nursery.start_soon(send_requests, at, answers)
             await trio.sleep(0.3)
             for answer in former:
-                await move(at, Directory(at, answer))
+                await move_discovery(at, Directory(at, answer))
                 await trio.sleep(0.9)
-            moved_at = await move(at, directory := Directory(at, new))
+            moved_at = await move_discovery(at, directory := Directory(at, new))
             await trio.sleep(0.5)
             for name in ("s-1", "s-2", "s-3"):
                 at.change(name, state="DRAINING")
             await trio.sleep_until(moved_at + 9.0)
-            assert directory.calls > 0
-            allowed = moved_at + NOTIFIED_S + GRACE_S + NOTED_S
+            assert directory.polls > 0
+            allowed_until = moved_at + NOTIFIED_S + GRACE_S + RECORD_DELAY_S
             late = [
-                (server.name, round(seen - moved_at, 2))
+                (server.name, round(seen_at - moved_at, 2))
                 for server in servers
-                for seen, request in server.seen
-                if drains(server, request) and seen > allowed
+                for seen_at, request in server.seen
+                if is_sent_to_draining(server, request) and seen_at > allowed_until
             ]
             assert not late, late[:5]
             if new is not silent:
