--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -329,7 +329,7 @@
 
 
 def drawn_settings(seed: int) -> Settings:
-    """Return the settings of one of several deployments, with some of its permissions and prices drawn."""
+    """Return the settings of one of three deployments, with some of its permissions and prices drawn."""
     rng = Random(f"settings/{seed}")
     paths: list[Path | None] = [None, *SITES]
     path = paths[seed % len(paths)]
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -223,6 +223,7 @@
 )
 
 
+# Hypothesis derives the seed of the drawn examples from the source of this function, docstring included.
 @LIGHT
 @given(deployment=deployments(), steps=STEPS)
 def test_no_path_sends_a_job_where_it_may_not_go(
@@ -242,6 +243,7 @@
     return settings_from(conf)
 
 
+# Hypothesis derives the seed of the drawn examples from the source of this function, docstring included.
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
 @hypothesis_settings(LIGHT, max_examples=100)
 @given(steps=STEPS)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -144,6 +144,7 @@
     check.finish()
 
 
+# Hypothesis derives the seed of the drawn examples from the source of this function, docstring included.
 @pytest.mark.parametrize(
     "limits",
     [
