--- a/merlinbay/decision/hedging.py
+++ b/merlinbay/decision/hedging.py
@@ -89,7 +89,7 @@
         # requests of peers are not seen, and hedges that need free slots might never be sent.
         is_only = request.open_attempts == 1
         free_only = self._offered.priority_density(request) < 1 or not is_only
-        target = self._placement.choose(request, free_only, spread_share=0.0)
+        target = self._placement.choose(request, free_only, uncertainty_margin=0.0)
         is_worthwhile = target is not None and self._costs.is_hedge_worthwhile(request, attempt, target)
         if (
             target is not None
--- a/tests/test_endpoint_lease_incident.py
+++ b/tests/test_endpoint_lease_incident.py
@@ -21,7 +21,7 @@
 import trio
 
 from merlinbay.http.connection import Request, Response
-from tests.net import LOAD, Stage, StandIn, play, stage
+from tests.net import LOAD_REPORT, FakeServer, NodeFixture, node_fixture, run_scenario
 
 NOTIFIED_S = 4.0  # time after a new configuration until all that its discovery has counts as notified
 GRACE_S = 0.55  # drain grace, with the 50 ms that the rules add to time limits
@@ -38,17 +38,17 @@
 class Directory:
     """A simulated discovery at one address; the test sets the answer to each poll."""
 
-    scene: Stage
+    scene: NodeFixture
     answer: Answer
     polls: int = 0
-    stand_in: StandIn = field(init=False)
+    stand_in: FakeServer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.stand_in = StandIn(self.scene, "discovery", self.play)
+        self.stand_in = FakeServer(self.scene, "discovery", self.play)
         self.stand_in.sock.listen(16)
         self.scene.nursery.start_soon(self.stand_in.listen)
 
-    async def play(self, server: StandIn, request: Request) -> Response | None:
+    async def play(self, server: FakeServer, request: Request) -> Response | None:
         """Answer one poll as the test sets it."""
         self.polls += 1
         return await self.answer(self, self.polls)
@@ -56,7 +56,7 @@
     async def listing(self) -> Response:
         """Return the present complete list, after the time that a poll takes."""
         await trio.sleep(POLL_S)
-        body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.rows})
+        body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.endpoint_rows})
         return Response(200, body.encode())
 
 
@@ -88,26 +88,26 @@
     return await directory.listing()
 
 
-async def run_request(server: StandIn, request: Request) -> Response | None:
+async def run_request(server: FakeServer, request: Request) -> Response | None:
     """Accept a request that fills a slot for a while, so that all servers are needed."""
     request_id = request.headers.get("x-request-id", "")
 
     async def work() -> None:
-        await server.tell(request_id, "started")
+        await server.send_event(request_id, "started")
         await trio.sleep(RUN_S)
-        await server.tell(request_id, "done", result="x", load=LOAD)
+        await server.send_event(request_id, "done", result="x", load=LOAD_REPORT)
 
     if request.method == "POST":
-        server.stage.nursery.start_soon(work)
+        server.fixture.nursery.start_soon(work)
     return Response(202)
 
 
-def is_sent_to_draining(server: StandIn, request: Request) -> bool:
+def is_sent_to_draining(server: FakeServer, request: Request) -> bool:
     """Return whether a call is a new request to one of the servers that drain."""
     return request.method == "POST" and server.name != "s-stays"
 
 
-async def send_requests(scene: Stage, answers: list[int]) -> None:
+async def send_requests(scene: NodeFixture, answers: list[int]) -> None:
     """Send a request every 50 ms."""
     number = 0
     while True:
@@ -116,15 +116,15 @@
         await trio.sleep(0.05)
 
 
-async def send_request(scene: Stage, name: str, answers: list[int]) -> None:
+async def send_request(scene: NodeFixture, name: str, answers: list[int]) -> None:
     """Send one request, and record the status of its answer."""
     answers.append((await scene.admit(name, 3000)).status)
 
 
-async def move_discovery(scene: Stage, directory: Directory) -> float:
+async def move_discovery(scene: NodeFixture, directory: Directory) -> float:
     """Give the node a new configuration that names another discovery; return when."""
     assert scene.process is not None
-    scene.write(directory.stand_in.addr)
+    scene.write_configuration(directory.stand_in.addr)
     moved_at = trio.current_time()
     scene.process.send_signal(signal.SIGHUP)
     return moved_at
@@ -144,8 +144,8 @@
     """
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            servers = [at.add(name, run_request) for name in ("s-1", "s-2", "s-3", "s-stays")]
+        async with node_fixture(tmp_path) as at:
+            servers = [at.add_server(name, run_request) for name in ("s-1", "s-2", "s-3", "s-stays")]
             await at.start(program=True, balancers=NODES, me=ME)
             answers: list[int] = []
             at.nursery.start_soon(send_requests, at, answers)
@@ -156,18 +156,18 @@
             moved_at = await move_discovery(at, directory := Directory(at, new))
             await trio.sleep(0.5)
             for name in ("s-1", "s-2", "s-3"):
-                at.change(name, state="DRAINING")
+                at.update_server(name, state="DRAINING")
             await trio.sleep_until(moved_at + 9.0)
             assert directory.polls > 0
             allowed_until = moved_at + NOTIFIED_S + GRACE_S + RECORD_DELAY_S
             late = [
                 (server.name, round(seen_at - moved_at, 2))
                 for server in servers
-                for seen_at, request in server.seen
+                for seen_at, request in server.received
                 if is_sent_to_draining(server, request) and seen_at > allowed_until
             ]
             assert not late, late[:5]
             if new is not silent:
                 assert answers[-20:].count(200) >= 2, answers[-20:]
 
-    play(scene)
+    run_scenario(scene)
