--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -84,7 +84,7 @@
     ) -> Endpoint | None:
         """Return an endpoint with free slots for the request, else one below its queue limit; own zone first.
 
-        With ``free_only``, endpoints where the request would wait are left out. ``uncertainty_margin`` is passed
+        With ``free_only``, endpoints where the request would wait are left out. ``uncertainty_margin`` goes
         to ``LoadEstimates.free_slots``.
         """
         own_zone = self._context.settings.zone
