--- a/merlinbay/core/__init__.py
+++ b/merlinbay/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and the task that owns the decision module. Knows no wire."""
+"""Requests, their attempts and the dispatcher, independent of the protocols of clients and servers."""
--- a/merlinbay/core/action_executor.py
+++ b/merlinbay/core/action_executor.py
@@ -1,4 +1,8 @@
-"""Executes the decision module's actions."""
+"""Executes the actions that the decision module returns.
+
+The dispatcher calls it for each action in turn. An action for a request or attempt that has ended meanwhile
+is skipped, because the module decided on it before it learned of the end.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 
 class ActionExecutor:
-    """Executes actions by their type; skips those for finished requests and attempts. Nothing here waits."""
+    """Executes actions by their type, and skips those for finished requests and attempts. No method waits."""
 
     def __init__(
         self,
--- a/merlinbay/core/attempt_lifecycle.py
+++ b/merlinbay/core/attempt_lifecycle.py
@@ -1,4 +1,9 @@
-"""Attempts from their dispatch to their one outcome."""
+"""The life of an attempt, from its dispatch to its one outcome.
+
+The dispatcher calls this when the decision module dispatches or cancels an attempt, when a deadline has
+passed, and for the servers' reports. Each attempt ends exactly once, with an outcome that the decision module
+gets as ``AttemptEnded``. An attempt that is not sent at all ends with the outcome ``MOOT``.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +34,12 @@
 
 
 def report_row(report: dict[str, float] | None, fields: list[str]) -> list[object] | None:
-    """Return a load report in the order of the settings' fields."""
+    """Return the values of a load report in the order of the settings' ``report_fields``."""
     return None if report is None else [report.get(name) for name in fields]
 
 
 class AttemptLifecycle:
-    """Begins and ends attempts, and takes the servers' reports on them. Nothing here waits."""
+    """Starts and ends attempts, and handles the servers' reports on them. No method waits."""
 
     def __init__(
         self,
@@ -50,7 +55,7 @@
         self.requests, self.request_lifecycle = requests, request_lifecycle
         self.timers, self.batch, self.servers = timers, batch, servers
         self.balancer, self.clock, self.counters = balancer, clock, counters
-        self.peer: PeerProcess | None = None  # the process that this one replaces, or that replaces it
+        self.peer: PeerProcess | None = None  # the node's other process during a handover
         self.handlers: dict[type, Callable[[Any], None]] = {
             AttemptStarted: self._on_started,
             AttemptProgress: self._on_progress,
@@ -60,16 +65,16 @@
         }
 
     def set_peer_process(self, peer: PeerProcess | None) -> None:
-        """Relay call-backs for requests of the node's other process to it."""
+        """Set the node's other process, to which callbacks for its requests are relayed."""
         self.peer = peer
 
     # Dispatch.
 
     def dispatch(self, request: OpenRequest, action: Dispatch) -> None:
-        """Begin an attempt, or end it at once as withheld where it is not to begin any more."""
+        """Start an attempt, or end it at once as ``MOOT`` if it must not start any more."""
         number, request.attempt_count = request.attempt_count, request.attempt_count + 1
         if not request.is_answered and request.responder.has_disconnected():
-            # Guards against an attempt for a client whose disconnect is not in the inbox yet.
+            # The client has disconnected, though the message about it has not reached the inbox yet.
             self.request_lifecycle.withdraw(request)
         is_on_server = self.requests.find_attempt(request.spec.name, action.endpoint) is not None
         if request.is_answered or self.batch.now_us >= request.deadline_at_us or is_on_server:
@@ -101,12 +106,12 @@
         if deadline_at_us < request.deadline_at_us:
             self.timers.add(deadline_at_us, AttemptDeadline(attempt))
         self.servers.start(attempt)
-        if request.is_recalling:  # Guards against a hedge that starts while the first attempt is recalled.
+        if request.is_recalling:  # A hedge must not start while the first attempt is being recalled.
             self.servers.recall(attempt)
         request.responder.on_dispatched(attempt.server)
 
     def _is_permitted(self, attempt: ServerAttempt) -> bool:
-        """Tell whether the rules still allow an attempt whose dial may have taken long."""
+        """Return whether the rules still allow an attempt, since connecting may have taken long."""
         now_us = self.clock.now_us()
         return now_us < attempt.deadline_at_us and self.balancer.may_begin(
             attempt.request_number, attempt.number, now_us
@@ -138,7 +143,7 @@
         if attempt is None:
             self._relay(message)
             return
-        attempt.has_started = True  # the report of the start may come later, or never
+        attempt.has_started = True  # the callback about the start may come later, or never
         self.batch.add(ExecutionProgressed(attempt.request_number, attempt.number, message.share))
 
     def _on_suspended(self, message: AttemptSuspended) -> None:
@@ -153,7 +158,7 @@
 
     def _on_finished(self, message: AttemptFinished) -> None:
         attempt = self.requests.find_attempt(message.name, message.server)
-        if attempt is None:  # Guards against call-backs that repeat, or cross a cancel.
+        if attempt is None:  # The callback is a repeat, crossed a cancel, or belongs to the other process.
             self._relay(message)
         elif message.is_unfit:
             self._fail_unfit(attempt, message)
@@ -166,14 +171,15 @@
             self.handlers[type(message.message)](message.message)
 
     def _relay(self, message: Callback) -> None:
-        """Relay a call-back for no attempt here to the node's other process, if there is one."""
+        """Relay a callback that matches no attempt here to the node's other process, if there is one."""
         if self.peer is None or not self.peer.relay_callback(message):
             self.counters.add("attempts_stale")
 
     def _fail_unfit(self, attempt: ServerAttempt, message: AttemptFinished) -> None:
-        """Fail a request that a server finds invalid, and end its attempt as cancelled."""
-        # Guards against one invalid request that goes from server to server and has each ejected as failing:
-        # it is not retried, and a cancelled attempt says nothing of a server's health.
+        """Fail a request that a server has found invalid, and end its attempt as ``CANCELLED``."""
+        # If an invalid request were retried, it would go from server to server and each would be ejected as
+        # failing. So it is not retried, and its attempt ends as CANCELLED, which says nothing of the server's
+        # health.
         request = self.requests.request_of(attempt)
         self.counters.add("requests_unfit")
         if not request.is_answered:
@@ -190,7 +196,7 @@
         result: bytes = b"",
         report: dict[str, float] | None = None,
     ) -> None:
-        """End an attempt, once; the first success answers its request."""
+        """End an attempt, exactly once; the first successful attempt answers its request."""
         if outcome in NEVER_RAN and not never_ran(outcome, attempt.has_started):
             outcome = Outcome.RESET
         request = self.requests.close_attempt(attempt)
@@ -220,10 +226,12 @@
         if outcome is Outcome.OK:
             answer = Answer(AnswerStatus.SERVED, result, exit_details=request.exit_details)
             self.request_lifecycle.answer(request, answer)
-        elif attempt.has_started and not any(other.has_started for other in request.open_attempts.values()):
+        elif attempt.has_started and not any(
+            open_attempt.has_started for open_attempt in request.open_attempts.values()
+        ):
             request.responder.on_requeued()
 
     def cancel(self, attempt: ServerAttempt, outcome: Outcome) -> None:
-        """Have the server stop an attempt, and end it."""
+        """Cancel an attempt at its server, and end it with an outcome."""
         self.servers.cancel(attempt)
         self.end(attempt, outcome)
--- a/merlinbay/core/attempts.py
+++ b/merlinbay/core/attempts.py
@@ -1,4 +1,8 @@
-"""One attempt of a request on a server, and the responder that carries the request's answer to its client."""
+"""One attempt of a request on a server, and the responder through which the core reports to the client.
+
+The dispatcher creates attempts and calls responders. Fronts implement responders; server transports read
+attempts, and ask ``may_begin`` right before they send one.
+"""
 
 from __future__ import annotations
 
@@ -9,43 +13,43 @@
 
 
 class Responder:
-    """The client's side of one request. A front overrides what its protocol can express; none waits."""
+    """The client's side of one request. A front overrides what its protocol can express. No method waits."""
 
     def answer(self, answer: Answer) -> None:
         """Send the request's one final answer."""
         raise NotImplementedError
 
     def has_disconnected(self) -> bool:
-        """Tell whether the client has disconnected, even if no ``RequestWithdrawn`` has come yet."""
+        """Return whether the client has disconnected, even if no ``RequestWithdrawn`` has arrived yet."""
         return False
 
     def on_dispatched(self, server: str) -> None:
-        """Note that an attempt goes to a server. May come more than once."""
+        """Handle the dispatch of an attempt to a server. Can be called more than once."""
 
     def on_started(self, server: str) -> None:
-        """Note that a server has started the request. May come more than once."""
+        """Handle the start of the request on a server. Can be called more than once."""
 
     def on_suspended(self) -> None:
-        """Note that the server has suspended the request."""
+        """Handle the suspension of the request by its server."""
 
     def on_requeued(self) -> None:
-        """Note that no server runs the request any more; the decision module decides anew."""
+        """Handle that no server runs the request any more; the decision module decides on it again."""
 
     def on_status_unknown(self) -> None:
-        """Note that the server cannot be asked for the request's status at present."""
+        """Handle that the request's status is unknown, because its server cannot be reached at present."""
 
     def on_still_queued(self) -> None:
-        """Note that the server was asked, and has not started the request."""
+        """Handle the server's reply to a status query that it has not started the request."""
 
     def on_recall_ended(self, was_recalled: bool) -> None:
-        """Note that the request was recalled unstarted and is over, or that it goes on."""
+        """Handle the result of a recall: the request ended without having started, or it continues."""
 
     def on_control_ended(self, action: str, error: str, message: str) -> None:
-        """Note the result of ``suspend`` or ``resume``; ``error`` is empty where it succeeded."""
+        """Handle the result of ``suspend`` or ``resume``; ``error`` is empty on success."""
 
 
 def is_always_permitted(attempt: ServerAttempt) -> bool:
-    """Permit any attempt."""
+    """Permit every attempt; the default of ``ServerAttempt.is_permitted``."""
     return True
 
 
@@ -55,19 +59,19 @@
 
     spec: RequestSpec
     request_number: int  # the request's id in the decision module
-    number: int  # of this attempt among those of its request, from 0
+    number: int  # number of the attempt within its request, from 0
     server: str
     sent_at_us: int
     deadline_at_us: int
     has_ended: bool = False
     has_started: bool = False
     is_suspended: bool = False
-    responder: Responder | None = None  # of its request
-    # Whether the rules still allow it, see ``may_begin``.
+    responder: Responder | None = None  # responder of the request
+    # Returns whether the decision module still allows the attempt; ``may_begin`` calls it.
     is_permitted: Callable[[ServerAttempt], bool] = is_always_permitted
 
     def may_begin(self) -> bool:
-        """Tell, right before its first byte, whether it may still be sent."""
+        """Return whether the attempt may still be sent; called right before its first byte is sent."""
         if self.has_ended or (self.responder is not None and self.responder.has_disconnected()):
             return False
         return self.is_permitted(self)
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -1,4 +1,8 @@
-"""Recall, suspend and resume of open requests, for fronts whose protocol has them."""
+"""Recall, suspend and resume of open requests, for fronts whose protocol has these operations.
+
+The dispatcher calls this for the operations that clients ask for, and for the servers' replies to them.
+Results go to the request's responder. A reply is ignored if its attempt has ended or its request is answered.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 class RequestControls:
-    """Handles these messages, by type. Only the dispatcher's task calls it; nothing here waits."""
+    """Handles the messages of these operations. Only the dispatcher's task calls it; no method waits."""
 
     def __init__(
         self,
@@ -43,7 +47,7 @@
     def _find(
         self, message: AttemptRecalled | AttemptControlled | AttemptStatusUnknown
     ) -> tuple[OpenRequest, ServerAttempt] | None:
-        """Return the open attempt of a message and its request; None if that is answered already."""
+        """Return the request and open attempt of a message, or None if there is none or it is answered."""
         attempt = self.requests.find_attempt(message.name, message.server)
         if attempt is None:
             return None
@@ -51,7 +55,7 @@
         return None if request.is_answered else (request, attempt)
 
     def _on_recall_requested(self, message: RecallRequested) -> None:
-        # A request that is answered needs no reply: its answer says what became of it.
+        # A request that is already answered needs no reply, because the answer contains its result.
         request = self.requests.find_unanswered(message.name, message.responder)
         if request is None or request.is_recalling:
             return
@@ -66,42 +70,42 @@
         if len(request.open_attempts) == 1:
             self.servers.control(next(iter(request.open_attempts.values())), message.action)
             return
-        # Guards against a hedge that runs on while the other attempt is suspended.
+        # With several attempts none is suspended: a hedge would run on while the other attempt is suspended.
         cause = f"{len(request.open_attempts)} servers have the job"
         request.responder.on_control_ended(message.action, "TryLaterException", cause)
 
     def _on_recalled(self, message: AttemptRecalled) -> None:
-        if (found := self._find(message)) is None:
+        if (match := self._find(message)) is None:
             return
-        request, attempt = found
+        request, attempt = match
         if request.is_recalling and (not message.was_returned or attempt.has_started):
             request.is_recalling = False
             request.responder.on_recall_ended(False)
         if not message.was_returned:
             return
-        # Guards against a server that looks full because it returned what was recalled: that is CANCELLED.
+        # An attempt returned because of a recall ends as CANCELLED: FULL would make its server look full.
         if not request.is_recalling:
             self.attempt_lifecycle.end(attempt, Outcome.FULL)
-        elif len(request.open_attempts) > 1:  # the reply for the last attempt decides
+        elif len(request.open_attempts) > 1:  # The reply for the last open attempt decides.
             self.attempt_lifecycle.end(attempt, Outcome.CANCELLED)
         else:
-            # Guards against a retry: the module hears that the request is final.
+            # The request is closed first, so that the module learns that it is final and does not retry it.
             self.request_lifecycle.mark_recalled(request)
             request.responder.on_recall_ended(True)
             self.attempt_lifecycle.end(attempt, Outcome.CANCELLED)
 
     def _on_controlled(self, message: AttemptControlled) -> None:
-        if (found := self._find(message)) is None:
+        if (match := self._find(message)) is None:
             return
-        request, attempt = found
+        request, attempt = match
         if not message.error:
             self.attempt_lifecycle.set_suspended(attempt, message.action == "suspend")
         request.responder.on_control_ended(message.action, message.error, message.message)
 
     def _on_status_unknown(self, message: AttemptStatusUnknown) -> None:
-        if (found := self._find(message)) is None:
+        if (match := self._find(message)) is None:
             return
-        request, _ = found
+        request, _ = match
         if message.is_queued:
             request.responder.on_still_queued()
         else:
--- a/merlinbay/core/deadlines.py
+++ b/merlinbay/core/deadlines.py
@@ -1,4 +1,8 @@
-"""What happens when a timer of the dispatcher is due."""
+"""The handling of the dispatcher's timers that are due.
+
+The dispatcher calls this in every batch, after the messages. A request still open a moment after its deadline
+has passed is failed here, whatever the decision module does.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 
 class Deadlines:
-    """Ends requests and attempts at their deadlines, and passes the decision module's timers on to it."""
+    """Ends requests and attempts at their deadlines, and notifies the decision module of its timers."""
 
     def __init__(
         self,
@@ -48,12 +52,12 @@
             self.attempt_lifecycle.cancel(attempt, Outcome.TIMEOUT)
 
     def _end_request(self, request: OpenRequest) -> None:
-        """End a request's attempts; fail it if the module has not answered it a moment after that."""
+        """Cancel a request's attempts; fail the request if the module has not answered it shortly after."""
         attempts = list(request.open_attempts.values())
         for attempt in attempts:
             self.attempt_lifecycle.cancel(attempt, Outcome.TIMEOUT)
         if attempts:
             self.timers.add(self.batch.now_us + self.limits.deadline_recheck_us, RequestDeadline(request))
             return
-        # Guards against a request that the module keeps, or has failed on, past its deadline.
+        # The decision module has kept the request open past its deadline, or has raised an exception on it.
         self.request_lifecycle.fail_overdue(request)
--- a/merlinbay/core/dispatcher.py
+++ b/merlinbay/core/dispatcher.py
@@ -1,8 +1,13 @@
-"""The one task that owns the decision module: takes messages, calls the module, and executes its actions.
+"""The dispatcher: the one task that calls the decision module and executes the actions that it returns.
 
-Each batch handles messages (by their type, in ``RequestLifecycle``, ``AttemptLifecycle``, ``RequestControls``
-and ``EndpointMessages``), then due timers (``Deadlines``), and gives the events of both to the module
-(``EventBatch``). ``ActionExecutor`` executes what it returns, until no events are left.
+Other tasks reach it through messages in its inbox. It processes them in batches. A batch first handles its
+messages by type (in ``RequestLifecycle``, ``AttemptLifecycle``, ``RequestControls``, ``EndpointMessages``),
+then the timers that are due (``Deadlines``). Both add events to the ``EventBatch``, which the decision module
+gets in one call. ``ActionExecutor`` executes the actions that the module returns. Executing them can add
+events, so the module is called again until no events are left.
+
+If the decision module raises an exception, the dispatcher logs it and goes on without actions for that call.
+Requests that are left open by this fail at their deadline.
 """
 
 from __future__ import annotations
@@ -34,7 +39,7 @@
 
 
 class Dispatcher:
-    """Runs batches of messages, events and actions. Only its own task calls it."""
+    """Runs batches of messages, events and actions. Only the dispatcher's own task calls its methods."""
 
     def __init__(
         self,
@@ -52,36 +57,36 @@
         timers = self.timers = Timers()
         batch = self.batch = EventBatch()
         class_names = {job_class.name for job_class in balancer.settings.classes}
-        received = self.request_lifecycle = RequestLifecycle(
+        request_lifecycle = self.request_lifecycle = RequestLifecycle(
             requests, timers, batch, limits, counters, class_names
         )
-        attempts = self.attempt_lifecycle = AttemptLifecycle(
-            requests, received, timers, batch, servers, balancer, clock, counters
+        attempt_lifecycle = self.attempt_lifecycle = AttemptLifecycle(
+            requests, request_lifecycle, timers, batch, servers, balancer, clock, counters
         )
-        self.deadlines = Deadlines(requests, received, attempts, timers, batch, limits)
+        self.deadlines = Deadlines(requests, request_lifecycle, attempt_lifecycle, timers, batch, limits)
         self.actions = ActionExecutor(
-            requests, received, attempts, timers, batch, servers, discovery, counters, log
+            requests, request_lifecycle, attempt_lifecycle, timers, batch, servers, discovery, counters, log
         )
         self.endpoints = EndpointMessages(balancer, servers, counters, batch)
-        controls = RequestControls(requests, received, attempts, servers)
+        controls = RequestControls(requests, request_lifecycle, attempt_lifecycle, servers)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            **received.handlers,
-            **attempts.handlers,
+            **request_lifecycle.handlers,
+            **attempt_lifecycle.handlers,
             **controls.handlers,
             **self.endpoints.handlers,
         }
 
     def add_endpoint_observer(self, observer: EndpointObserver) -> None:
-        """Notify an observer of changes of the endpoint list."""
+        """Notify an observer of each change to the endpoint list."""
         self.endpoints.observers.append(observer)
 
     def set_peer_process(self, peer: PeerProcess | None) -> None:
-        """Work beside the process that this one replaces, or that replaces it."""
+        """Set the node's other process during a handover; None ends the relaying of messages to it."""
         self.attempt_lifecycle.set_peer_process(peer)
         self.endpoints.set_peer_process(peer)
 
     async def run(self, inbox: trio.MemoryReceiveChannel[Message]) -> None:
-        """Run batches until shut down, and for a moment after the last request is answered."""
+        """Run batches until shutdown is requested and all is answered; then briefly reject late requests."""
         end_at = float("inf")
         while trio.current_time() < end_at:
             is_shutting_down = self.request_lifecycle.is_shutting_down
@@ -90,7 +95,7 @@
             self.run_batch(await self._next_messages(inbox, end_at))
 
     async def _next_messages(self, inbox: trio.MemoryReceiveChannel[Message], end_at: float) -> list[Message]:
-        """Wait for a message, a due timer or the end; return all messages that are there."""
+        """Wait for a message, a due timer or ``end_at``; return the messages in the inbox by then."""
         messages: list[Message] = []
         due_at_us = self.timers.next_us()
         wake_at = end_at if due_at_us is None else min(end_at, self.clock.to_trio(due_at_us))
@@ -104,7 +109,7 @@
         return messages
 
     def run_batch(self, messages: list[Message]) -> None:
-        """Handle messages and due timers, in one call of the module and those that follow from it."""
+        """Handle messages and due timers, then call the decision module until no events are left."""
         self.batch.begin(self.clock.now_us())
         for message in messages:
             self.handlers[type(message)](message)
@@ -114,17 +119,17 @@
                 self.actions.execute(action)
 
     def _decide(self, events: list[Event]) -> Iterable[Action]:
-        """Return the module's actions; none if it fails."""
+        """Return the decision module's actions, or none if it raises an exception."""
         try:
             return self.balancer.handle(self.batch.now_us, events)
-        except Exception as error:  # Guards against one bad event that would end every other request.
+        except Exception as error:  # A fault in handling one event must not end the other requests.
             self.counters.add("module_errors")
             trace = "".join(traceback.format_exception(error))
             self.log.event("module_failed", level="error", error=trace)
             return []
 
     def gauges(self) -> dict[str, float]:
-        """Return the requests not yet answered, and the slots of servers that they hold."""
+        """Return the number of unanswered requests, and the server slots that attempts hold."""
         return {
             "jobs": float(sum(not request.is_answered for request in self.requests)),
             "slots": round(self.balancer.in_flight_slots, 1),
--- a/merlinbay/core/endpoint_messages.py
+++ b/merlinbay/core/endpoint_messages.py
@@ -1,4 +1,8 @@
-"""Messages about endpoints: their list, health checks, balancers that share them, operators' calls."""
+"""Messages about endpoints: their list, health checks, the balancers that share them, operators' commands.
+
+The dispatcher calls this for each such message. Most become events for the decision module; queries are
+answered from the module's state.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 
 
 class EndpointMessages:
-    """Handles messages about endpoints, by type. Only the dispatcher's task calls it; nothing here waits."""
+    """Handles messages about endpoints, by type. Only the dispatcher's task calls it; no method waits."""
 
     def __init__(
         self, balancer: Balancer, servers: ServerTransport, counters: Counters, batch: EventBatch
@@ -41,7 +45,7 @@
         self.balancer, self.servers = balancer, servers
         self.counters, self.batch = counters, batch
         self.observers: list[EndpointObserver] = []
-        self.peer: PeerProcess | None = None  # the process that this one replaces, or that replaces it
+        self.peer: PeerProcess | None = None  # the node's other process during a handover
         self.handlers: dict[type, Callable[[Any], None]] = {
             ServerChecked: self._on_server_checked,
             EndpointListReceived: self._on_endpoint_list,
@@ -54,7 +58,7 @@
         }
 
     def set_peer_process(self, peer: PeerProcess | None) -> None:
-        """Relay operators' maintenance to the node's other process."""
+        """Set the node's other process, to which operators' maintenance commands are relayed."""
         self.peer = peer
 
     def _on_server_checked(self, message: ServerChecked) -> None:
@@ -106,7 +110,7 @@
             self.batch.add(MaintenanceChanged(message.server, message.is_disabled))
         if message.reply is None:
             return
-        message.reply(is_known)  # the caller goes on after this batch, in which the module learns of it
+        message.reply(is_known)  # The caller resumes after this batch, so the module has the event by then.
         if is_known and self.peer is not None:
             self.peer.relay_maintenance(message.server, message.is_disabled)
 
--- a/merlinbay/core/event_batch.py
+++ b/merlinbay/core/event_batch.py
@@ -1,4 +1,4 @@
-"""The moment of the dispatcher's current batch, and the events that the decision module gets next."""
+"""The time of the dispatcher's current batch, and the events for the next call of the decision module."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class EventBatch:
-    """Collects events while messages and timers of one batch are handled, and while actions are executed."""
+    """Collects events while a batch handles its messages and timers, and while it executes actions."""
 
     def __init__(self) -> None:
-        self.now_us = 0  # one moment for the whole batch
+        self.now_us = 0  # time of the current batch; it does not advance during the batch
         self._events: list[Event] = []
 
     def begin(self, now_us: int) -> None:
-        """Begin a batch at a moment, with no events."""
+        """Begin a batch at time ``now_us``, with no events."""
         self.now_us, self._events = now_us, []
 
     def add(self, event: Event) -> None:
--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -1,4 +1,7 @@
-"""What the dispatcher needs of the parts around it. Nothing here waits."""
+"""The interfaces through which the dispatcher calls the other parts of the node. No method waits.
+
+Results come back later as messages in the dispatcher's inbox.
+"""
 
 from __future__ import annotations
 
@@ -10,52 +13,52 @@
 
 
 class ServerTransport(Protocol):
-    """Carries attempts to servers. Their outcomes come back as messages in the dispatcher's inbox."""
+    """Sends attempts to servers. Outcomes come back as messages in the dispatcher's inbox."""
 
     def start(self, attempt: ServerAttempt) -> None:
         """Send an attempt."""
 
     def cancel(self, attempt: ServerAttempt) -> None:
-        """Have the server stop an attempt whose outcome is settled already."""
+        """Have the server stop an attempt whose outcome has already been decided."""
 
     def forget(self, attempt: ServerAttempt) -> None:
-        """Drop what is kept for an attempt that has ended."""
+        """Drop the state kept for an attempt that has ended."""
 
     def recall(self, attempt: ServerAttempt) -> None:
-        """Take an attempt back if it has not started; the reply is ``AttemptRecalled``."""
+        """Ask the server to return an attempt if it has not started; the reply is ``AttemptRecalled``."""
 
     def control(self, attempt: ServerAttempt, action: str) -> None:
-        """Have the server ``suspend`` or ``resume`` an attempt; the reply is ``AttemptControlled``."""
+        """Ask the server to ``suspend`` or ``resume`` an attempt; the reply is ``AttemptControlled``."""
 
     def check_health(self, server: str) -> None:
         """Check a server's health; the reply is ``ServerChecked``."""
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Take addresses; drop what belongs to servers that were removed or have restarted."""
+        """Store the addresses; drop the state of servers that were removed or have restarted."""
 
 
 class EndpointDiscovery(Protocol):
     """Watches the endpoint list."""
 
     def subscribe(self, patience_us: int = 0) -> None:
-        """Begin to watch the list, again after a failure or a change of the address.
+        """Start to watch the list, also again after a failure or a change of discovery's address.
 
-        ``patience_us`` is the timeout of the first answer; 0: the usual one.
+        ``patience_us`` is the timeout of the first answer; 0 stands for the default.
         """
 
 
 class PeerProcess(Protocol):
-    """The process that this one replaces, or that replaces it."""
+    """The node's other process during a handover: the one that this one replaces, or that replaces it."""
 
     def relay_callback(self, message: Callback) -> bool:
-        """Relay a call-back for no request here; tell whether there is a process to relay it to."""
+        """Relay a callback that matches no request here; return whether there is a process to relay it to."""
 
     def relay_maintenance(self, server: str, on: bool) -> None:
-        """Relay that operators have disabled a server (``on``) or enabled it."""
+        """Relay an operator's command that disables a server (``on`` is true) or enables it."""
 
 
 class EndpointObserver(Protocol):
-    """Hears of changes of the endpoint list beside the server transport."""
+    """A part other than the server transport that is notified of changes to the endpoint list."""
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Take changes of the list."""
+        """Handle changes to the endpoint list."""
--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -1,4 +1,9 @@
-"""Messages in the dispatcher's inbox, from any number of tasks."""
+"""The messages that other tasks put into the dispatcher's inbox.
+
+Nobody waits for a reply; a message that asks for one has a ``reply`` callable. ``AttemptStarted``,
+``AttemptProgress`` and ``AttemptFinished`` are also encoded: during a handover, a callback that reaches the
+process without the request is forwarded to the other process.
+"""
 
 from __future__ import annotations
 
@@ -23,19 +28,19 @@
 class RequestWithdrawn(msgspec.Struct, frozen=True):
     """The client has disconnected."""
 
-    name: str  # of the request
+    name: str  # name of the request
     responder: Responder
 
 
 class RecallRequested(msgspec.Struct, frozen=True):
-    """The client wants its request back, if it has not started."""
+    """The client asks to recall its request if it has not started."""
 
     name: str
     responder: Responder
 
 
 class ControlRequested(msgspec.Struct, frozen=True):
-    """The client wants its request suspended or resumed."""
+    """The client asks to suspend or resume its request."""
 
     name: str
     responder: Responder
@@ -43,7 +48,7 @@
 
 
 class AttemptRecalled(msgspec.Struct, frozen=True):
-    """A server was asked to return an attempt unstarted."""
+    """The reply of a server that was asked to return an attempt if it has not started."""
 
     name: str
     server: str
@@ -51,13 +56,13 @@
 
 
 class AttemptControlled(msgspec.Struct, frozen=True):
-    """A server was asked to suspend or resume an attempt."""
+    """The reply of a server that was asked to suspend or resume an attempt."""
 
     name: str
     server: str
     action: str  # suspend | resume
-    error: str = ""  # the standard's name of an error; empty: it succeeded
-    message: str = ""  # explains the error
+    error: str = ""  # the DRMAA standard's name of the error; empty on success
+    message: str = ""  # explanation of the error
 
 
 class AttemptSuspended(msgspec.Struct, frozen=True):
@@ -68,11 +73,11 @@
 
 
 class AttemptStatusUnknown(msgspec.Struct, frozen=True):
-    """The server cannot be asked, or was asked and has not started the attempt."""
+    """The server could not be asked for an attempt's status, or has replied that it has not started it."""
 
     name: str
     server: str
-    is_queued: bool  # it was asked
+    is_queued: bool  # whether the server replied, so that the attempt is known to be queued
 
 
 class AttemptStarted(msgspec.Struct, tag="SchedulingStarted", frozen=True):
@@ -83,22 +88,25 @@
 
 
 class AttemptProgress(msgspec.Struct, tag="SchedulingProgress", frozen=True):
-    """The server runs the attempt."""
+    """The server reports how far it is with the attempt."""
 
     name: str
     server: str
-    share: float  # of its work that is done, from 0 to 1
+    share: float  # share of the work that is done, from 0 to 1
 
 
 class AttemptFinished(msgspec.Struct, tag="SchedulingEnded", frozen=True):
-    """The attempt has ended. A request has one at a time on a server, so the two names identify it."""
+    """The attempt has ended.
+
+    A request has at most one attempt at a time on a server, so the names of both identify the attempt.
+    """
 
     name: str
     server: str
     outcome: Outcome
     result: bytes = b""
-    report: dict[str, float] | None = None  # the server's load
-    # The server finds the request itself invalid: no other would accept it.
+    report: dict[str, float] | None = None  # the server's load report
+    # Whether the server has found the request itself invalid, so that no other server would accept it.
     is_unfit: bool = msgspec.field(default=False, name="unfit")
     exit_details: ExitDetails | None = msgspec.field(default=None, name="ending")
 
@@ -109,35 +117,35 @@
     server: str
     outcome: Outcome
     took_for_us: int
-    report: dict[str, float] | None = None  # the server's load
+    report: dict[str, float] | None = None  # the server's load report
 
 
 class EndpointListReceived(msgspec.Struct, frozen=True):
     """Discovery has sent entries of the endpoint list, or a call for it has failed."""
 
-    scope: str  # changes | all | remembered (from an earlier process) | refused (the call has failed)
+    scope: str  # changes | all | remembered (the list of an earlier process) | refused (a call has failed)
     entries: list[ServiceEntry] = []
-    last_answer_at_us: int = -1  # of a watch that broke; -1: when it broke
-    failure: CallFailure = CallFailure.BROKEN  # of a call or watch that failed
-    is_from_former_discovery: bool = False  # the configuration names another one by now
+    last_answer_at_us: int = -1  # time of the last answer on a watch that failed; -1: the time of the failure
+    failure: CallFailure = CallFailure.BROKEN  # how the call or watch has failed; with ``refused`` only
+    is_from_former_discovery: bool = False  # whether the configuration now names another discovery
 
 
 class DiscoveryReloaded(msgspec.Struct, frozen=True):
     """A new configuration is in use."""
 
-    notified_after_us: int  # from now until all that its discovery has counts as notified
-    has_moved: bool = True  # it names another discovery, which is to be called
+    notified_after_us: int  # time until everything that its discovery has now counts as notified
+    has_moved: bool = True  # whether it names another discovery, which must be called
 
 
 class BalancersChanged(msgspec.Struct, frozen=True):
-    """The balancers that share the work have changed."""
+    """The number of balancers that share the work, or their order, has changed."""
 
-    count: int  # this one included
-    own_index: int = 0  # of this one in their common order
+    count: int  # number of balancers, including this one
+    own_index: int = 0  # index of this balancer in the order that all balancers agree on
 
 
 class EndpointViewsRequested(msgspec.Struct, frozen=True):
-    """Somebody wants the decision module's view of the endpoints."""
+    """A query for the decision module's view of the endpoints."""
 
     reply: Callable[[list[EndpointView]], None]
 
@@ -147,17 +155,18 @@
 
     server: str
     is_disabled: bool
-    reply: Callable[[bool], None] | None  # takes whether the name is known; None: the other process replies
+    # Called with whether the server is known. None: the other process relayed this and replies itself.
+    reply: Callable[[bool], None] | None
 
 
 class SnapshotRequested(msgspec.Struct, frozen=True):
-    """The process that is to replace this one wants the decision module's handover snapshot."""
+    """The process that will replace this one asks for the decision module's handover snapshot."""
 
     reply: Callable[[HandoverSnapshot], None]
 
 
 class CallbackRelayed(msgspec.Struct, frozen=True):
-    """A call-back that reached the node's other process; it is not relayed again."""
+    """A callback that reached the node's other process first; it is not relayed again."""
 
     message: AttemptStarted | AttemptProgress | AttemptFinished
 
@@ -166,15 +175,15 @@
 
 
 class ReservedSlotsChanged(msgspec.Struct, frozen=True):
-    """The slots of a server that are kept free for requests with a reservation have changed."""
+    """The number of a server's slots that are kept free for requests with a reservation has changed."""
 
     server: str
     slots: float
-    total_slots: float  # of the server, by the operator's file
+    total_slots: float  # all slots of the server, according to the operator's file
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
-    """Reject new requests, and end once the last one is answered."""
+    """The dispatcher must reject new requests, and end once the last open one is answered."""
 
 
 Message = (
--- a/merlinbay/core/request_lifecycle.py
+++ b/merlinbay/core/request_lifecycle.py
@@ -1,4 +1,8 @@
-"""Requests from their arrival to their one final answer."""
+"""The life of a request, from its arrival to its one final answer.
+
+The dispatcher calls this for messages of fronts, when an action or a deadline answers a request, and when the
+node shuts down. A request that cannot be accepted is answered at once and never reaches the decision module.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +18,11 @@
 from merlinbay.decision.events import ClientDisconnected, RequestReceived
 from merlinbay.limits import ResourceLimits
 
-SHORTEST_BUDGET_US = 1000
+MIN_BUDGET_US = 1000
 
 
 class RequestLifecycle:
-    """Takes requests, answers each once, and takes no more after shutdown. Nothing here waits."""
+    """Accepts requests, answers each of them once, and rejects new ones after shutdown. No method waits."""
 
     def __init__(
         self,
@@ -31,7 +35,7 @@
     ) -> None:
         self.requests, self.timers, self.batch = requests, timers, batch
         self.limits, self.counters = limits, counters
-        self.class_names = class_names  # those that the settings know
+        self.class_names = class_names  # names of the job classes in the settings
         self.request_count = 0
         self.is_shutting_down = False
         self.handlers: dict[type, Callable[[Any], None]] = {
@@ -47,23 +51,23 @@
         request.responder.answer(answer)
 
     def answer_if_open(self, request: OpenRequest, answer: Answer) -> None:
-        """Answer a request that still waits, and remove it unless it has an open attempt."""
+        """Answer a request unless it has been answered, and remove it if it has no open attempt."""
         if not request.is_answered:
             self.answer(request, answer)
             self.requests.remove_if_finished(request)
 
     def withdraw(self, request: OpenRequest) -> None:
-        """Close a request whose client has disconnected."""
+        """Close a request whose client has disconnected, without an answer."""
         self.counters.add("requests_withdrawn")
         request.is_answered = True
         self._close_in_module(request)
 
     def mark_recalled(self, request: OpenRequest) -> None:
-        """Close a request that its client has taken back unstarted."""
+        """Close a request that its client has recalled before it started, without an answer."""
         request.is_answered = True
 
     def fail_overdue(self, request: OpenRequest) -> None:
-        """Fail a request that is open past its deadline."""
+        """Answer a request that is still open after its deadline as failed."""
         self.answer(request, Answer(AnswerStatus.FAILED))
         self._close_in_module(request)
 
@@ -74,7 +78,7 @@
     def _on_arrived(self, message: RequestArrived) -> None:
         spec = message.spec
         self.counters.add("requests_taken")
-        # Guards against a name that is used again: servers would take its attempts for repeats.
+        # A name must not be used again: servers would treat the new request's attempts as repeats.
         if spec.job_class not in self.class_names or self.requests.has_used(spec.name):
             self.counters.add("answers_failed")
             message.responder.answer(Answer(AnswerStatus.FAILED))
@@ -85,7 +89,7 @@
             message.responder.answer(Answer(AnswerStatus.REJECTED, retry_after_us=retry_after_us))
             return
         self.request_count += 1
-        budget_us = max(spec.time_budget_us - self.limits.answer_margin_us, SHORTEST_BUDGET_US)
+        budget_us = max(spec.time_budget_us - self.limits.answer_margin_us, MIN_BUDGET_US)
         deadline_at_us = spec.arrived_at_us + budget_us
         request = OpenRequest(spec, self.request_count, message.responder, deadline_at_us)
         self.requests.add(request)
@@ -100,7 +104,7 @@
 
     def _on_shutdown_requested(self, message: ShutdownRequested) -> None:
         self.is_shutting_down = True
-        # Guards against requests that outlast the process: all are answered before it ends.
+        # Shortens the deadlines, so that every open request is answered before the process ends.
         latest_us = self.batch.now_us + self.limits.stop_answers_for_us
         for request in self.requests:
             if not request.is_answered and request.deadline_at_us > latest_us:
@@ -109,7 +113,7 @@
 
 
 def received_event(number: int, spec: RequestSpec, remaining_us: int) -> RequestReceived:
-    """Return the decision module's event for a request that has so much time left."""
+    """Return the decision module's event for a new request, which has ``remaining_us`` until its deadline."""
     return RequestReceived(
         number,
         spec.job_class,
--- a/merlinbay/core/requests.py
+++ b/merlinbay/core/requests.py
@@ -1,4 +1,8 @@
-"""Open requests and their open attempts."""
+"""The table of open requests and their open attempts.
+
+The dispatcher's task owns it. The table also remembers the names of recently finished requests, so that a
+client's repeat of one is not dispatched as a new request.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +18,27 @@
     """A client's request, from its arrival until it is answered and its last attempt has ended."""
 
     spec: RequestSpec
-    number: int  # its id in the decision module
+    number: int  # the request's id in the decision module
     responder: Responder
     deadline_at_us: int
-    is_answered: bool = False  # or nobody waits for the answer any more
-    attempt_count: int = 0  # attempts dispatched so far, also those that were withheld
-    may_have_run: bool = False  # one of its attempts ended in a way that does not exclude it
-    is_recalling: bool = False  # its client wants it back unless it has started
-    exit_details: ExitDetails | None = None  # of the attempt that ended last
-    open_attempts: dict[int, ServerAttempt] = field(default_factory=dict)  # by number of the attempt
+    is_answered: bool = False  # also set when the client has left or recalled the request
+    attempt_count: int = 0  # attempts dispatched so far, including those that were not sent
+    may_have_run: bool = (
+        False  # whether an attempt ended with an outcome that does not prove that it never ran
+    )
+    is_recalling: bool = False  # its client has asked for a recall, which is in progress
+    exit_details: ExitDetails | None = None  # exit details of the attempt that ended last
+    open_attempts: dict[int, ServerAttempt] = field(default_factory=dict)  # by attempt number
 
 
 class RequestTable:
     """Open requests by number and by name, and open attempts by request name and server."""
 
     def __init__(self, remembered_limit: int) -> None:
-        self.remembered_limit = remembered_limit  # names of finished requests that are remembered
+        self.remembered_limit = remembered_limit  # maximum length of ``recent_names``
         self.by_number: dict[int, OpenRequest] = {}
         self.by_name: dict[str, OpenRequest] = {}
-        self.attempts: dict[tuple[str, str], ServerAttempt] = {}  # by name of the request and of the server
+        self.attempts: dict[tuple[str, str], ServerAttempt] = {}  # by request name and server name
         self.recent_names: dict[str, None] = {}  # names of finished requests, oldest first
 
     def __len__(self) -> int:
@@ -46,18 +52,18 @@
         self.by_number[request.number] = self.by_name[request.spec.name] = request
 
     def has_used(self, name: str) -> bool:
-        """Tell whether a request of that name is open, or had attempts recently."""
+        """Return whether a request of this name is open, or recently finished after at least one attempt."""
         return name in self.by_name or name in self.recent_names
 
     def find_unanswered(self, name: str, responder: Responder) -> OpenRequest | None:
-        """Return the request of that name and responder if it still waits for its answer."""
+        """Return the request with this name and responder if it has not been answered yet."""
         request = self.by_name.get(name)
         if request is None or request.responder is not responder or request.is_answered:
             return None
         return request
 
     def find_attempt(self, name: str, server: str) -> ServerAttempt | None:
-        """Return the open attempt of the request of that name on a server."""
+        """Return the open attempt of a request, given by its name, on a server."""
         return self.attempts.get((name, server))
 
     def request_of(self, attempt: ServerAttempt) -> OpenRequest:
@@ -65,11 +71,11 @@
         return self.by_number[attempt.request_number]
 
     def open_attempt(self, request: OpenRequest, attempt: ServerAttempt) -> None:
-        """Add an attempt of a request."""
+        """Add an open attempt of a request."""
         request.open_attempts[attempt.number] = self.attempts[request.spec.name, attempt.server] = attempt
 
     def close_attempt(self, attempt: ServerAttempt) -> OpenRequest:
-        """Remove an attempt that has ended; return its request."""
+        """Remove an attempt that has ended, and return its request."""
         del self.attempts[attempt.spec.name, attempt.server]
         request = self.by_number[attempt.request_number]
         del request.open_attempts[attempt.number]
@@ -85,11 +91,11 @@
                 self._remember(request.spec.name)
 
     def _remember(self, name: str) -> None:
-        # Guards against a client's repeat of a finished request that is dispatched as a new one.
+        # A client's repeat of a finished request must not be dispatched as a new one.
         self.recent_names[name] = None
         if len(self.recent_names) > self.remembered_limit:
             del self.recent_names[next(iter(self.recent_names))]
 
     def all_answered(self) -> bool:
-        """Tell whether no client waits for an answer."""
+        """Return whether all open requests have been answered."""
         return all(request.is_answered for request in self)
--- a/merlinbay/core/timers.py
+++ b/merlinbay/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the dispatcher: deadlines of requests and attempts, and those that the decision module sets."""
+"""The dispatcher's timers: deadlines of requests and attempts, and timers of the decision module."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 class ModuleTimer:
     """A timer that the decision module has set."""
 
-    token: str  # the module's own name for it
+    token: str  # chosen by the module, which gets it back in ``TimerFired``
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDeadline:
-    """The deadline of a request, or a second check shortly after it."""
+    """The deadline of a request, or the second check shortly after it."""
 
     request: OpenRequest
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptDeadline:
-    """The deadline of an attempt that is to end before its request does."""
+    """The deadline of an attempt that must end before its request does."""
 
     attempt: ServerAttempt
 
@@ -35,10 +35,10 @@
 
 
 class Timers:
-    """Timers by due time. None can be cancelled: whoever handles one checks whether it still matters."""
+    """Timers by due time. They cannot be cancelled; the handler checks whether a timer still applies."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Timer]] = []  # due time, order of setting, timer
+        self._heap: list[tuple[int, int, Timer]] = []  # due time, sequence number, timer
         self._count = 0
 
     def add(self, due_at_us: int, timer: Timer) -> None:
@@ -47,10 +47,10 @@
         heapq.heappush(self._heap, (due_at_us, self._count, timer))
 
     def next_us(self) -> int | None:
-        """Return when the next timer is due; None: no timer is set."""
+        """Return when the next timer is due, or None if no timer is set."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now_us: int) -> Iterator[Timer]:
-        """Remove due timers one at a time, so that those set meanwhile count too."""
+        """Remove and yield due timers one at a time, including those set while the caller handles others."""
         while self._heap and self._heap[0][0] <= now_us:
             yield heapq.heappop(self._heap)[2]
