--- a/merlinbay/platform/__init__.py
+++ b/merlinbay/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: clients, servers with their call-backs, discovery, operators' calls."""
+"""The platform's protocol: clients, servers and their callbacks, discovery, and operators' commands."""
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -1,4 +1,9 @@
-"""The operators' listener: one line with a command a connection, one line in answer."""
+"""The listener for operators' commands: each connection carries one command line and one line in reply.
+
+It is served for as long as the node runs. Maintenance commands go to the dispatcher as messages; standby
+commands go to ``ClientSteering``. A reply is ``SUCCESS``, or ``FAILURE`` and the reason. A connection that
+takes too long is closed without a reply.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +22,15 @@
 
 @dataclass(frozen=True)
 class Command:
-    """A command of operators."""
+    """An operator's command."""
 
     takes_id: bool
-    carry_out: Callable[[str], Awaitable[str]]  # takes the id; returns the failure's cause, empty on success
+    # Takes the id; returns the reason of a failure, or an empty string on success.
+    handler: Callable[[str], Awaitable[str]]
 
 
 class AdminListener:
-    """Carries out operators' commands."""
+    """Accepts operators' connections and executes their commands."""
 
     def __init__(
         self,
@@ -36,8 +42,9 @@
     ) -> None:
         self.inbox, self.steering, self.limits = inbox, steering, limits
         self.counters, self.log = counters, log
-        self.is_serving = False  # set once clients are served
-        self.waiting: dict[trio.CancelScope, None] = {}  # connections whose line is incomplete, oldest first
+        self.is_serving = False  # set once the node serves clients
+        # Cancel scopes of the connections whose command line is incomplete, oldest first.
+        self.reading: dict[trio.CancelScope, None] = {}
         self.commands = {
             "status": Command(False, self._status),
             "standby": Command(False, self._standby),
@@ -47,48 +54,49 @@
         }
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 try:
                     accepted, _ = await sock.accept()
-                except OSError:  # Guards against running out of descriptors: the listener must outlive it.
+                except OSError:  # The listener must survive a lack of file descriptors.
                     self.counters.add("admin_accepts_failed")
                     await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
-                if len(self.waiting) >= self.limits.admin_connections:
-                    # Guards against silent callers that keep others from being served.
-                    oldest = next(iter(self.waiting))
-                    del self.waiting[oldest]
+                if len(self.reading) >= self.limits.admin_connections:
+                    # Closes the oldest one, so that silent callers do not keep others from being served.
+                    oldest = next(iter(self.reading))
+                    del self.reading[oldest]
                     oldest.cancel()
                 nursery.start_soon(self._serve_caller, accepted)
 
     async def _serve_caller(self, sock: trio.socket.SocketType) -> None:
         with sock, trio.move_on_after(self.limits.admin_call_timeout_s) as scope:
-            self.waiting[scope] = None
+            self.reading[scope] = None
             try:
                 line = await self._read_line(sock)
-                self.waiting.pop(scope, None)
+                self.reading.pop(scope, None)
                 if line is not None:
                     await send_all(sock, (await self.answer(line)).encode() + b"\n")
             except OSError:
                 pass
             finally:
-                self.waiting.pop(scope, None)
+                self.reading.pop(scope, None)
 
     async def _read_line(self, sock: trio.socket.SocketType) -> bytes | None:
-        """Return the line, which the end of the stream ends as well; None: nothing was sent."""
-        data, may_read = b"", self.limits.linger_bytes
-        while may_read > 0 and (more := await sock.recv(self.limits.receive_bytes)):
-            may_read -= len(more)
-            # Guards against a reset that overtakes the answer: a line that is too long is read to its end.
-            data = (data + more)[: self.limits.admin_line_bytes + 1]
-            if b"\n" in more:
+        """Return the command line, which may end with the stream, or None if nothing was sent."""
+        data, remaining_bytes = b"", self.limits.linger_bytes
+        while remaining_bytes > 0 and (chunk := await sock.recv(self.limits.receive_bytes)):
+            remaining_bytes -= len(chunk)
+            # A line that is too long is read to its end: closing with unread data would reset the connection,
+            # and the reset could overtake the reply.
+            data = (data + chunk)[: self.limits.admin_line_bytes + 1]
+            if b"\n" in chunk:
                 return b"" if len(data) > self.limits.admin_line_bytes else data.partition(b"\n")[0]
         return data or None
 
     async def answer(self, line: bytes) -> str:
-        """Carry out the command of one line; return the line that answers it."""
+        """Execute the command of one line, and return the reply line."""
         name, _, server = line.decode("utf-8", "replace").strip().partition(" ")
         server = server.strip()
         command = self.commands.get(name)
@@ -97,7 +105,7 @@
         elif bool(server) != command.takes_id or " " in server:
             failure = f"{name} takes {'one id' if command.takes_id else 'no id'}"
         else:
-            failure = await command.carry_out(server)
+            failure = await command.handler(server)
         self.counters.add("admin_refused" if failure else "admin_calls")
         if name != "status" or failure:
             self.log.event(
@@ -123,13 +131,13 @@
         return await self._set_maintenance(server, False)
 
     async def _set_maintenance(self, server: str, on: bool) -> str:
-        is_done, is_known = trio.Event(), False
+        replied, is_known = trio.Event(), False
 
-        def on_answer(answer: bool) -> None:
+        def on_reply(reply: bool) -> None:
             nonlocal is_known
-            is_known = answer
-            is_done.set()
+            is_known = reply
+            replied.set()
 
-        await self.inbox.send(MaintenanceRequested(server, on, on_answer))
-        await is_done.wait()
+        await self.inbox.send(MaintenanceRequested(server, on, on_reply))
+        await replied.wait()
         return "" if is_known else "nobody has this id"
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -1,4 +1,9 @@
-"""The platform's protocol at the node's address: clients' requests, call-backs and the readiness check."""
+"""The platform's protocol at the node's address: clients' requests, servers' callbacks and readiness checks.
+
+The HTTP server calls ``ClientAdapter`` for each request and for each client that disconnects. Client requests
+and callbacks go to the dispatcher as messages. Malformed requests are answered here; once the dispatcher has
+ended, client requests are rejected and callbacks are only confirmed.
+"""
 
 from __future__ import annotations
 
@@ -27,44 +32,45 @@
 from merlinbay.log import Log
 from merlinbay.platform import messages
 
-CALL_BACKS = "/v1/job-events"
-READINESS = "/-/ready"
-OUTCOMES = {  # of an attempt, by the state that a call-back reports
+CALLBACK_PATH = "/v1/job-events"
+READINESS_PATH = "/-/ready"
+OUTCOMES = {  # outcome of an attempt by the final state that a callback reports
     "done": Outcome.OK,
     "failed": Outcome.ERROR,
     "returned": Outcome.FULL,
     "lost": Outcome.RESET,
 }
-RECEIVED = Response(200)  # to a call-back
+CALLBACK_RECEIVED = Response(200)
 
 
 def rejection(retry_after_us: int) -> Response:
-    """Return the answer to a request that is rejected before it is sent to a server."""
+    """Return the response to a rejected request, with a Retry-After header if a time is given."""
     wait = f"{retry_after_us / 1e6:.3f}".encode()
     return Response(503, b"refused\n", [(b"retry-after", wait)] if retry_after_us else [])
 
 
 class ClientRequest(Responder):
-    """The client's side of one request; this wire reports the end only."""
+    """The client's side of one request. This protocol reports the end of a request only."""
 
     def __init__(
         self, connection: Connection, name: str, unanswered: set[ClientRequest] | None = None
     ) -> None:
         self.connection, self.name = connection, name
-        self.withdrawn = False  # the client has disconnected, or was answered that it failed
-        self.entering = trio.CancelScope()  # covers the wait for a place in the dispatcher's inbox
-        self.unanswered = unanswered if unanswered is not None else set()  # holds this one until its answer
+        self.is_withdrawn = False  # the client has disconnected, or was answered with a failure
+        self.inbox_wait = trio.CancelScope()  # covers the wait for space in the dispatcher's inbox
+        # Contains this request until it is answered.
+        self.unanswered = unanswered if unanswered is not None else set()
         self.unanswered.add(self)
 
     def withdraw(self) -> None:
-        """Stop what is still to be done for the answer: no client waits for it."""
-        self.withdrawn = True
-        self.entering.cancel()
+        """Stop waiting for space in the inbox: no client waits for the answer any more."""
+        self.is_withdrawn = True
+        self.inbox_wait.cancel()
         self.unanswered.discard(self)
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has disconnected, as its connection looks now."""
-        return self.withdrawn or has_hung_up(self.connection.sock)
+        """Return whether the client has disconnected, according to its connection's current state."""
+        return self.is_withdrawn or has_hung_up(self.connection.sock)
 
     def answer(self, answer: Answer) -> None:
         """Write the answer to the client's connection."""
@@ -80,7 +86,7 @@
 
 
 class ClientAdapter:
-    """Handles every request at the node's address."""
+    """Handles the requests at the node's address."""
 
     def __init__(
         self,
@@ -94,32 +100,32 @@
     ) -> None:
         self.inbox, self.clock, self.limits, self.log = inbox, clock, limits, log
         self.counters, self.classes = counters, classes
-        self.by_key_classes = by_key_classes  # their requests should carry an idempotency key
+        self.by_key_classes = by_key_classes  # classes whose requests should carry an idempotency key
         self.is_short_of_connections: Callable[[], bool] = lambda: False
-        self.accepts_clients: Callable[[], bool] = lambda: True  # else the node is in standby
-        self.has_ended = False  # the dispatcher has ended, and nobody reads the inbox
+        self.accepts_clients: Callable[[], bool] = lambda: True  # false while the node is in standby
+        self.has_ended = False  # whether the dispatcher has ended and no longer reads its inbox
         self.unanswered: set[ClientRequest] = set()
 
     def end(self) -> None:
-        """Reject all requests that the dispatcher has not taken: it has ended."""
+        """Handle the dispatcher's end: reject all requests that it has not read from its inbox."""
         self.has_ended = True
-        # Guards against requests lost in the inbox or on their way into it. None of them was begun: the
-        # dispatcher ends when all that it has taken is answered.
+        # Otherwise requests in the inbox, or waiting for space in it, would get no answer. None of them has
+        # had an attempt, because the dispatcher ends only when all requests that it has read are answered.
         for client_request in list(self.unanswered):
             client_request.answer(
                 Answer(AnswerStatus.REJECTED, retry_after_us=self.limits.stop_retry_after_us)
             )
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Handle a call-back, a readiness check or a client's request; None: the answer follows later."""
+        """Handle a callback, a readiness check or a client's request; None: the response follows later."""
         path = request.target.partition("?")[0]
         if self.has_ended:
-            # Guards against requests that cross the exit: they are answered, and not begun.
-            return RECEIVED if path == CALL_BACKS else rejection(self.limits.stop_retry_after_us)
-        if path == CALL_BACKS:
+            # Requests that arrive during the exit are answered, but not passed on.
+            return CALLBACK_RECEIVED if path == CALLBACK_PATH else rejection(self.limits.stop_retry_after_us)
+        if path == CALLBACK_PATH:
             connection.carries_callbacks = True
-            return await self._call_back(request)
-        if path == READINESS:
+            return await self._handle_callback(request)
+        if path == READINESS_PATH:
             if request.method not in ("GET", "HEAD"):
                 return Response(405)
             return Response(200, b"ready\n") if self.accepts_clients() else Response(503, b"standby\n")
@@ -127,13 +133,13 @@
             return Response(404)
         if request.method != "POST":
             return Response(405)
-        return self._client_request(connection, request)
+        return self._handle_client_request(connection, request)
 
-    def _client_request(self, connection: Connection, request: Request) -> Response | None:
-        """Pass a client's request to the dispatcher, or return why it is not passed on."""
+    def _handle_client_request(self, connection: Connection, request: Request) -> Response | None:
+        """Pass a client's request to the dispatcher, or return the response if it is not passed on."""
         try:
             spec = messages.request_spec(
-                request.target, request.headers, request.body, self._arrived_us(request)
+                request.target, request.headers, request.body, self._arrival_us(request)
             )
         except messages.BadRequestError as error:
             self.counters.add("requests_bad")
@@ -143,8 +149,9 @@
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
         if connection.has_served_request and self.is_short_of_connections():
-            # Guards against using the last proven connection: a client without one, which gets no new one
-            # from a node that shuts down, gives up the node though it still serves.
+            # Rejects the request before the last connection that has served one is in use. A client without
+            # such a connection gets no new one from a node that shuts down, and would treat the node as down
+            # although it still serves.
             self.counters.add("jobs_spared")
             return rejection(self.limits.stop_retry_after_us)
         client_request = connection.context = ClientRequest(connection, spec.name, self.unanswered)
@@ -152,18 +159,18 @@
         try:
             self.inbox.send_nowait(arrived)
         except trio.WouldBlock:
-            # Guards against missing that a client disconnects: its connection is read on while the request
-            # waits here, or what the client has sent behind it would hide the end of the connection.
-            connection.nursery.start_soon(self._enter, arrived, client_request.entering)
+            # Another task waits for space in the inbox, so that the connection is read meanwhile. Otherwise
+            # data that the client has sent after the request would hide that it has disconnected.
+            connection.nursery.start_soon(self._send_to_inbox, arrived, client_request.inbox_wait)
         return None
 
-    async def _enter(self, arrived: RequestArrived, scope: trio.CancelScope) -> None:
+    async def _send_to_inbox(self, arrived: RequestArrived, scope: trio.CancelScope) -> None:
         with scope:
             await self.inbox.send(arrived)
 
-    def _arrived_us(self, request: Request) -> int:
-        """Return when a request's last byte had been received."""
-        # Guards against a deadline that is late by the time for which a request read ahead has waited.
+    def _arrival_us(self, request: Request) -> int:
+        """Return when the last byte of a request was received."""
+        # A request that was read ahead has waited since then, and its deadline must count that time.
         return (
             self.clock.now_us() if request.received_at is None else self.clock.from_trio(request.received_at)
         )
@@ -173,14 +180,14 @@
         client_request = connection.context
         if isinstance(client_request, ClientRequest):
             client_request.withdraw()
-            # Guards against a withdrawal that is lost where the inbox is full.
+            # Another task sends the withdrawal, which must not be lost if the inbox is full.
             connection.nursery.start_soon(self._withdraw, client_request)
 
     async def _withdraw(self, client_request: ClientRequest) -> None:
-        with suppress(trio.BrokenResourceError):  # the dispatcher has ended, and with it every request
+        with suppress(trio.BrokenResourceError):  # the dispatcher and all its requests have ended
             await self.inbox.send(RequestWithdrawn(client_request.name, client_request))
 
-    async def _call_back(self, request: Request) -> Response:
+    async def _handle_callback(self, request: Request) -> Response:
         if request.method != "POST":
             return Response(405)
         try:
@@ -202,4 +209,4 @@
             )
         else:
             self.counters.add("call_backs_unknown")
-        return RECEIVED
+        return CALLBACK_RECEIVED
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -1,4 +1,8 @@
-"""The platform's discovery: polls for watch events on a connection of its own."""
+"""The platform's discovery: watches the endpoint list by long polls on a connection of its own.
+
+The dispatcher subscribes to it when the decision module asks to watch the list. Answers and failures go to
+the dispatcher's inbox as ``EndpointListReceived``. After a failed poll the last list stays in use.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +29,12 @@
 from merlinbay.platform.endpoint_list import EndpointList
 from merlinbay.platform.start_times import StartTimes
 
-SERVICE_UNAVAILABLE = 503  # discovery is down, or the poll has waited too long
-NAMES_LOGGED = 4  # of the servers that a list has changed, for each kind of change
+SERVICE_UNAVAILABLE = 503  # discovery reports that it is down, or that the poll has waited too long
+MAX_NAMES_LOGGED = 4  # servers named in the log for each kind of change to the list
 
 
 class UnexpectedStatusError(Exception):
-    """An answer with a status other than 200."""
+    """Discovery has answered with a status other than 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
@@ -38,7 +42,7 @@
 
 
 def classify_failure(error: Exception) -> CallFailure:
-    """Return how a poll has failed."""
+    """Return the kind of failure for the exception that ended a poll."""
     if isinstance(error, ConnectTimeoutError | ConnectRefusedError):
         return CallFailure.UNREACHABLE
     if isinstance(error, trio.TooSlowError):
@@ -51,9 +55,9 @@
 class Discovery:
     """Watches the endpoint list while subscribed; a failed poll ends the watch and is reported.
 
-    Where nodes have to subscribe, the balancer decides when the next watch begins. Where the list is pushed
-    to the machine's own agent, whose list counts as notified at once, a watch runs from the start, and again
-    right after each failure.
+    If nodes have to subscribe, the decision module decides when the next watch begins. If the list is pushed
+    to an agent on the node's own machine (``is_pushed``), whose list counts as notified at once, a watch
+    begins at the start, and again shortly after each failure.
     """
 
     def __init__(
@@ -70,52 +74,53 @@
     ) -> None:
         self.addr, self.is_pushed, self.clock = addr, is_pushed, clock
         self.inbox, self.limits, self.counters, self.log = inbox, limits, counters, log
-        self.next_addr = addr  # where to watch from the next subscription on
+        self.next_addr = addr  # address for the next subscription
         self.list = EndpointList(version, entries)
         self.start_times = StartTimes(clock, entries)
         self.has_list = trio.Event()  # set by the first answer
-        self.last_answer_at_us = -1  # on this watch; -1: none yet
-        self.poll_began_at_s = 0.0  # on trio's clock
-        self.first_poll_timeout_s = limits.first_poll_timeout_s  # of a watch
+        self.last_answer_at_us = -1  # time of the last answer on this watch; -1: none yet
+        self.poll_began_at_s = 0.0  # start of the current poll, on trio's clock
+        self.first_poll_timeout_s = limits.first_poll_timeout_s  # timeout of a watch's first poll
         self.is_watching = False
-        self.reports_next = True  # the next answer is reported even if it changes nothing,
-        self.confirm_at_s: list[float] = []  # and so is the first one from each of these moments on
+        self.reports_next = True  # whether the next answer is reported even if it changes nothing
+        # The first answer after each of these times, on trio's clock, is reported even if it changes nothing.
+        self.confirm_at_s: list[float] = []
         self._subscribed = trio.Event()
         self._watch_scope = trio.CancelScope()
 
     def subscribe(self, first_poll_timeout_us: int = 0) -> None:
-        """Begin to watch, or go on after a failure or at another address.
+        """Start a watch, also again after a failure or at another address.
 
-        A timeout of 0 stands for the default one.
+        A timeout of 0 stands for the default.
         """
         self.first_poll_timeout_s = first_poll_timeout_us / 1e6 or self.limits.first_poll_timeout_s
         self._subscribed.set()
         if self.is_watching:
-            # Guards against a watch that goes on as it is, and so never reports that the call has worked.
+            # Ends the running watch: if it went on, it would never report that this call has succeeded.
             self._watch_scope.cancel()
 
     def move(self, addr: str) -> bool:
-        """Watch at another address from the next subscription on; until then the current watch goes on.
+        """Watch at another address from the next subscription on, and return whether the address has changed.
 
-        Returns whether the address is another one. Guards against a thundering herd of all nodes.
+        The current watch goes on until then, so that not all nodes call the new address at once.
         """
         self.next_addr = addr
         self.confirm_after(self.limits.reload_notified_in_us)
-        if self.is_pushed and self.is_at_previous:
-            self.subscribe()  # Guards against watching an agent that no longer gets the list.
-        return self.is_at_previous
+        if self.is_pushed and self.is_at_former_address:
+            self.subscribe()  # The former agent may no longer get the list.
+        return self.is_at_former_address
 
     def confirm_after(self, notified_in_us: int) -> None:
-        """Poll right after that time, when all that discovery has now counts as notified."""
+        """Poll right after this time, when everything that discovery has now counts as notified."""
         self.confirm_at_s.append(trio.current_time() + notified_in_us / 1e6)
 
     @property
-    def is_at_previous(self) -> bool:
-        """Whether the watch is at an address that the configuration no longer names."""
+    def is_at_former_address(self) -> bool:
+        """Whether the watch uses an address that the configuration no longer names."""
         return self.next_addr != self.addr
 
     def is_up(self, server: str) -> bool:
-        """Return whether a server is up by the last answer, which the dispatcher may not have read yet."""
+        """Return whether a server is up by the last answer, even if the dispatcher has not read it yet."""
         return self.list.is_up(server)
 
     def endpoint_list(self) -> tuple[int | None, list[ServiceEntry]]:
@@ -129,18 +134,18 @@
                 await self._subscribed.wait()
             self._subscribed = trio.Event()
             if self.next_addr != self.addr:
-                # Guards against versions that differ between the two: the first poll asks for the whole list.
+                # Versions may differ between the two addresses, so the first poll asks for the whole list.
                 self.addr, self.list.version = self.next_addr, None
             self.last_answer_at_us, self.reports_next = -1, True
             with trio.CancelScope() as self._watch_scope:
                 await self._watch_until_failure()
             self.is_watching = False
             if self._watch_scope.cancelled_caught:
-                # Guards against an answer that was applied, but cut off before it was reported.
+                # An answer may have been applied but not reported, so the next poll asks for the whole list.
                 self.list.version = None
 
     async def _watch_until_failure(self) -> None:
-        """Run one watch and report how it failed."""
+        """Run one watch until it fails, and report the failure."""
         try:
             self.is_watching = True
             await self._watch()
@@ -169,16 +174,16 @@
             error=repr(error),
         )
         await self.inbox.send(
-            EndpointListReceived("refused", [], self.last_answer_at_us, failure, self.is_at_previous)
+            EndpointListReceived("refused", [], self.last_answer_at_us, failure, self.is_at_former_address)
         )
 
     async def _watch(self) -> None:
-        """Poll again and again on one connection, until a poll fails."""
+        """Poll repeatedly on one connection until a poll fails."""
         self.poll_began_at_s = trio.current_time()
         self.log.event("discovery_called", at=self.addr, version=self.list.version)
         connection = await self._connect()
         try:
-            # The first poll does not wait: the balancer learns from it how long discovery takes.
+            # Discovery does not hold the first poll: the balancer learns from it how long discovery takes.
             wait_s = 0.0
             timeout_s = self.limits.pushed_poll_timeout_s if self.is_pushed else self.first_poll_timeout_s
             was_malformed = False
@@ -187,7 +192,7 @@
                 try:
                     listing = messages.read_listing(body)
                 except msgspec.DecodeError as error:
-                    # Guards against one malformed answer that ends a watch: the poll is repeated once.
+                    # One malformed answer does not end the watch: the poll is repeated once.
                     self.counters.add("lists_spoilt")
                     self.log.event("list_malformed", level="warning", error=repr(error), kept="the old list")
                     if was_malformed:
@@ -212,7 +217,10 @@
         )
 
     async def _poll(self, connection: ClientConnection, wait_s: float, timeout_s: float) -> bytes:
-        """Return the body of one answer."""
+        """Send one poll, and return the body of its answer.
+
+        ``wait_s`` is how long discovery may hold the poll if nothing has changed.
+        """
         self.poll_began_at_s = trio.current_time()
         version = self.list.version
         query = "" if version is None else f"?after={version}&wait_ms={int(wait_s * 1000)}"
@@ -223,16 +231,16 @@
         return reply.body
 
     def _poll_time(self) -> str:
-        """Return for the log how long the current poll has taken."""
+        """Return the duration of the current poll so far, as text for the log."""
         return f"{trio.current_time() - self.poll_began_at_s:.3f}s"
 
     def _next_wait_s(self) -> float:
-        """Return how long discovery may hold the next poll: not past a moment that has to be confirmed."""
-        first_s = min(self.confirm_at_s, default=math.inf) + self.limits.confirm_margin_s
-        return min(self.limits.watch_wait_s, max(first_s - trio.current_time(), 0.0))
+        """Return how long discovery may hold the next poll: not past the next time in ``confirm_at_s``."""
+        confirm_poll_at_s = min(self.confirm_at_s, default=math.inf) + self.limits.confirm_margin_s
+        return min(self.limits.watch_wait_s, max(confirm_poll_at_s - trio.current_time(), 0.0))
 
     async def _apply(self, listing: messages.Listing) -> None:
-        """Apply an answer to the list, and report it to the dispatcher unless it changes nothing."""
+        """Apply an answer to the list, and report it to the dispatcher if it changes or confirms the list."""
         self.last_answer_at_us = self.clock.now_us()
         entries = self.start_times.translate(messages.entries(listing))
         self._apply_to_list(listing, entries)
@@ -247,12 +255,12 @@
             self.confirm_at_s = [at_s for at_s in self.confirm_at_s if at_s > now_s]
             scope = "all" if listing.full else "changes"
             await self.inbox.send(
-                EndpointListReceived(scope, entries, is_from_former_discovery=self.is_at_previous)
+                EndpointListReceived(scope, entries, is_from_former_discovery=self.is_at_former_address)
             )
         self.has_list.set()
 
     def _apply_to_list(self, listing: messages.Listing, entries: list[ServiceEntry]) -> None:
-        """Apply an answer to the list; log what a new version has changed, the first names of each kind."""
+        """Apply an answer to the list, and log the changes of a new version with the first few names."""
         change = self.list.apply(listing.version, listing.full, entries)
         if change is None:
             return
@@ -262,6 +270,6 @@
             version=f"{change.old_version}->{change.version}",
             full=listing.full,
             after=self._poll_time(),
-            leaving=f"{len(change.leaving)}:{','.join(change.leaving[:NAMES_LOGGED])}",
-            joining=f"{len(change.joining)}:{','.join(change.joining[:NAMES_LOGGED])}",
+            leaving=f"{len(change.leaving)}:{','.join(change.leaving[:MAX_NAMES_LOGGED])}",
+            joining=f"{len(change.joining)}:{','.join(change.joining[:MAX_NAMES_LOGGED])}",
         )
--- a/merlinbay/platform/endpoint_list.py
+++ b/merlinbay/platform/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The endpoint list as discovery has sent it, version by version. No I/O."""
+"""The endpoint list as discovery has sent it, with its version. No I/O.
+
+``Discovery`` owns it and applies each answer to it. A handover passes its entries on to the next process.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,16 @@
 
 @dataclass(frozen=True)
 class ListChange:
-    """What a new version of the list has changed."""
+    """The changes that a new version of the list has made."""
 
     old_version: int | None
     version: int
-    leaving: list[str]  # servers that were up, and no longer are
-    joining: list[str]  # servers that are up, and were not
+    leaving: list[str]  # servers that were up, and no longer are up
+    joining: list[str]  # servers that are up, and were not up before
 
 
 class EndpointList:
-    """The entries by server, and the version that they have."""
+    """The entries of the list by server, and the list's version."""
 
     def __init__(self, version: int | None, entries: list[ServiceEntry]) -> None:
         self.version = version  # None: the next poll asks for the whole list
@@ -30,7 +33,7 @@
         return entry is not None and entry.state == "up"
 
     def apply(self, version: int, full: bool, entries: list[ServiceEntry]) -> ListChange | None:
-        """Apply the whole list or a change to it; return what it has changed, None for a known version."""
+        """Apply a whole list or changes; return what has changed, or None if the version is the same."""
         up_before = [name for name in self.entries if self.is_up(name)]
         old_version, self.version = self.version, version
         if full:
--- a/merlinbay/platform/messages.py
+++ b/merlinbay/platform/messages.py
@@ -1,4 +1,8 @@
-"""The platform's wire: its names are mapped to the core's values here."""
+"""The platform's wire format: decodes its messages and translates its names to the core's values.
+
+The adapters of clients, servers and discovery call it. A malformed client request raises ``BadRequestError``.
+Unknown states, missing addresses and malformed load values do not make the rest of a message invalid.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,16 @@
 
 from merlinbay.core.values import RequestSpec, ServiceEntry
 
-STATES = {  # of an entry: on the wire, in the core
+STATES = {  # states of an endpoint list entry: the wire's name to the core's name
     "SERVING": "up",
     "DRAINING": "draining",
     "DELETED": "removed",
 }
-NAME = re.compile(r"[A-Za-z0-9._~-]{1,64}")
-REPEAT_KEY = re.compile(r"[!-~]{0,255}")
+REQUEST_ID = re.compile(r"[A-Za-z0-9._~-]{1,64}")
+IDEMPOTENCY_KEY = re.compile(r"[!-~]{0,255}")
 DIGITS = re.compile(r"[0-9]{1,7}")
-MAX_BUDGET_MS = 3_600_000  # of a request
-LOAD_NAMES = {  # of a load report's values: on the wire, in the settings
+MAX_TIME_BUDGET_MS = 3_600_000
+LOAD_NAMES = {  # names of a load report's values: the wire's name to the settings' name
     "eps": "err_rps",
     "inflight": "active",
     "queue": "waiting",
@@ -30,14 +34,14 @@
 
 
 class BadRequestError(Exception):
-    """A client's request is malformed; the text names what is wrong."""
+    """A client's request is malformed. The text names the header that is wrong."""
 
 
-class Row(msgspec.Struct):
-    """An entry of the endpoint list."""
+class ListedServer(msgspec.Struct):
+    """One entry of the endpoint list."""
 
     id: str
-    addr: str = ""  # Guards against a list thrown away for one entry that lacks it.
+    addr: str = ""  # optional, so that one entry without it does not make the list invalid
     zone: str = ""
     kind: str = ""
     cell: int = 0
@@ -47,22 +51,22 @@
 
 
 class Listing(msgspec.Struct):
-    """An answer of discovery: the whole list, or the entries that have changed."""
+    """Discovery's answer to a poll: the whole list, or the entries that have changed."""
 
     version: int
     full: bool
-    servers: list[Row]
+    servers: list[ListedServer]
 
 
 class JobEvent(msgspec.Struct):
-    """A call-back: what has become of a job."""
+    """A server's callback: a new state of a job."""
 
     id: str
     server: str = msgspec.field(name="from")
     state: str
     share: float = 0.0
     result: Any = ""
-    load: Any = None  # Guards against a malformed report: the outcome beside it still counts.
+    load: Any = None  # of any type, so that a malformed report does not make the state invalid
 
 
 read_listing = msgspec.json.Decoder(Listing).decode
@@ -70,58 +74,65 @@
 
 
 def entries(listing: Listing) -> list[ServiceEntry]:
-    """Translate a list's entries.
+    """Translate the entries of a list.
 
     An entry with an unknown state or without an address counts as draining.
     """
     return [
         ServiceEntry(
-            row.id, row.addr, row.zone, row.kind, row.cell, _state(row), row.weight, row.started_ms * 1000
+            listed.id,
+            listed.addr,
+            listed.zone,
+            listed.kind,
+            listed.cell,
+            _state(listed),
+            listed.weight,
+            listed.started_ms * 1000,
         )
-        for row in listing.servers
+        for listed in listing.servers
     ]
 
 
-def _state(row: Row) -> str:
+def _state(listed: ListedServer) -> str:
     """Return the core's name of an entry's state."""
-    known = STATES.get(row.state, "draining")
-    return "draining" if known == "up" and not row.addr else known
+    state = STATES.get(listed.state, "draining")
+    return "draining" if state == "up" and not listed.addr else state
 
 
 def malformed_entries(listing: Listing) -> list[str]:
-    """Return a text for each entry with an unknown state, and each that is up without an address."""
+    """Return a text for each entry that has an unknown state, or is up without an address."""
     return [
-        f"{row.id}: state {row.state!r}, address {row.addr!r}"
-        for row in listing.servers
-        if STATES.get(row.state) != _state(row)
+        f"{listed.id}: state {listed.state!r}, address {listed.addr!r}"
+        for listed in listing.servers
+        if STATES.get(listed.state) != _state(listed)
     ]
 
 
 def result_bytes(result: Any) -> bytes:
-    """Return the response body for a result."""
+    """Return the response body for a callback's result."""
     return result.encode() if isinstance(result, str) else msgspec.json.encode(result)
 
 
 def read_load_header(header: str) -> dict[str, float] | None:
-    """Read ``inflight=7,queue=2``; malformed values are left out."""
-    return read_load(pairs(header)) if header else None
+    """Read a load report like ``inflight=7,queue=2``; malformed values are left out."""
+    return read_load(parse_pairs(header)) if header else None
 
 
 def read_load(load: Any) -> dict[str, float] | None:
-    """Return a load report by the settings' names; malformed values are left out."""
+    """Return a load report with the settings' names; malformed values are left out."""
     if not isinstance(load, dict):
         return None
-    out: dict[str, float] = {}
+    report: dict[str, float] = {}
     for name, value in load.items():
         try:
-            out[LOAD_NAMES.get(str(name), str(name))] = float(value)
+            report[LOAD_NAMES.get(str(name), str(name))] = float(value)
         except (TypeError, ValueError):
             continue
-    return out
+    return report
 
 
-def pairs(text: str) -> dict[str, str]:
-    """Read ``name=value,name=value``."""
+def parse_pairs(text: str) -> dict[str, str]:
+    """Parse a header like ``name=value,name=value``."""
     parts = (part.partition("=") for part in text.split(","))
     return {name.strip(): value.strip() for name, equals, value in parts if equals}
 
@@ -132,14 +143,14 @@
     request_class = path.strip("/").partition("/")[0]
     _check_headers(headers, request_class)
     try:
-        extras = pairs(headers.get("x-attrs", ""))
+        extras = parse_pairs(headers.get("x-attrs", ""))
         budget_ms = int(headers["x-timeout-ms"])
         slots = float(extras.get("slots", extras.get("needs", 1)))
         memory = float(extras.get("memory", extras.get("ramUnits", 0)))
         hint_us = int(float(headers.get("x-cost") or 0))
     except (KeyError, ValueError, OverflowError) as error:
         raise BadRequestError(str(error)) from None
-    if not 0 < budget_ms <= MAX_BUDGET_MS:
+    if not 0 < budget_ms <= MAX_TIME_BUDGET_MS:
         raise BadRequestError("x-timeout-ms")
     if not 0 <= slots < 1e6 or not 0 <= memory < 1e9:
         raise BadRequestError("x-attrs")
@@ -162,13 +173,13 @@
 
 def _check_headers(headers: Mapping[str, str], request_class: str) -> None:
     """Check the headers' form. Raises ``BadRequestError``."""
-    if not NAME.fullmatch(headers.get("x-request-id", "")):  # it becomes part of a path
+    if not REQUEST_ID.fullmatch(headers.get("x-request-id", "")):  # it becomes part of a path, in a DELETE
         raise BadRequestError("x-request-id")
-    # Guards against a key that a server cannot read: it would close the connection.
-    if not REPEAT_KEY.fullmatch(headers.get("idempotency-key", "")):
+    # A key that a server cannot read would make it close the connection.
+    if not IDEMPOTENCY_KEY.fullmatch(headers.get("idempotency-key", "")):
         raise BadRequestError("idempotency-key")
     if not DIGITS.fullmatch(headers.get("x-timeout-ms", "")):
         raise BadRequestError("x-timeout-ms")
-    # Guards against a request that is taken for one of a class with more retries than its own.
+    # A request must not be treated as one of another class, which may allow more retries.
     if (headers.get("x-priority-class") or request_class) != request_class:
         raise BadRequestError("x-priority-class differs from the path")
--- a/merlinbay/platform/replies.py
+++ b/merlinbay/platform/replies.py
@@ -1,4 +1,7 @@
-"""The meaning of a server's reply to a job: the one table of the statuses that the protocol names."""
+"""The meaning of a server's reply to a job, by the statuses that the protocol defines.
+
+``PlatformServers`` uses it to decide the outcome of an attempt, and whether a connection may be used again.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,13 @@
 
 
 class JobReply(Enum):
-    """What a reply proves about its job."""
+    """What a reply proves about the job that it answers."""
 
-    TAKEN = "taken"  # call-backs report the rest
+    TAKEN = "taken"  # the server has accepted the job; callbacks report the rest
     NOT_PROCESSED = "not processed"  # the job never ran
-    FAILED = "failed"  # it has ended, and may have run before
-    REJECTED = "rejected"  # the request itself is at fault
-    UNKNOWN = "unknown"  # the protocol does not name the status: the job may have run, or may still run
+    FAILED = "failed"  # the job has ended, and may have run
+    REJECTED = "rejected"  # the request itself is invalid
+    UNKNOWN = "unknown"  # the protocol does not define the status: the job may have run, or may still run
 
 
 OUTCOMES = {
@@ -40,5 +43,5 @@
 
 
 def is_conclusive(reply: Reply) -> bool:
-    """Return whether a reply leaves nothing open at the server: it has taken the job, or does not hold it."""
+    """Return whether a reply settles if the server has the job: it has accepted it, or does not have it."""
     return classify(reply) in (JobReply.TAKEN, JobReply.NOT_PROCESSED, JobReply.FAILED)
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -1,4 +1,9 @@
-"""The platform's servers: one HTTP exchange for each attempt; call-backs report the rest."""
+"""The transport to the platform's servers: one HTTP exchange for each attempt; callbacks report the rest.
+
+The dispatcher calls it to start and cancel attempts and to check servers' health. Each exchange runs in its
+own task and posts its result to the dispatcher's inbox. An attempt that the server has not accepted ends with
+the outcome of its exchange.
+"""
 
 from __future__ import annotations
 
@@ -33,11 +38,11 @@
         reports_load: bool,
     ) -> None:
         super().__init__(nursery, pool, inbox, clock, limits, counters, log)
-        self.reports_load = reports_load  # whether ``/-/load`` is there
-        self.sending: dict[ServerAttempt, trio.CancelScope] = {}  # until the reply
+        self.reports_load = reports_load  # whether servers answer ``/-/load``
+        self.sending: dict[ServerAttempt, trio.CancelScope] = {}  # scopes of exchanges without a reply yet
 
     def start(self, attempt: ServerAttempt) -> None:
-        """Send an attempt."""
+        """Send an attempt to its server in a new task."""
         scope = trio.CancelScope(
             deadline=self.clock.to_trio(attempt.deadline_at_us) + self.limits.late_answer_timeout_s
         )
@@ -47,7 +52,7 @@
             self.report_not_sent(attempt)
 
     def cancel(self, attempt: ServerAttempt) -> None:
-        """Close the connection before the 202; delete the job after it."""
+        """Close the connection if the 202 has not arrived; delete the job if it has."""
         scope = self.sending.pop(attempt, None)
         if scope is not None:
             scope.cancel()
@@ -55,14 +60,14 @@
             self.spawn(self._cancel_accepted, attempt)
 
     def forget(self, attempt: ServerAttempt) -> None:
-        """Do nothing: an exchange under way goes on, and its reply frees the connection."""
+        """Do nothing: an exchange in progress continues, and its reply frees the connection."""
 
     def recall(self, attempt: ServerAttempt) -> None:
-        """Report at once that it cannot be done: this wire does not say whether a deleted job had started."""
+        """Report at once that no recall is possible: a DELETE's reply does not say if the job had started."""
         self.nursery.start_soon(self.post, AttemptRecalled(attempt.spec.name, attempt.server, False))
 
     def control(self, attempt: ServerAttempt, action: str) -> None:
-        """Report at once that this wire has no such operation."""
+        """Report at once that this protocol has no such operation."""
         self.nursery.start_soon(
             self.post,
             AttemptControlled(
@@ -84,12 +89,12 @@
         if spec.idempotency_key:
             headers.append(("idempotency-key", spec.idempotency_key))
         reply: Reply | Outcome | None = None
-        has_begun = False
+        has_begun_sending = False
 
         def before_send() -> Headers:
-            nonlocal has_begun
+            nonlocal has_begun_sending
             check_may_begin(attempt)
-            has_begun = True
+            has_begun_sending = True
             return [("x-timeout-ms", str(self._remaining_ms(attempt)))]
 
         with scope:
@@ -99,8 +104,8 @@
             reply = await self.exchange(attempt.server, request)
         is_cancelled = self.sending.pop(attempt, None) is None
         if is_cancelled:
-            if has_begun and may_hold_job(reply):
-                # Guards against a 202 that crosses the close: the job was taken, and would run on.
+            if has_begun_sending and may_have_job(reply):
+                # A 202 may have crossed the close; the server has then accepted the job and would run it.
                 await self._delete(attempt)
         elif isinstance(reply, Outcome):
             await self.report_ended(attempt, reply)
@@ -108,8 +113,8 @@
             await self._handle_reply(attempt, reply)
 
     def _remaining_ms(self, attempt: ServerAttempt) -> int:
-        """Return how long the attempt may still take."""
-        # Guards against a timeout at the server that does not count the time that connecting took.
+        """Return the time until the attempt's deadline."""
+        # Computed when the request is sent, so that the time taken to connect counts.
         return max((attempt.deadline_at_us - self.clock.now_us()) // 1000, 1)
 
     async def _handle_reply(self, attempt: ServerAttempt, reply: Reply) -> None:
@@ -121,8 +126,8 @@
         if kind is JobReply.UNKNOWN:
             self.counters.add("answers_unknown")
             self.log.event("answer_unknown", level="warning", server=attempt.server, status=reply.status)
-            # Guards against a job that runs on beside its retry: the attempt ends once the server confirms
-            # the DELETE, and without that it is waited for like one that was taken.
+            # The job must not run on beside its retry. So the attempt ends here only if the server answers
+            # the DELETE; otherwise it stays open, like one that the server has accepted.
             if not await self._delete(attempt):
                 return
         await self.report_ended(attempt, replies.OUTCOMES[kind], report, unfit=kind is JobReply.REJECTED)
@@ -131,7 +136,7 @@
         await self._delete(attempt)
 
     async def _delete(self, attempt: ServerAttempt) -> bool:
-        """Delete an attempt's job at its server; return whether the server has answered."""
+        """Delete an attempt's job at its server, and return whether the server has answered."""
         reply: Reply | Outcome | None = None
         with trio.move_on_after(self.limits.cancel_timeout_s):
             request = OutgoingRequest("DELETE", f"/jobs/{attempt.spec.name}", may_reuse_in_quarantine=True)
@@ -152,8 +157,8 @@
         await self.post(ServerChecked(name, outcome, self.clock.now_us() - began_us, report))
 
 
-def may_hold_job(reply: Reply | Outcome | None) -> bool:
-    """Return whether the server may hold a job after this reply; None: the exchange was cancelled."""
+def may_have_job(reply: Reply | Outcome | None) -> bool:
+    """Return whether the server may have the job after this reply; None: the exchange was cancelled."""
     if reply is None:
         return True
     return isinstance(reply, Reply) and replies.classify(reply) in (JobReply.TAKEN, JobReply.UNKNOWN)
