--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -1,4 +1,8 @@
-"""What a node owes its clients: no attempt once they have left, an answer to all that was read, in time."""
+"""What a node guarantees its clients.
+
+Every request that was read gets one answer in its time, whatever servers and other clients do, and no attempt
+starts for a client that has disconnected.
+"""
 
 from __future__ import annotations
 
@@ -40,12 +44,12 @@
 from tests import net
 from tests.net import LIMITS, StandIn, bound, play, serves, stage
 from tests.support import settings
-from tests.test_crossings import ASK, Door, door, until
+from tests.test_crossings import REQUEST_BYTES, ListenerHarness, listener_harness, wait_until
 from tests.test_node import full, silent
 
 
 def job(name: str, job_class: str = "safe", timeout_ms: int = 2000, more: str = "") -> bytes:
-    """Return a whole request as a client writes it."""
+    """Return a complete request as a client writes it."""
     return (
         f"POST /{job_class} HTTP/1.1\r\nhost: n\r\nx-request-id: {name}\r\nx-priority-class: {job_class}\r\n"
         f"x-timeout-ms: {timeout_ms}\r\nidempotency-key: k-{name}\r\n{more}content-length: 2\r\n\r\nhi"
@@ -53,19 +57,19 @@
 
 
 def send_now(client: trio.socket.SocketType, data: bytes) -> None:
-    """Write at once: no task runs in between."""
+    """Write at once, without a switch to another task."""
     assert client._sock.send(data) == len(data)  # type: ignore[attr-defined]
 
 
-def wait_for_system(true: Callable[[], bool]) -> None:
-    """Wait until the system has passed on what was written or closed: no task runs in between."""
+def wait_for_system(condition: Callable[[], bool]) -> None:
+    """Wait until the operating system has passed on data or a close, without a switch to another task."""
     end = time.monotonic() + 5
-    while not true():
+    while not condition():
         assert time.monotonic() < end
 
 
-def unread(connection: Connection) -> int:
-    """Return how many bytes of a connection nobody has read yet."""
+def unread_bytes(connection: Connection) -> int:
+    """Return how many bytes of a connection have not been read yet."""
     return int.from_bytes(
         fcntl.ioctl(connection.stream.raw.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder
     )
@@ -77,24 +81,24 @@
     client.close()
 
 
-# A request that was read is answered.
+# Every request that was read is answered.
 
 
 class InterposedSocket:
-    """A connection's socket that counts what is read, and whose writes let others run before they return."""
+    """A connection's socket that counts the bytes read, and calls a hook after a write."""
 
     def __init__(self, inner: trio.socket.SocketType) -> None:
         self.inner, self.bytes_read = inner, 0
         self.after_send: Callable[[], None] = lambda: None
 
-    async def recv(self, most: int) -> bytes:
-        """Read some, and count it."""
-        data = await self.inner.recv(most)
+    async def recv(self, max_bytes: int) -> bytes:
+        """Read data, and count its bytes."""
+        data = await self.inner.recv(max_bytes)
         self.bytes_read += len(data)
         return data
 
     async def send(self, data: bytes | memoryview) -> int:
-        """Write some, and have something else happen before the writer goes on."""
+        """Write data, and call the hook once before the writer continues."""
         sent = await self.inner.send(data)
         hook, self.after_send = self.after_send, lambda: None
         hook()
@@ -111,41 +115,41 @@
 
 
 def interpose(connection: Connection) -> InterposedSocket:
-    """Put such a socket under a connection."""
+    """Replace a connection's socket with an ``InterposedSocket`` around it."""
     interposed = InterposedSocket(connection.stream.raw)
     connection.stream.raw = connection.stream.sock = interposed  # type: ignore[assignment]
     connection.stream.plain_socket = None
     return interposed
 
 
-class Meddler(trio.abc.Instrument):
-    """Has something happen after each step of a connection's reader, as another task may."""
+class ReaderInstrument(trio.abc.Instrument):
+    """Calls a function after each step of a connection's reader, when another task could run."""
 
     def __init__(self, reader: trio.lowlevel.Task, act: Callable[[], object]) -> None:
         self.reader, self.act = reader, act
 
     def after_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Act after the reader's steps."""
+        """Call the function if the task is the reader."""
         if task is self.reader:
             self.act()
 
 
-class MeddledDoor(Door):
-    """A listener whose client's second request is there as the first is answered."""
+class InterferingHarness(ListenerHarness):
+    """A harness whose client sends a second request just before the first one is answered."""
 
     how = ""
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Answer; from the first answer on, try to end the connection after each step."""
-        self.asked.append(connection)
-        if len(self.asked) == 1:
-            send_now(self.client, ASK)
-            wait_for_system(lambda: unread(connection) == len(ASK))
-            trio.lowlevel.add_instrument(Meddler(trio.lowlevel.current_task(), self.meddle))
+        """Answer; from the first answer on, try to close the connection after each step of its reader."""
+        self.requested.append(connection)
+        if len(self.requested) == 1:
+            send_now(self.client, REQUEST_BYTES)
+            wait_for_system(lambda: unread_bytes(connection) == len(REQUEST_BYTES))
+            trio.lowlevel.add_instrument(ReaderInstrument(trio.lowlevel.current_task(), self.try_to_close))
         return Response(200, b"served")
 
-    def meddle(self) -> None:
-        """Try to end the connection where it carries no request."""
+    def try_to_close(self) -> None:
+        """Try to close the connection if it has no request in progress."""
         if not self.connection.has_request_in_progress:
             if self.how == "make_room":
                 self.listener._make_room()
@@ -155,234 +159,236 @@
 
 @pytest.mark.parametrize("how", ["close_if_idle", "close_if_unused", "expire", "make_room"])
 @pytest.mark.parametrize("at_once", [10, 32 * 1024])
-def test_a_request_that_is_read_as_its_connection_is_to_end_is_answered(how: str, at_once: int) -> None:
-    """Others that run between its reader's steps never meet bytes that nobody has looked at."""
+def test_request_that_arrives_while_its_connection_is_being_closed_is_answered(
+    how: str, at_once: int
+) -> None:
+    """Tasks that run between the reader's steps must not close a connection with unprocessed data."""
 
     async def scene() -> None:
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
-                at = MeddledDoor(nursery)
+                at = InterferingHarness(nursery)
                 at.how = how
                 await at.open(evict_idle_after_s=-1.0, receive_bytes=at_once)
-                await at.client.send(ASK)
-                got = await at.answered()
-                assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"served")
+                await at.client.send(REQUEST_BYTES)
+                received = await at.answered()
+                assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"served")
                 nursery.cancel_scope.cancel()
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["expire", "close_if_unused"])
-def test_a_request_whose_rest_has_come_in_time_is_answered(how: str) -> None:
-    """The rest is there, unread, as the time for it is over, or as others want the place."""
+def test_request_that_is_complete_but_unread_at_the_time_limit_is_answered(how: str) -> None:
+    """The rest has arrived, but is unread when the time limit expires or the connection could be evicted."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK[:10])
-            await until(lambda: at.connection.is_receiving_request)
-            send_now(at.client, ASK[10:])
-            wait_for_system(lambda: unread(at.connection) == len(ASK) - 10)
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES[:10])
+            await wait_until(lambda: at.connection.is_receiving_request)
+            send_now(at.client, REQUEST_BYTES[10:])
+            wait_for_system(lambda: unread_bytes(at.connection) == len(REQUEST_BYTES) - 10)
             if how == "expire":
                 at.connection.expire()
             else:
                 assert not at.connection.close_if_unused()
-            await at.heard.wait()
+            await at.request_received.wait()
             at.connection.respond(Response(200, b"served"))
             assert (await at.client.recv(1000)).endswith(b"served")
-            if how == "expire":  # the end comes after the answer
+            if how == "expire":  # the connection ends after the answer
                 assert await at.client.recv(1000) == b""
 
     play(scene)
 
 
 @pytest.mark.parametrize("body", [60_000, 65_536])
-def test_a_large_request_whose_rest_has_come_in_time_is_answered(body: int) -> None:
-    """It takes several reads, none of which waits."""
+def test_large_request_that_is_complete_at_the_time_limit_is_answered(body: int) -> None:
+    """Reading the rest takes several reads, none of which waits."""
 
     async def scene() -> None:
-        async with door(receive_bytes=8192) as at:
+        async with listener_harness(receive_bytes=8192) as at:
             head = f"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: {body}\r\n\r\n".encode()
             await at.client.send(head)
-            await until(lambda: at.connection.is_receiving_request)
+            await wait_until(lambda: at.connection.is_receiving_request)
             send_now(at.client, b"x" * body)
-            wait_for_system(lambda: unread(at.connection) == body)
+            wait_for_system(lambda: unread_bytes(at.connection) == body)
             at.connection.expire()
-            await at.heard.wait()
-            assert len(at.asked) == 1
+            await at.request_received.wait()
+            assert len(at.requested) == 1
 
     play(scene)
 
 
-def test_half_a_request_is_cut_off_in_its_time_though_bytes_go_on_coming() -> None:
-    """What never becomes whole is not taken: its connection is closed, and its rest is not read."""
+def test_incomplete_request_is_cut_off_at_the_time_limit_though_bytes_arrive() -> None:
+    """A request that does not become complete in time is not handled, and its connection is closed."""
 
     async def scene() -> None:
-        async with door(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
+        async with listener_harness(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
             with pytest.raises(OSError):
-                for byte in ASK[:-1]:
+                for byte in REQUEST_BYTES[:-1]:
                     await at.client.send(bytes([byte]))
                     await trio.sleep(0.02)
-            await until(lambda: not at.listener.connections)
-            assert not at.asked
+            await wait_until(lambda: not at.listener.connections)
+            assert not at.requested
 
     play(scene)
 
 
-@pytest.mark.parametrize("part", [b"", ASK[:-1]])
-def test_nothing_is_read_from_a_connection_that_has_ended_without_an_answer(part: bytes) -> None:
-    """A request that crosses the end is reset unread: its client sends it once more."""
+@pytest.mark.parametrize("part", [b"", REQUEST_BYTES[:-1]])
+def test_nothing_is_read_from_a_connection_that_was_closed_without_an_answer(part: bytes) -> None:
+    """A request that crosses the close is reset unread, so its client can safely send it again."""
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             if part:
                 await at.client.send(part)
-                await until(lambda: at.connection.is_receiving_request)
+                await wait_until(lambda: at.connection.is_receiving_request)
             interposed = interpose(at.connection)
             at.connection.close_gracefully()
             assert await at.client.recv(10) == b""
-            send_now(at.client, ASK[len(part) :])
-            await until(lambda: not at.listener.connections)
+            send_now(at.client, REQUEST_BYTES[len(part) :])
+            await wait_until(lambda: not at.listener.connections)
             with pytest.raises(OSError):
                 while True:
-                    await at.client.send(ASK)
-            assert not interposed.bytes_read and not at.asked
+                    await at.client.send(REQUEST_BYTES)
+            assert not interposed.bytes_read and not at.requested
 
     play(scene)
 
 
-def test_a_request_on_a_kept_connection_has_its_whole_time_from_its_first_byte() -> None:
-    """It does not end with the time for which the connection may rest."""
+def test_later_request_has_its_full_time_limit_from_its_first_byte() -> None:
+    """The idle timeout of the connection must not cut off a request that has begun to arrive."""
 
     async def scene() -> None:
-        async with door(read_request_timeout_s=5.0, sweep_interval_s=0.02) as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
+        async with listener_harness(read_request_timeout_s=5.0, sweep_interval_s=0.02) as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.is_idle)
-            at.connection.lifetime.expires_at = trio.current_time() + 0.1  # it has rested for long
-            await at.client.send(ASK[:10])
+            await wait_until(lambda: at.connection.is_idle)
+            at.connection.lifetime.expires_at = trio.current_time() + 0.1  # it has been idle for long
+            await at.client.send(REQUEST_BYTES[:10])
             await trio.sleep(0.25)
-            await at.client.send(ASK[10:])
-            await until(lambda: len(at.asked) == 2)
+            await at.client.send(REQUEST_BYTES[10:])
+            await wait_until(lambda: len(at.requested) == 2)
 
     play(scene)
 
 
-def test_a_later_request_that_dribbles_in_is_cut_off_in_its_time() -> None:
-    """As the first one is, though the connection may rest for much longer."""
+def test_later_request_that_arrives_too_slowly_is_cut_off() -> None:
+    """The time limit of the first request applies, although the idle timeout is much longer."""
 
     async def scene() -> None:
-        async with door(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
+        async with listener_harness(read_request_timeout_s=0.3, sweep_interval_s=0.05) as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             at.connection.has_served_request = True
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.is_idle)
+            await wait_until(lambda: at.connection.is_idle)
             with pytest.raises(OSError):
-                for byte in ASK[:-1]:
+                for byte in REQUEST_BYTES[:-1]:
                     await at.client.send(bytes([byte]))
                     await trio.sleep(0.02)
-            await until(lambda: not at.listener.connections)
-            assert len(at.asked) == 1
+            await wait_until(lambda: not at.listener.connections)
+            assert len(at.requested) == 1
 
     play(scene)
 
 
-def test_a_request_read_behind_another_is_answered_though_clients_are_sent_away_meanwhile() -> None:
-    """The connection ends with the last answer to what has been read, not before."""
+def test_pipelined_request_is_answered_though_connections_are_being_closed() -> None:
+    """A connection that must close after its response ends with the answer to the last request read."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK + ASK)
-            await at.heard.wait()
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES + REQUEST_BYTES)
+            await at.request_received.wait()
             at.listener.set_closes_after_response(True)
             at.connection.respond(Response(200, b"one"))
-            await until(lambda: len(at.asked) == 2)
+            await wait_until(lambda: len(at.requested) == 2)
             at.connection.respond(Response(200, b"two"))
-            got = await at.answered()
-            assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"two")
-            assert got.count(b"connection: close") == 1
+            received = await at.answered()
+            assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"two")
+            assert received.count(b"connection: close") == 1
 
     play(scene)
 
 
-@pytest.mark.parametrize("behind", [b"\r\n", ASK])
-def test_a_last_request_does_not_fail_for_bytes_behind_it(behind: bytes) -> None:
-    """It said that it was the last one of its connection; what comes behind it is nothing to it."""
+@pytest.mark.parametrize("behind", [b"\r\n", REQUEST_BYTES])
+def test_data_behind_a_last_request_does_not_make_it_fail(behind: bytes) -> None:
+    """After a request with ``connection: close``, further data on the connection is ignored."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK.replace(b"host: n", b"host: n\r\nconnection: close") + behind)
-            await at.heard.wait()
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES.replace(b"host: n", b"host: n\r\nconnection: close") + behind)
+            await at.request_received.wait()
             await trio.testing.wait_all_tasks_blocked(0.01)
-            assert not at.left
+            assert not at.disconnected
             at.connection.respond(Response(200, b"served"))
-            assert (await at.answered()).endswith(b"served") and len(at.asked) == 1
+            assert (await at.answered()).endswith(b"served") and len(at.requested) == 1
 
     play(scene)
 
 
-class FaultyDoor(Door):
-    """A listener whose handler fails on every request."""
+class FaultyHarness(ListenerHarness):
+    """A harness whose handler raises an exception for every request."""
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Fail."""
+        """Raise an exception."""
         raise RuntimeError("a fault put in by the test")
 
 
-def test_a_request_on_which_the_handler_fails_is_answered() -> None:
-    """With 500; the fault is noted, and other connections go on."""
+def test_request_whose_handler_raises_an_exception_is_answered() -> None:
+    """The answer is 500; the fault is counted, and other connections continue."""
 
     async def scene() -> None:
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
-                at = FaultyDoor(nursery)
+                at = FaultyHarness(nursery)
                 await at.open()
-                await at.client.send(ASK)
+                await at.client.send(REQUEST_BYTES)
                 assert (await at.answered()).startswith(b"HTTP/1.1 500")
                 at.client.close()
-                await until(lambda: not at.listener.connections)
+                await wait_until(lambda: not at.listener.connections)
                 assert at.listener.counters.counts["edge_connections_faulty"] == 1
                 nursery.cancel_scope.cancel()
 
     play(scene)
 
 
-def test_nobody_is_evicted_while_the_last_words_are_written() -> None:
-    """What is refused by its head, or is too large, has an answer as well."""
+def test_connection_is_not_evicted_while_its_error_response_is_written() -> None:
+    """A request that is rejected by its head, such as one that is too large, must get its response."""
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             evicted: list[bool] = []
             interpose(at.connection).after_send = lambda: evicted.append(at.connection.close_if_unused())
-            await at.client.send(ASK.replace(b"length: 2", b"length: 60000000"))
+            await at.client.send(REQUEST_BYTES.replace(b"length: 2", b"length: 60000000"))
             assert (await at.answered()).startswith(b"HTTP/1.1 413") and evicted == [False]
 
     play(scene)
 
 
-class CrossingDoor(Door):
-    """A listener whose answer crosses the withdrawal of its request."""
+class CrossingHarness(ListenerHarness):
+    """A harness whose answer crosses the withdrawal of its request."""
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Answer all the same."""
+        """Answer the request although its client is gone."""
         super().client_disconnected(connection)
         connection.respond(Response(200, b"late"))
 
 
-def test_an_answer_that_crosses_the_last_words_does_not_cut_them_off() -> None:
-    """A client that floods is told so, whole, and its connection ends in good order."""
+def test_answer_that_crosses_an_error_response_does_not_truncate_it() -> None:
+    """A client that sends too much gets its whole 400, and its connection ends in an orderly way."""
 
     async def scene() -> None:
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
-                at = CrossingDoor(nursery)
+                at = CrossingHarness(nursery)
                 await at.open(read_ahead_bytes=1000, linger_s=0.2)
-                await at.client.send(ASK + b"x" * 2000)
+                await at.client.send(REQUEST_BYTES + b"x" * 2000)
                 assert (await at.client.recv(4096)).startswith(b"HTTP/1.1 400")
-                for _ in range(3):  # a reset would show
+                for _ in range(3):  # after a reset, a send would fail
                     await at.client.send(b"x" * 1000)
                     await trio.sleep(0.02)
                 assert await at.client.recv(4096) == b""
@@ -391,19 +397,19 @@
     play(scene)
 
 
-# A dispatcher that the test drives by hand, behind a listener and the adapter of the clients' protocol.
+# A dispatcher that the test runs batch by batch, behind a listener and a client adapter.
 
 
 @dataclass
-class HandDriven:
-    """A node without its dispatcher's task: messages stay in the inbox until the test has them taken."""
+class ManualNode:
+    """A node without the dispatcher's task: messages stay in the inbox until the test calls ``take``."""
 
     nursery: trio.Nursery
     servers: Mock = field(default_factory=Mock)
     counters: Counters = field(default_factory=Counters)
 
     async def open(self, inbox: int = 64, effect: str = "repeatable") -> None:
-        """Listen."""
+        """Create the parts, and start to listen."""
         self.clock = Clock()
         send, self.inbox = trio.open_memory_channel[Message](inbox)
         classes = [RequestClass("safe", 100_000, 5_000_000, worth=5.0, effect=effect, stretch=2.0)]
@@ -421,114 +427,112 @@
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
 
     async def client(self) -> trio.socket.SocketType:
-        """Open a client's connection."""
+        """Connect a client."""
         client = trio.socket.socket()
         await client.connect(self.address)
         return client
 
     async def arrived(self, number: int = 1) -> None:
-        """Wait until so many messages are in the inbox, or on their way into it."""
+        """Wait until this many messages are in the inbox or wait for space in it."""
         statistics = self.inbox.statistics
-        await until(lambda: statistics().current_buffer_used + statistics().tasks_waiting_send >= number)
+        await wait_until(lambda: statistics().current_buffer_used + statistics().tasks_waiting_send >= number)
 
-    def take(self, most: int = 64) -> list[Message]:
-        """Have the dispatcher take what is in the inbox, so many messages at the most; return them."""
-        taken: list[Message] = []
-        while len(taken) < most:
+    def take(self, max_messages: int = 64) -> list[Message]:
+        """Run a batch of the dispatcher with up to ``max_messages`` from the inbox, and return them."""
+        messages: list[Message] = []
+        while len(messages) < max_messages:
             try:
-                taken.append(self.inbox.receive_nowait())
+                messages.append(self.inbox.receive_nowait())
             except trio.WouldBlock:
                 break
-        self.dispatcher.run_batch(taken)
-        return taken
+        self.dispatcher.run_batch(messages)
+        return messages
 
-    def wait_until_left(self) -> None:
-        """Wait until the system has told of the client's end: no task runs in between."""
+    def wait_until_disconnected(self) -> None:
+        """Wait until the system reports the client's disconnect, without a switch to another task."""
         connection = next(iter(self.listener.connections))
         wait_for_system(lambda: has_hung_up(connection.stream.raw))
 
     @property
     def started(self) -> list[ServerAttempt]:
-        """Return the attempts that were handed to the servers' side."""
+        """Return the attempts that were passed to the server transport."""
         return [call.args[0] for call in self.servers.start.call_args_list]
 
 
 @asynccontextmanager
-async def hand_driven(inbox: int = 64, effect: str = "repeatable") -> AsyncIterator[HandDriven]:
-    """Open such a node, and close all of it at the end."""
+async def manual_node(inbox: int = 64, effect: str = "repeatable") -> AsyncIterator[ManualNode]:
+    """Start a manual node, and stop it at the end."""
     with trio.fail_after(10):
         async with trio.open_nursery() as nursery:
-            node = HandDriven(nursery)
+            node = ManualNode(nursery)
             await node.open(inbox, effect)
             yield node
             nursery.cancel_scope.cancel()
 
 
 def half_close(client: trio.socket.SocketType) -> None:
-    """Send no more, but stay."""
+    """Close the sending side only."""
     client.shutdown(socket.SHUT_WR)
 
 
-Leave = Callable[[trio.socket.SocketType], None]
-LEAVES: list[Leave] = [lambda client: client.close(), reset, half_close]
+Disconnect = Callable[[trio.socket.SocketType], None]
+DISCONNECTS: list[Disconnect] = [lambda client: client.close(), reset, half_close]
 BEHIND = [b"", b"x", job("b"), job("b") * 100]
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
+@pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
 @pytest.mark.parametrize("behind", BEHIND, ids=["nothing", "a_byte", "a_request", "many"])
-def test_no_attempt_begins_for_a_client_that_left_while_its_request_waited(
-    leave: Leave, behind: bytes
+def test_no_attempt_starts_for_a_client_that_disconnected_while_its_request_waited(
+    leave: Disconnect, behind: bytes
 ) -> None:
-    """The inbox is full, and the dispatcher takes the request before anybody has seen the client leave."""
+    """The inbox is full, and the dispatcher reads the request before the disconnect was detected."""
 
     async def scene() -> None:
-        async with hand_driven(inbox=0) as node:
+        async with manual_node(inbox=0) as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
             send_now(client, behind)
             leave(client)
-            node.wait_until_left()
+            node.wait_until_disconnected()
             assert [type(message) for message in node.take()] == [RequestArrived]
             assert not node.started
 
     play(scene)
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
+@pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
 @pytest.mark.parametrize("behind", [*BEHIND, b"x" * 200_000], ids=[*map(len, BEHIND), 200_000])
-def test_a_client_that_leaves_is_seen_to_leave_while_its_request_waits_for_the_inbox(
-    leave: Leave, behind: bytes
-) -> None:
-    """Its connection is read on, or what it sent behind its request would hold the end of it back."""
+def test_disconnect_is_detected_while_a_request_waits_for_the_inbox(leave: Disconnect, behind: bytes) -> None:
+    """The connection must still be read; otherwise data sent after the request would hide its end."""
 
     async def scene() -> None:
-        async with hand_driven(inbox=0) as node:
+        async with manual_node(inbox=0) as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
             await client.send(behind)
             leave(client)
-            await until(lambda: not node.adapter.unanswered)
+            await wait_until(lambda: not node.adapter.unanswered)
             assert RequestArrived not in map(type, node.take())
             assert not node.started and not len(node.dispatcher.requests)
 
     play(scene)
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
-def test_no_further_attempt_begins_for_a_client_that_left_during_the_first(leave: Leave) -> None:
-    """The first comes back unstarted before the word that the client has left."""
+@pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
+def test_no_retry_starts_for_a_client_that_disconnected_during_the_first_attempt(leave: Disconnect) -> None:
+    """The first attempt is returned unstarted before the message about the disconnect arrives."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
             node.take()
             assert len(node.started) == 1
             leave(client)
-            node.wait_until_left()
+            node.wait_until_disconnected()
             first = node.started[0]
             node.dispatcher.run_batch([AttemptFinished("a", first.server, Outcome.FULL)])
             await trio.testing.wait_all_tasks_blocked(0.05)
@@ -538,11 +542,11 @@
     play(scene)
 
 
-def test_a_further_attempt_begins_for_a_client_that_stays() -> None:
-    """The test above would pass if nothing was ever tried again."""
+def test_retry_starts_for_a_client_that_stays_connected() -> None:
+    """Without this, the test above would also pass if nothing was ever retried."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
@@ -554,29 +558,29 @@
     play(scene)
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=["close", "reset", "half_close"])
-def test_an_attempt_that_is_about_to_write_its_first_byte_sees_that_the_client_left(leave: Leave) -> None:
-    """As after a slow dial."""
+@pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
+def test_pre_send_check_detects_that_the_client_has_disconnected(leave: Disconnect) -> None:
+    """The client may disconnect while the attempt connects to its server."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
             node.take()
             assert node.started[0].may_begin()
             leave(client)
-            node.wait_until_left()
+            node.wait_until_disconnected()
             assert not node.started[0].may_begin()
 
     play(scene)
 
 
-def test_no_attempt_begins_for_a_client_that_was_told_that_its_request_failed() -> None:
-    """It sent too much behind its request, got 400 for it, and has not closed yet."""
+def test_no_attempt_starts_for_a_client_that_has_got_an_error_response() -> None:
+    """The client sent too much after its request, got 400 for it, and has not closed yet."""
 
     async def scene() -> None:
-        async with hand_driven(inbox=1) as node:
+        async with manual_node(inbox=1) as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
@@ -589,70 +593,70 @@
     play(scene)
 
 
-def test_no_attempt_begins_on_a_connection_that_was_handed_over() -> None:
-    """It goes over when no request is under way on it, so nothing is left behind for its client."""
+def test_connection_is_handed_over_only_without_a_request_in_progress() -> None:
+    """So no attempt starts for a client whose connection the other process has."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
-            given: list[Connection] = []
+            handed_over: list[Connection] = []
 
-            def give(connection: Connection) -> bool:
-                given.append(connection)
+            def hand_over(connection: Connection) -> bool:
+                handed_over.append(connection)
                 return True
 
-            node.listener.hand_over(give)
+            node.listener.hand_over(hand_over)
             await trio.testing.wait_all_tasks_blocked(0.01)
-            assert not given
+            assert not handed_over
             node.take()
             assert len(node.started) == 1
             node.dispatcher.run_batch([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             assert (await client.recv(1000)).endswith(b"done")
-            await until(lambda: bool(given))
+            await wait_until(lambda: bool(handed_over))
             assert len(node.dispatcher.requests) == 0
             client.close()
 
     play(scene)
 
 
-def test_no_attempt_begins_for_a_job_that_its_client_has_terminated() -> None:
-    """The batch front's word of it may still wait behind others."""
-    ended = Mock(ended=False)
-    client = JobClient(Mock(), ended, RequestSpec("j", "safe", 0, 1))
+def test_terminated_job_counts_as_disconnected() -> None:
+    """The batch front's message about the termination may still wait behind others."""
+    batch_job = Mock(ended=False)
+    client = JobClient(Mock(), batch_job, RequestSpec("j", "safe", 0, 1))
     assert not client.has_disconnected()
-    ended.ended = True
+    batch_job.ended = True
     assert client.has_disconnected()
 
 
-def test_the_last_moments_leave_no_request_in_the_inbox_unanswered() -> None:
-    """The dispatcher has ended; one request is in its inbox, another on its way into it."""
+def test_requests_in_the_inbox_are_answered_when_the_dispatcher_ends() -> None:
+    """When the dispatcher ends, one request is in its inbox and others wait for space in it."""
 
     async def scene() -> None:
-        async with hand_driven(inbox=1) as node:
+        async with manual_node(inbox=1) as node:
             clients = [await node.client() for _ in range(3)]
             for name, client in zip("abc", clients, strict=True):
                 await client.send(job(name))
                 await node.arrived("abc".index(name) + 1)
             node.adapter.end()
             for client in clients:
-                got = await client.recv(1000)
-                assert got.startswith(b"HTTP/1.1 503") and b"retry-after" in got
+                received = await client.recv(1000)
+                assert received.startswith(b"HTTP/1.1 503") and b"retry-after" in received
                 client.close()
             assert not node.started and not node.adapter.unanswered
 
     play(scene)
 
 
-# How long a client waits.
+# Deadlines of requests.
 
 
-def test_the_deadline_runs_from_when_the_last_byte_was_read() -> None:
-    """Of a request that was read behind another one, whose answer it had to wait for."""
+def test_deadline_of_a_pipelined_request_counts_from_its_last_byte() -> None:
+    """The time for which the request waits for the previous answer must count."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             await client.send(job("a"))
             await node.arrived()
@@ -662,9 +666,9 @@
             before = node.clock.now_us()
             await client.send(b"i")
             connection = next(iter(node.listener.connections))
-            await until(lambda: connection.stream.h11.trailing_data[0] == job("b", timeout_ms=900))
+            await wait_until(lambda: connection.stream.h11.trailing_data[0] == job("b", timeout_ms=900))
             read_by = node.clock.now_us()
-            await client.send(job("c")[:20])  # more behind it, later, is not its last byte
+            await client.send(job("c")[:20])  # later data behind the request does not belong to it
             await trio.sleep(0.2)
             node.dispatcher.run_batch([AttemptFinished("a", node.started[0].server, Outcome.OK, b"done")])
             await node.arrived()
@@ -677,11 +681,11 @@
     play(scene)
 
 
-def test_the_deadline_runs_from_the_last_byte_and_not_the_first() -> None:
-    """A client may write slowly."""
+def test_deadline_counts_from_the_last_byte_and_not_the_first() -> None:
+    """A client may write slowly, and the time that it takes to send its request must not count."""
 
     async def scene() -> None:
-        async with hand_driven() as node:
+        async with manual_node() as node:
             client = await node.client()
             for byte in job("a")[:-1]:
                 await client.send(bytes([byte]))
@@ -689,7 +693,7 @@
             await trio.sleep(0.1)
             assert (
                 len(next(iter(node.listener.connections)).stream.reader.reads) <= 1
-            )  # not one for each read
+            )  # not one entry for each read
             before = node.clock.now_us()
             await client.send(b"i")
             await node.arrived()
@@ -701,23 +705,23 @@
     play(scene)
 
 
-# Trouble at servers, or with other clients, frees no request of its answer.
+# Every request is answered, whatever servers and other clients do.
 
 
 async def hangs(server: StandIn, request: Request) -> Response | None:
-    """Take the connection and say nothing."""
+    """Never answer a job; answer everything else with 200."""
     if request.method == "POST":
         await trio.sleep_forever()
     return Response(200)
 
 
 async def fails(server: StandIn, request: Request) -> Response | None:
-    """Fail every job."""
+    """Answer everything with 500."""
     return Response(500)
 
 
-async def nonsense(server: StandIn, request: Request) -> Response | None:
-    """Answer with a status that the protocol does not name."""
+async def answers_204(server: StandIn, request: Request) -> Response | None:
+    """Answer jobs with a status that the protocol does not define."""
     return Response(204) if request.method == "POST" else Response(200)
 
 
@@ -726,43 +730,46 @@
     return None
 
 
-LATEST = 2.0  # seconds after its time at which an answer is still counted as given in it, on a busy machine
+LATENESS_TOLERANCE_S = 2.0  # an answer may be this much late, because the machine may be busy
 
 
 @dataclass
-class Usual:
-    """Usual clients: one request at a time, each with one answer to be had in its time."""
+class RegularClients:
+    """Clients that follow the protocol and expect exactly one answer in time to each request."""
 
     port: int
     statuses: list[int] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
 
     async def ask(self, name: str, timeout_ms: int) -> None:
-        """Have one request answered on a connection of its own, and nothing come behind the answer."""
+        """Send one request on a new connection, and record its status or a fault.
+
+        Data after the answer counts as a fault.
+        """
         client = trio.socket.socket()
         await client.connect(("127.0.0.2", self.port))
         began = trio.current_time()
-        got = b""
-        with client, trio.move_on_after(timeout_ms / 1000 + LATEST) as waiting:
+        received = b""
+        with client, trio.move_on_after(timeout_ms / 1000 + LATENESS_TOLERANCE_S) as scope:
             try:
                 await client.send(job(name, "admit", timeout_ms))
-                while b"\r\n\r\n" not in got:
+                while b"\r\n\r\n" not in received:
                     data = await client.recv(4096)
                     if not data:
                         break
-                    got += data
+                    received += data
                 with trio.move_on_after(0.05):
-                    got += await client.recv(4096)
+                    received += await client.recv(4096)
             except OSError as error:
                 self.faults.append(f"{name}: {error!r} after {trio.current_time() - began:.3f} s")
                 return
-        if waiting.cancelled_caught or got.count(b"HTTP/1.1 ") != 1:
-            self.faults.append(f"{name}: {got!r} after {trio.current_time() - began:.3f} s")
+        if scope.cancelled_caught or received.count(b"HTTP/1.1 ") != 1:
+            self.faults.append(f"{name}: {received!r} after {trio.current_time() - began:.3f} s")
             return
-        self.statuses.append(int(got[9:12]))
+        self.statuses.append(int(received[9:12]))
 
     async def ask_many(self, count: int, at_once: int, timeout_ms: int) -> None:
-        """Have many requests answered, so many at a time."""
+        """Send ``count`` requests, ``at_once`` of them at a time."""
         async with trio.open_nursery() as nursery:
             for number in range(at_once):
                 nursery.start_soon(self._ask_in_turn, number, count // at_once, timeout_ms)
@@ -772,7 +779,7 @@
             await self.ask(f"u-{client}-{number}", timeout_ms)
 
 
-BAD = [
+BAD_INPUTS = [
     b"",
     b"POST /admit HTTP/1.1\r\n",
     job("half", "admit")[:-1],
@@ -785,13 +792,13 @@
 
 
 async def bad_client(port: int, number: int) -> None:
-    """Send something that no usual client does, stay for a moment, and begin anew, for ever."""
+    """Send data that breaks the protocol, wait briefly, and repeat this until cancelled."""
     while True:
         client = trio.socket.socket()
         with client, trio.move_on_after(0.3):
             try:
                 await client.connect(("127.0.0.2", port))
-                await client.send(BAD[number % len(BAD)])
+                await client.send(BAD_INPUTS[number % len(BAD_INPUTS)])
                 while await client.recv(4096):
                     pass
             except OSError:
@@ -810,15 +817,15 @@
         [breaks_off],
         [fails],
         [full],
-        [nonsense],
+        [answers_204],
         [hangs, silent, breaks_off, fails, serves],
     ],
     ids=["hang", "silent", "break", "fail", "full", "nonsense", "all"],
 )
-def test_each_usual_request_has_one_answer_in_its_time_whatever_servers_do(
+def test_each_request_is_answered_once_in_time_whatever_servers_do(
     tmp_path: Path, plays: list[Callable[[StandIn, Request], Awaitable[Response | None]]]
 ) -> None:
-    """Of 200, 503 and 500 any; half of the servers have vanished, too."""
+    """The status may be 200, 429, 500 or 503; one of the listed servers does not exist."""
 
     async def scene() -> None:
         async with stage(tmp_path) as s:
@@ -828,19 +835,19 @@
             s.add("s-gone", serves, addr=f"127.0.0.2:{gone.getsockname()[1]}")
             gone.close()
             await s.start()
-            usual = Usual(s.port)
-            await usual.ask_many(20, 10, 600)
-            assert not usual.faults and len(usual.statuses) == 20
-            assert set(usual.statuses) <= {200, 429, 500, 503}
+            clients = RegularClients(s.port)
+            await clients.ask_many(20, 10, 600)
+            assert not clients.faults and len(clients.statuses) == 20
+            assert set(clients.statuses) <= {200, 429, 500, 503}
 
     play(scene)
 
 
 @pytest.mark.parametrize("sockets", [96, 256])
-def test_each_usual_request_has_one_answer_in_its_time_whatever_other_clients_do(
+def test_each_request_is_answered_once_in_time_whatever_other_clients_do(
     tmp_path: Path, sockets: int
 ) -> None:
-    """Hundreds of connections that send a part, far too much, or the same request again and again."""
+    """Hundreds of connections send part of a request, far too much, or the same request repeatedly."""
 
     async def scene() -> None:
         async with stage(tmp_path) as s:
@@ -848,21 +855,21 @@
             for number in range(4):
                 s.add(f"s-{number}")
             await s.start()
-            usual = Usual(s.port)
+            clients = RegularClients(s.port)
             async with trio.open_nursery() as nursery:
                 for number in range(200):
                     nursery.start_soon(bad_client, s.port, number)
-                await usual.ask_many(20, 5, 2000)
+                await clients.ask_many(20, 5, 2000)
                 nursery.cancel_scope.cancel()
-            assert not usual.faults and len(usual.statuses) == 20
+            assert not clients.faults and len(clients.statuses) == 20
 
     play(scene)
 
 
-def test_each_usual_request_has_one_answer_in_its_time_while_discovery_is_down(
+def test_each_request_is_answered_once_in_time_while_discovery_is_down(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers are known from the start; who knows none is refused."""
+    """The node knows its servers from its configuration."""
 
     async def scene() -> None:
         async with stage(tmp_path) as s:
@@ -873,9 +880,9 @@
 
             monkeypatch.setattr(s, "discovery", down)
             await s.start()
-            usual = Usual(s.port)
-            await usual.ask_many(10, 5, 600)
-            assert not usual.faults and len(usual.statuses) == 10
+            clients = RegularClients(s.port)
+            await clients.ask_many(10, 5, 600)
+            assert not clients.faults and len(clients.statuses) == 10
 
     play(scene)
 
@@ -883,10 +890,10 @@
 @pytest.mark.parametrize(
     "limit", ["inbox_messages", "server_tasks", "max_open_requests", "server_connections"]
 )
-def test_each_usual_request_has_one_answer_in_its_time_at_the_nodes_own_limits(
+def test_each_request_is_answered_once_in_time_at_the_nodes_limits(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
-    """One of each: beyond it a request is refused, fails or waits, and is not forgotten."""
+    """With a limit of one, further requests are rejected, fail or wait, but none is left unanswered."""
 
     def load_limited(environ: dict[str, str]) -> Config:
         config = load(environ)
@@ -900,38 +907,38 @@
             for number in range(2):
                 s.add(f"s-{number}")
             await s.start()
-            usual = Usual(s.port)
-            await usual.ask_many(20, 10, 600)
-            assert not usual.faults and len(usual.statuses) == 20
+            clients = RegularClients(s.port)
+            await clients.ask_many(20, 10, 600)
+            assert not clients.faults and len(clients.statuses) == 20
 
     play(scene)
 
 
-def test_each_usual_request_has_one_answer_though_the_exchange_with_its_server_fails(
+def test_each_request_is_answered_once_if_the_exchange_raises_an_exception(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A fault of the node's own, which ends one task."""
+    """A fault in the node's own code ends the task of one exchange."""
     exchange = ClientConnection.exchange
 
-    async def faulty(self: ClientConnection, method: str, target: str, *more: Any) -> Any:
-        if any(name == "x-request-id" for name, _ in more[0]):
+    async def faulty(self: ClientConnection, method: str, target: str, *arguments: Any) -> Any:
+        if any(name == "x-request-id" for name, _ in arguments[0]):
             raise RuntimeError("a fault put in by the test")
-        return await exchange(self, method, target, *more)
+        return await exchange(self, method, target, *arguments)
 
     async def scene() -> None:
         async with stage(tmp_path) as s:
             s.add("s-0")
             await s.start()
             monkeypatch.setattr(ClientConnection, "exchange", faulty)
-            usual = Usual(s.port)
-            await usual.ask_many(4, 4, 400)
-            assert not usual.faults and len(usual.statuses) == 4
+            clients = RegularClients(s.port)
+            await clients.ask_many(4, 4, 400)
+            assert not clients.faults and len(clients.statuses) == 4
             assert s.counters.counts["server_tasks_faulty"] > 0
 
     play(scene)
 
 
-# What a request says against what the settings say.
+# Requests that do not agree with the settings.
 
 
 @pytest.mark.parametrize(
@@ -947,17 +954,17 @@
         ({"idempotency-key": "k"}, None, ""),
     ],
 )
-def test_what_a_request_says_wrongly_is_logged_with_its_cause(
+def test_wrong_header_of_a_request_is_logged_with_its_cause(
     headers: dict[str, str], status: int | None, line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """One line each; the request is answered 400, or taken as one that is unsafe to repeat."""
+    """One line is logged; the request is answered 400, or treated as one that must not be repeated."""
 
     async def scene() -> None:
         send, inbox = trio.open_memory_channel[Message](9)
         classes = {"keyed", "other"}
         adapter = ClientAdapter(send, Clock(), LIMITS, Counters(), classes, Log(9), frozenset({"keyed"}))
-        asked = Request("POST", "/keyed", {"x-request-id": "a", "x-timeout-ms": "900", **headers}, b"")
-        response = await adapter.request(Mock(has_served_request=False), asked)
+        request = Request("POST", "/keyed", {"x-request-id": "a", "x-timeout-ms": "900", **headers}, b"")
+        response = await adapter.request(Mock(has_served_request=False), request)
         assert (response.status if response is not None else None) == status
         assert inbox.statistics().current_buffer_used == (status is None)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,8 @@
-"""Two events that meet: closes, departures and second answers at the wrong instant (docs/CROSSINGS.md)."""
+"""Races between two events: closes, disconnects and second answers that cross something else.
+
+Each test brings about one order of the two events that has caused a fault or could cause one; see
+docs/CROSSINGS.md.
+"""
 
 from __future__ import annotations
 
@@ -43,133 +47,138 @@
 from tests.net import CONF, LIMITS, StandIn, admission, bound, play, stage
 from tests.support import settings
 
-ASK = b"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: 2\r\n\r\nhi"
+REQUEST_BYTES = b"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: 2\r\n\r\nhi"
 
 
 # The listener alone: one client, one connection.
 
 
 @dataclass
-class Door:
-    """A listener whose requests are answered when the test says so, and one client of it."""
+class ListenerHarness:
+    """A listener with one client, whose requests are answered when the test says so."""
 
     nursery: trio.Nursery
     limits: object = LIMITS
-    asked: list[Connection] = field(default_factory=list)
-    left: list[Connection] = field(default_factory=list)
-    heard: trio.Event = field(default_factory=trio.Event)
-    answer: Response | None = None  # given at once; None: the test answers
+    requested: list[Connection] = field(default_factory=list)
+    disconnected: list[Connection] = field(default_factory=list)
+    request_received: trio.Event = field(default_factory=trio.Event)
+    answer: Response | None = None  # response to each request; None: the test responds later
 
     async def open(self, **limits: object) -> None:
-        """Let the client in."""
+        """Start the listener, and connect the client."""
         sock = bound()
         sock.listen(8)
         self.listener = Listener(self, replace(LIMITS, **limits), Counters(), Log(9))  # type: ignore[arg-type]
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
         self.client = trio.socket.socket()
         await self.client.connect(sock.getsockname())
-        await until(lambda: bool(self.listener.connections))
+        await wait_until(lambda: bool(self.listener.connections))
         self.connection = next(iter(self.listener.connections))
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Note it."""
-        self.asked.append(connection)
-        self.heard.set()
+        """Record the request."""
+        self.requested.append(connection)
+        self.request_received.set()
         return self.answer
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Note it."""
-        self.left.append(connection)
+        """Record the disconnect."""
+        self.disconnected.append(connection)
 
     async def answered(self) -> bytes:
-        """Return all that the client gets, to the end; a reset raises."""
-        got = bytearray()  # appending to bytes copies all of them each time: 50 GB for an answer of 20 MB
+        """Return everything that the client receives until the end of the stream; a reset raises."""
+        received = bytearray()  # appending to bytes would copy all of them: 50 GB for an answer of 20 MB
         while data := await self.client.recv(4096):
-            got += data
-        return bytes(got)
+            received += data
+        return bytes(received)
 
 
 @asynccontextmanager
-async def door(**limits: object) -> AsyncIterator[Door]:
-    """Open a door, and close all of it at the end."""
+async def listener_harness(**limits: object) -> AsyncIterator[ListenerHarness]:
+    """Start a listener with a client, and stop both at the end."""
     with trio.fail_after(10):
         async with trio.open_nursery() as nursery:
-            at = Door(nursery)
+            at = ListenerHarness(nursery)
             await at.open(**limits)
             yield at
             nursery.cancel_scope.cancel()
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Wait until something is true."""
-    while not true():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition is true."""
+    while not condition():
         await trio.sleep(0.005)
 
 
-@pytest.mark.parametrize("behind", [b"", b"POST /admit HTTP/1.1\r\n", ASK, ASK * 100])
-def test_a_client_that_closes_while_it_waits_is_seen_to_go_whatever_it_sent_before(behind: bytes) -> None:
-    """Bytes behind the request do not hide the end of its connection."""
+@pytest.mark.parametrize("behind", [b"", b"POST /admit HTTP/1.1\r\n", REQUEST_BYTES, REQUEST_BYTES * 100])
+def test_disconnect_of_a_waiting_client_is_detected_behind_unread_data(behind: bytes) -> None:
+    """Data that a client sent after its request must not hide the end of its connection."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK + behind)
-            await at.heard.wait()
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES + behind)
+            await at.request_received.wait()
             at.client.close()
-            await until(lambda: bool(at.left))
-            await until(lambda: not at.listener.connections)
-            assert len(at.asked) == 1
+            await wait_until(lambda: bool(at.disconnected))
+            await wait_until(lambda: not at.listener.connections)
+            assert len(at.requested) == 1
 
     play(scene)
 
 
-def test_what_is_read_behind_an_open_request_has_a_bound() -> None:
-    """A client that floods is told so, its request is withdrawn, and its connection ends."""
+def test_data_read_behind_an_open_request_is_limited() -> None:
+    """A client that sends too much gets 400, its request is withdrawn, and its connection ends."""
 
     async def scene() -> None:
-        async with door(read_ahead_bytes=1000) as at:
-            await at.client.send(ASK + b"x" * 2000)
-            got = await at.answered()
-            assert got.startswith(b"HTTP/1.1 400") and at.left == at.asked == [at.connection]
+        async with listener_harness(read_ahead_bytes=1000) as at:
+            await at.client.send(REQUEST_BYTES + b"x" * 2000)
+            received = await at.answered()
+            assert received.startswith(b"HTTP/1.1 400") and at.disconnected == at.requested == [at.connection]
 
     play(scene)
 
 
-def test_bytes_behind_a_request_are_the_next_one(tmp_path: Path) -> None:
-    """Read early, it is begun after the first one's answer, and both are answered."""
+def test_pipelined_request_is_handled_after_the_first_response(tmp_path: Path) -> None:
+    """A request that is read while another one is open starts after the first response; both are answered."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
-            await at.client.send(ASK)
-            await until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
-            assert len(at.asked) == 1
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
+            await at.client.send(REQUEST_BYTES)
+            await wait_until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
+            assert len(at.requested) == 1
             at.connection.respond(Response(200, b"one"))
-            await until(lambda: len(at.asked) == 2)
+            await wait_until(lambda: len(at.requested) == 2)
             at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"two"))
-            got = await at.answered()
-            assert got.count(b"HTTP/1.1 200") == 2 and got.endswith(b"two")
+            received = await at.answered()
+            assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"two")
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["end_idle", "expire"])
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_answered(how: str) -> None:
-    """It comes after the look and before the shutdown; the connection ends with its answer."""
+def test_request_that_crosses_the_close_of_an_idle_connection_is_answered(how: str) -> None:
+    """A request may arrive between the check for idleness and the shutdown.
+
+    It must be answered, and the connection ends with the answer.
+    """
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             if how == "end_idle":
                 assert at.connection.close_if_idle()
             else:
                 at.connection.lifetime.expires_at = 0.0
                 at.connection.expire()
-            at.client._sock.send(ASK[:10])  # type: ignore[attr-defined]  # no task runs in between
-            await until(lambda: at.connection.stream.h11.trailing_data[0] == ASK[:10])
-            assert at.connection.lifetime.expires_at > trio.current_time()  # it has its own time from now on
-            await at.client.send(ASK[10:])
-            await at.heard.wait()
+            at.client._sock.send(REQUEST_BYTES[:10])  # type: ignore[attr-defined]  # no task runs in between
+            await wait_until(lambda: at.connection.stream.h11.trailing_data[0] == REQUEST_BYTES[:10])
+            assert (
+                at.connection.lifetime.expires_at > trio.current_time()
+            )  # the request has its own time limit
+            await at.client.send(REQUEST_BYTES[10:])
+            await at.request_received.wait()
             at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served")
@@ -177,35 +186,35 @@
     play(scene)
 
 
-def test_a_request_read_after_the_shutdown_is_not_begun() -> None:
-    """Nor read: the connection is reset, and the client, which has seen its end, asks elsewhere."""
+def test_request_after_the_shutdown_is_neither_read_nor_handled() -> None:
+    """The connection is reset; the client has seen its end and sends the request to another node."""
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             at.connection.close_gracefully()
             assert await at.client.recv(10) == b""
-            await at.client.send(ASK)
+            await at.client.send(REQUEST_BYTES)
             with pytest.raises(OSError):  # the reset
                 while True:
-                    await at.client.send(ASK)
-            await until(lambda: not at.listener.connections)
-            assert not at.asked
+                    await at.client.send(REQUEST_BYTES)
+            await wait_until(lambda: not at.listener.connections)
+            assert not at.requested
 
     play(scene)
 
 
-def test_no_close_over_unread_bytes_after_the_last_answer() -> None:
-    """A close over them would be a reset, and may overtake the answer."""
+def test_connection_is_not_closed_over_unread_data_after_the_last_answer() -> None:
+    """Closing a socket with unread data resets the connection, and the reset can overtake the answer."""
 
     async def scene() -> None:
-        async with door(linger_s=5.0) as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
+        async with listener_harness(linger_s=5.0) as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"last"))
             at.client._sock.send(b"x" * 60_000)  # type: ignore[attr-defined]
-            await until(lambda: at.connection.is_closing)
-            for _ in range(4):  # a reset would show at the second
+            await wait_until(lambda: at.connection.is_closing)
+            for _ in range(4):  # after a reset, the second send would fail
                 await at.client.send(b"x" * 20_000)
                 await trio.testing.wait_all_tasks_blocked(0.01)
             assert (await at.answered()).endswith(b"last")
@@ -213,89 +222,89 @@
     play(scene)
 
 
-def test_bytes_that_come_while_the_last_answer_is_written_do_not_cut_it_off() -> None:
-    """They are no request any more, and no fault either."""
+def test_data_received_while_the_last_answer_is_written_does_not_truncate_it() -> None:
+    """Such data is no longer a request, and must not count as an error either."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             at.connection.closes_after_response = True
-            at.connection.respond(Response(200, b"x" * 20_000_000))  # more than the system takes at once
-            await until(lambda: at.connection.stream.is_writing)
+            at.connection.respond(Response(200, b"x" * 20_000_000))  # more than the socket buffers hold
+            await wait_until(lambda: at.connection.stream.is_writing)
             await at.client.send(b"x" * 1000)
-            await until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
+            await wait_until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
             assert len(await at.answered()) > 20_000_000
 
     play(scene)
 
 
-def test_one_that_is_to_make_room_stays_where_a_request_has_come() -> None:
-    """Looked at and closed in one step."""
+def test_connection_with_an_unread_request_is_not_evicted() -> None:
+    """The check for unread data and the close happen in one step, so no request can arrive in between."""
 
     async def scene() -> None:
-        async with door() as at:
-            at.client._sock.send(ASK)  # type: ignore[attr-defined]
+        async with listener_harness() as at:
+            at.client._sock.send(REQUEST_BYTES)  # type: ignore[attr-defined]
             assert not at.connection.close_if_unused()
-            await at.heard.wait()
+            await at.request_received.wait()
             at.connection.respond(Response(200))
             await at.client.recv(1000)
-            await until(lambda: at.connection.is_idle)
+            await wait_until(lambda: at.connection.is_idle)
             assert at.connection.close_if_unused() and at.connection.stream.raw.fileno() < 0
-            await until(lambda: not at.listener.connections)
+            await wait_until(lambda: not at.listener.connections)
 
     play(scene)
 
 
 @pytest.mark.parametrize("at_once", [False, True])
-def test_a_client_that_takes_no_answer_is_cut_off(at_once: bool) -> None:
-    """There is no good order left for it; others wait for its place."""
+def test_client_that_does_not_read_its_answer_is_disconnected(at_once: bool) -> None:
+    """An orderly close is not possible for it, and other clients need its place."""
 
     async def scene() -> None:
-        async with door(write_response_timeout_s=0.05, sweep_interval_s=0.02) as at:
+        async with listener_harness(write_response_timeout_s=0.05, sweep_interval_s=0.02) as at:
             if at_once:
                 at.answer = Response(200, b"x" * 50_000_000)
-            await at.client.send(ASK)
-            await at.heard.wait()
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             at.connection.respond(Response(200, b"x" * 50_000_000))
-            await until(lambda: not at.listener.connections)
+            await wait_until(lambda: not at.listener.connections)
 
     play(scene)
 
 
 class PacedSocket:
-    """A client's connection as the node sees it: one request, and then so many bytes taken a second."""
+    """A client's connection as the node sees it: it sends one request, then reads some bytes a second."""
 
     def __init__(self, bytes_a_second: int, bytes_in_all: int) -> None:
         self.bytes_a_second, self.bytes_in_all = bytes_a_second, bytes_in_all
         self.taken = 0
-        self.request = ASK
+        self.request = REQUEST_BYTES
 
     def __enter__(self) -> PacedSocket:
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Close it."""
+        """Close nothing."""
 
     def setsockopt(self, *option: object) -> None:
-        """Take any option."""
+        """Accept any option."""
 
     def fileno(self) -> int:
         """Return no descriptor, so that nothing polls it."""
         return -1
 
     def shutdown(self, how: int) -> None:
-        """Write no more."""
+        """Do nothing."""
 
-    async def recv(self, most: int) -> bytes:
-        """Return the request once, and then nothing until the connection ends."""
+    async def recv(self, max_bytes: int) -> bytes:
+        """Return the request once, and then wait until the connection ends."""
         request, self.request = self.request, b""
         if not request:
             await trio.sleep_forever()
         return request
 
     async def send(self, data: bytes | memoryview) -> int:
-        """Take what is left of this second's share."""
+        """Read one second's share of the data, after a second."""
         if self.taken >= self.bytes_in_all:
             await trio.sleep_forever()
         await trio.sleep(1.0)
@@ -305,31 +314,31 @@
 
 
 async def serve_paced_client(client: PacedSocket, answer_bytes: int) -> float:
-    """Answer the client through a listener; return after how many seconds its connection has ended."""
+    """Answer the client through a listener; return the seconds until its connection has ended."""
     async with trio.open_nursery() as nursery:
-        here = Door(nursery, answer=Response(200, b"x" * answer_bytes))
-        listener = Listener(here, LIMITS, Counters(), Log(9))
+        harness = ListenerHarness(nursery, answer=Response(200, b"x" * answer_bytes))
+        listener = Listener(harness, LIMITS, Counters(), Log(9))
         with bound() as sock:
             sock.listen(1)
             await nursery.start(listener.serve, trio.socket.from_stdlib_socket(sock))
             began = trio.current_time()
             listener.adopt(client)  # type: ignore[arg-type]
-            await until(lambda: bool(listener.connections))
-            await until(lambda: not listener.connections)
+            await wait_until(lambda: bool(listener.connections))
+            await wait_until(lambda: not listener.connections)
             nursery.cancel_scope.cancel()
     return trio.current_time() - began
 
 
-def test_a_client_that_takes_a_little_each_second_gets_its_whole_answer() -> None:
-    """The write timeout counts from the last byte taken, so an answer may take longer than it in all."""
+def test_slow_client_gets_its_whole_answer() -> None:
+    """The write timeout counts from the last byte read, so a whole answer may take longer than that."""
     client = PacedSocket(bytes_a_second=1000, bytes_in_all=1_000_000)
     seconds = int(4 * LIMITS.write_response_timeout_s)
     trio.run(serve_paced_client, client, 1000 * seconds, clock=trio.testing.MockClock(autojump_threshold=0))
     assert client.taken > 1000 * seconds
 
 
-def test_a_client_that_stops_taking_its_answer_is_cut_off_after_the_write_timeout() -> None:
-    """Counted from the last byte that it took."""
+def test_client_that_stops_reading_is_disconnected_after_the_write_timeout() -> None:
+    """The timeout counts from the last byte that the client read."""
     client = PacedSocket(bytes_a_second=1000, bytes_in_all=3000)
     ended = trio.run(serve_paced_client, client, 20_000, clock=trio.testing.MockClock(autojump_threshold=0))
     assert client.taken == 3000
@@ -340,40 +349,40 @@
     )
 
 
-def test_accepted_connections_hold_nothing_back() -> None:
-    """Small writes go out at once, or a reset would take them with it."""
+def test_accepted_connections_send_small_writes_at_once() -> None:
+    """Data that Nagle's algorithm holds back would be lost if the connection is reset."""
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             assert at.connection.stream.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     play(scene)
 
 
-def test_a_process_that_ends_closes_its_connections_in_good_order() -> None:
-    """Those that rest are shut, one whose answer is due gets it."""
+def test_process_that_ends_closes_its_connections_in_an_orderly_way() -> None:
+    """Idle connections are shut down; one with an open request gets its answer first."""
 
     async def scene() -> None:
-        async with door() as at:
-            await at.client.send(ASK)
-            await at.heard.wait()
+        async with listener_harness() as at:
+            await at.client.send(REQUEST_BYTES)
+            await at.request_received.wait()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(at.listener.close_all, 5.0)
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 at.connection.respond(Response(503))
-                got = await at.answered()
+                received = await at.answered()
                 at.client.close()
-            assert b"connection: close" in got and not at.listener.connections
+            assert b"connection: close" in received and not at.listener.connections
 
     play(scene)
 
 
 @pytest.mark.parametrize("calls_back", [False, True])
-def test_a_node_that_leaves_keeps_the_connections_on_which_jobs_are_ended(calls_back: bool) -> None:
-    """Real servers would have to dial anew for each call-back of the last moments."""
+def test_node_that_shuts_down_keeps_connections_that_carry_callbacks(calls_back: bool) -> None:
+    """Otherwise servers would have to reconnect for each callback during the shutdown."""
 
     async def scene() -> None:
-        async with door() as at:
+        async with listener_harness() as at:
             at.connection.carries_callbacks = calls_back
             at.listener.close_idle()
             assert at.connection.is_closing == (not calls_back)
@@ -384,34 +393,37 @@
     play(scene)
 
 
-# A client that has gone, and the attempts that its request would still get.
+# Attempts for a client that has disconnected.
 
 
-class Leaver(Responder):
-    """A client that has left though nobody has said so."""
+class LeavingResponder(Responder):
+    """A responder whose client may have disconnected without a message about it."""
 
     def __init__(self, left: bool) -> None:
-        self.is_left, self.answers = left, 0
+        self.is_disconnected, self.answer_count = left, 0
 
     def answer(self, answer: Answer) -> None:
-        """Count it."""
-        self.answers += 1
+        """Count the answer."""
+        self.answer_count += 1
 
     def has_disconnected(self) -> bool:
-        """Tell what the test says."""
-        return self.is_left
+        """Return what the test has set."""
+        return self.is_disconnected
 
 
 @pytest.mark.parametrize("left", [False, True])
-def test_no_attempt_begins_for_a_client_that_has_left(left: bool) -> None:
-    """The word of it may still wait behind others; the look before the attempt counts."""
+def test_no_attempt_starts_for_a_disconnected_client(left: bool) -> None:
+    """The message about the disconnect may still be queued; the check before an attempt must see it."""
     servers, clock, counters = Mock(), Mock(), Counters()
     clock.now_us.return_value = 1_000_000
-    made = Balancer(settings(balancers=1), 1, 0)
-    made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
-    dispatcher, responder = Dispatcher(made, clock, LIMITS, counters, Log(9), servers, Mock()), Leaver(left)
+    balancer = Balancer(settings(balancers=1), 1, 0)
+    balancer.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
+    dispatcher, responder = (
+        Dispatcher(balancer, clock, LIMITS, counters, Log(9), servers, Mock()),
+        LeavingResponder(left),
+    )
     dispatcher.run_batch([RequestArrived(RequestSpec("j", "safe", 1_000_000, 2_000_000), responder)])
-    assert servers.start.call_count == (not left) and responder.answers == 0
+    assert servers.start.call_count == (not left) and responder.answer_count == 0
     assert (len(dispatcher.requests), counters.counts["requests_withdrawn"]) == ((0, 1) if left else (1, 0))
 
 
@@ -425,20 +437,20 @@
         ("unsafe", "all", AnswerStatus.FAILED),
     ],
 )
-def test_a_node_that_stops_cuts_an_attempt_short_and_sends_no_other(
+def test_shutdown_shortens_an_attempt_and_starts_no_other(
     job_class: str, group: str, verdict: AnswerStatus
 ) -> None:
-    """The dispatcher's deadline is earlier than the module's, which would send the job again."""
+    """The dispatcher's deadline is earlier than the decision module's, which would send the job again."""
     servers, clock, responder = Mock(), Mock(), Mock()
     responder.has_disconnected.return_value = False
     clock.now_us.return_value = 1_000_000
     conf = settings(balancers=1)
     conf.classes[1].group = group
-    made = Balancer(conf, 1, 0)
-    made.handle(
+    balancer = Balancer(conf, 1, 0)
+    balancer.handle(
         0, [EndpointsChanged("all", [EndpointEntry(f"w{n}", "a", f"k{n % 2 + 1}") for n in range(4)])]
     )
-    dispatcher = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    dispatcher = Dispatcher(balancer, clock, LIMITS, Counters(), Log(9), servers, Mock())
     spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, idempotency_key="k")
     dispatcher.run_batch([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
@@ -457,16 +469,16 @@
         ([AttemptProgress("j", "w", 0.4)], Outcome.RESET),
     ],
 )
-def test_the_dispatcher_takes_no_hand_back_after_a_start_or_progress_for_unstarted(
+def test_job_returned_after_a_start_or_progress_does_not_count_as_never_run(
     reported: list[Message], outcome: Outcome
 ) -> None:
-    """Whatever the module makes of it: counters and fronts go by the dispatcher's word."""
+    """The dispatcher itself must decide this, because counters and fronts use its outcome."""
     clock, counters, responder = Mock(), Counters(), Mock()
     responder.has_disconnected.return_value = False
     clock.now_us.return_value = 1_000_000
-    made = Balancer(settings(balancers=1), 1, 0)
-    made.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
-    dispatcher = Dispatcher(made, clock, LIMITS, counters, Log(9), Mock(), Mock())
+    balancer = Balancer(settings(balancers=1), 1, 0)
+    balancer.handle(0, [EndpointsChanged("all", [EndpointEntry("w", "a", "k1")])])
+    dispatcher = Dispatcher(balancer, clock, LIMITS, counters, Log(9), Mock(), Mock())
     dispatcher.run_batch([RequestArrived(RequestSpec("j", "unsafe", 1_000_000, 5_000_000), responder)])
     dispatcher.run_batch([*reported, AttemptFinished("j", "w", Outcome.FULL)])
     assert counters.counts[f"attempts_{outcome.name.lower()}"] == 1
@@ -475,49 +487,49 @@
 
 
 @pytest.mark.parametrize("unread", [b"", b"x"])
-def test_a_connection_shows_that_its_client_has_left(unread: bytes) -> None:
-    """Whatever of it is still unread."""
+def test_disconnect_is_visible_on_the_connection(unread: bytes) -> None:
+    """It must also be visible while data of the client is still unread."""
 
     async def scene() -> None:
-        ours, theirs = trio.socket.socketpair()
-        client_request = ClientRequest(Mock(sock=ours), "j")
-        with ours, theirs:
-            await theirs.send(b"y" + unread)
+        server_end, client_end = trio.socket.socketpair()
+        client_request = ClientRequest(Mock(sock=server_end), "j")
+        with server_end, client_end:
+            await client_end.send(b"y" + unread)
             assert not client_request.has_disconnected()
-            theirs.close()
+            client_end.close()
             assert client_request.has_disconnected()
 
     play(scene)
 
 
-async def nothing(server: StandIn, request: Request) -> Response | None:
-    """Say nothing to a job until the stand-in's stage ends; take all else."""
+async def answer_no_job(server: StandIn, request: Request) -> Response | None:
+    """Never answer a job; answer everything else with 200."""
     if request.method == "POST":
         await trio.sleep_forever()
     return Response(200)
 
 
-def test_a_client_that_leaves_during_the_dial_has_nothing_sent(tmp_path: Path) -> None:
-    """The connection that came up too late is kept for others."""
+def test_nothing_is_sent_for_a_client_that_disconnects_while_connecting(tmp_path: Path) -> None:
+    """The new connection, which the request does not need any more, is kept for other requests."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            server, wanted = at.add("s"), True
+            server, is_connected = at.add("s"), True
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters())
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
-            dial = pool._connection
+            get_connection = pool._connection
 
-            async def left(known: object, in_quarantine: bool) -> object:
-                nonlocal wanted
-                made = await dial(known, in_quarantine)  # type: ignore[arg-type]
-                wanted = False
-                return made
+            async def disconnect_meanwhile(pooled_server: object, in_quarantine: bool) -> object:
+                nonlocal is_connected
+                connection = await get_connection(pooled_server, in_quarantine)  # type: ignore[arg-type]
+                is_connected = False
+                return connection
 
-            pool._connection = left  # type: ignore[method-assign,assignment]
+            pool._connection = disconnect_meanwhile  # type: ignore[method-assign,assignment]
 
             def check_before_sending() -> list[tuple[str, str]]:
-                if not wanted:
+                if not is_connected:
                     raise AttemptWithheldError("its client has left")
                 return []
 
@@ -528,29 +540,29 @@
     play(scene)
 
 
-def test_an_attempt_given_up_before_its_202_is_deleted_too(tmp_path: Path) -> None:
-    """The 202 may have crossed the close: the job was taken then, and would run on."""
+def test_attempt_cancelled_before_its_202_is_deleted(tmp_path: Path) -> None:
+    """The 202 may have crossed the close; the server has then accepted the job and would run it."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            server = at.add("s", play=nothing)
+            server = at.add("s", play=answer_no_job)
             await at.start()
             client = trio.socket.socket()
             await client.connect(("127.0.0.2", at.port))
             head = "".join(f"{name}: {value}\r\n" for name, value in admission("j"))
             await client.send(f"POST /admit HTTP/1.1\r\nhost: n\r\n{head}content-length: 0\r\n\r\n".encode())
-            await until(lambda: bool(server.targets()))
+            await wait_until(lambda: bool(server.targets()))
             client.close()
-            await until(lambda: server.targets("DELETE") == ["/jobs/j"])
+            await wait_until(lambda: server.targets("DELETE") == ["/jobs/j"])
 
     play(scene)
 
 
-# Answers that come twice.
+# Servers that send an answer twice.
 
 
-def twice(answer: bytes, late: float) -> Callable[[trio.SocketStream], object]:
-    """Return a server that gives each answer twice."""
+def answers_twice(answer: bytes, late: float) -> Callable[[trio.SocketStream], object]:
+    """Return a server that sends each answer twice; the second one ``late`` seconds after the first."""
 
     async def serve(stream: trio.SocketStream) -> None:
         with contextlib.suppress(trio.BrokenResourceError):
@@ -573,25 +585,25 @@
 
 @pytest.mark.parametrize("answer", ANSWERS)
 @pytest.mark.parametrize("late", [0.0, 0.01])
-def test_a_second_answer_never_passes_for_that_of_the_next_request(late: float, answer: str) -> None:
-    """A job that was taken would be held for one that never ran, and be sent again."""
+def test_second_answer_is_not_used_for_the_next_request(late: float, answer: str) -> None:
+    """Otherwise an accepted job could be treated as one that never ran, and be sent again."""
 
     async def scene() -> None:
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
-                listeners = await nursery.start(trio.serve_tcp, twice(ANSWERS[answer], late), 0)
+                listeners = await nursery.start(trio.serve_tcp, answers_twice(ANSWERS[answer], late), 0)
                 _host, port = listeners[0].socket.getsockname()[:2]
                 counters = Counters()
                 pool = ConnectionPool(LIMITS, counters)
                 pool.update_endpoints("all", [ServiceEntry("s", f"127.0.0.1:{port}")])
                 first = await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x"))
-                if not late:  # both are read at once
+                if not late:  # both answers are read at once
                     await trio.sleep(2 * LIMITS.pool_reuse_pause_s)
                 assert (
                     await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x"))
                 ).status == first.status
-                assert counters.counts["server_connections"] == 2  # on a connection of its own
-                # A give-up takes any connection, but the next job not the one that it used.
+                assert counters.counts["server_connections"] == 2  # the second request used a new connection
+                # A DELETE may use any connection, but the next job must not use the one of the DELETE.
                 await pool.exchange("s", OutgoingRequest("DELETE", "/jobs/x", may_reuse_in_quarantine=True))
                 assert counters.counts["server_connections"] == (3 if not late else 2)
                 assert (
@@ -605,35 +617,35 @@
 # Signals.
 
 
-def test_a_node_told_to_end_while_it_starts_ends(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It would serve until it is killed, with requests under way."""
+def test_sigterm_during_the_start_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A node that misses the signal would serve until it is killed, with requests in progress."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
             at.add("s")
-            quick = [{**CONF["classes"][0], "deadlineUs": 200_000}]
+            classes = [{**CONF["classes"][0], "deadlineUs": 200_000}]
             monkeypatch.setattr(node_signals, "pending_sigterms", [signal.SIGTERM])
-            await node.run(load(at.configure(classes=quick)), Counters())
+            await node.run(load(at.configure(classes=classes)), Counters())
 
     play(scene)
 
 
-def test_what_crosses_the_exit_is_answered_and_not_begun(tmp_path: Path) -> None:
-    """The dispatcher has ended; nobody reads its inbox any more."""
+def test_requests_after_the_dispatchers_end_are_answered_and_not_started(tmp_path: Path) -> None:
+    """Nobody reads the dispatcher's inbox any more, so a request put into it would get no answer."""
 
     async def scene() -> None:
         from merlinbay.platform.client_adapter import ClientAdapter
 
         send, inbox = trio.open_memory_channel[object](9)
-        responder = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
-        responder.has_ended = True
+        adapter = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
+        adapter.has_ended = True
         head = {name.lower(): value for name, value in admission("j")}
-        refused = await responder.request(
-            Mock(has_served_request=False), Request("POST", "/admit", head, b"")
+        rejected = await adapter.request(Mock(has_served_request=False), Request("POST", "/admit", head, b""))
+        callback = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
+        confirmed = await adapter.request(Mock(), Request("POST", "/v1/job-events", {}, callback))
+        assert rejected is not None and rejected.status == 503 and rejected.headers[0][0] == b"retry-after"
+        assert (
+            confirmed is not None and confirmed.status == 200 and inbox.statistics().current_buffer_used == 0
         )
-        told = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
-        taken = await responder.request(Mock(), Request("POST", "/v1/job-events", {}, told))
-        assert refused is not None and refused.status == 503 and refused.headers[0][0] == b"retry-after"
-        assert taken is not None and taken.status == 200 and inbox.statistics().current_buffer_used == 0
 
     play(scene)
