--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,8 @@
-"""Nothing new to servers that leave: by when a node has the list, whatever happened to its watch."""
+"""No new jobs go to servers that leave.
+
+A node must learn of a draining server within its lease, whatever happens to its watch, and must check the
+list again between the decision for a server and the first byte.
+"""
 
 from __future__ import annotations
 
@@ -58,153 +62,157 @@
 )
 
 
-# The module: when the next call goes out.
+# The decision module: when the next poll is sent.
 
 
-def calls(me: int = 0, fleet: int = 230, ask_us: int = 10 * SECOND, start: int = 0) -> DiscoveryPolling:
-    """Return the calls of one node that started then."""
+def polling_of(me: int = 0, fleet: int = 230, ask_us: int = 10 * SECOND, start: int = 0) -> DiscoveryPolling:
+    """Return the discovery polling of one node that started at ``start``."""
     return DiscoveryPolling(me, fleet, EndpointLease(ask_us, SECOND // 2), Random(me), start)
 
 
-def watching(made: DiscoveryPolling, now: int, took: int = 5_000) -> None:
-    """Have it call, and be answered."""
-    made.next_poll_at_us = now
-    made.poll_if_due(now)
-    made.poll_answered(now + took)
+def poll_successfully(polling: DiscoveryPolling, now: int, took: int = 5_000) -> None:
+    """Send a poll at ``now`` that is answered after ``took``."""
+    polling.next_poll_at_us = now
+    polling.poll_if_due(now)
+    polling.poll_answered(now + took)
 
 
 @pytest.mark.parametrize("ask_us", [0, 2 * SECOND, 10 * SECOND, 60 * SECOND])
 @pytest.mark.parametrize("noticed", [100_000, 2_250_000, 4_500_000])
 @pytest.mark.parametrize(("took", "share"), [(2_000, 0.61), (200_000, 0.91)])
-def test_a_broken_watch_is_opened_anew_before_its_silence_counts(
+def test_failed_watch_is_reopened_before_the_lease_expires(
     ask_us: int, noticed: int, took: int, share: float
 ) -> None:
-    """All of 230 nodes, however late the silence is noticed, and with any time to ask.
+    """All of 230 nodes poll in time, however late they notice the failure and however long the lease is.
 
-    Where all calls cannot fit into what is left, they use more of it: in turn they would wait, and fail.
+    If the polls of all nodes do not fit into the remaining time, they use a larger share of it. Polls that
+    are too dense would wait for each other at discovery, and fail.
     """
     allowed = min(ask_us or math.inf, NOTIFICATION_DELAY_US)
     for me in range(230):
-        made = calls(me, ask_us=ask_us)
-        watching(made, 20 * SECOND, took)  # where a call takes long, they would be spread far
-        heard = 40 * SECOND
-        made.poll_failed(heard + noticed, heard)
-        assert noticed >= allowed or made.next_poll_at_us < heard + allowed - (1 - share) * (
+        polling = polling_of(me, ask_us=ask_us)
+        poll_successfully(polling, 20 * SECOND, took)  # slow polls would be spread over a long time
+        last_answer = 40 * SECOND
+        polling.poll_failed(last_answer + noticed, last_answer)
+        assert noticed >= allowed or polling.next_poll_at_us < last_answer + allowed - (1 - share) * (
             allowed - noticed
         )
 
 
-def test_230_nodes_that_lose_their_watch_at_once_do_not_overrun_discovery() -> None:
-    """Their calls lie apart as far as the time allows: never more than a few in ten milliseconds."""
+def test_230_nodes_that_lose_their_watch_at_once_do_not_overload_discovery() -> None:
+    """Their polls are spread as far as the time allows: never more than a few in ten milliseconds."""
     due = []
     for me in range(230):
-        made = calls(me)
-        watching(made, SECOND, took=5_000)
-        made.poll_failed(30 * SECOND, 28 * SECOND)
-        due.append(made.next_poll_at_us // 10_000)
+        polling = polling_of(me)
+        poll_successfully(polling, SECOND, took=5_000)
+        polling.poll_failed(30 * SECOND, 28 * SECOND)
+        due.append(polling.next_poll_at_us // 10_000)
     assert max(due.count(at) for at in due) <= 4
 
 
 @pytest.mark.parametrize(("ask_us", "allowed"), [(0, 6), (2 * SECOND, 2), (10 * SECOND, 6), (60 * SECOND, 6)])
 @pytest.mark.parametrize("took", [1_000, 3 * SECOND])
-def test_no_call_that_fails_gives_more_time(ask_us: int, allowed: int, took: int) -> None:
-    """Refused at once or failed after a wait, at the start, after a watch and when it is overdue."""
-    made = calls(ask_us=ask_us, start=SECOND)
-    made.start(SECOND)
-    starts = [(made, 1)]
-    made = calls(ask_us=ask_us)
-    watching(made, SECOND)
-    made.poll_failed(32 * SECOND, 30 * SECOND)
-    for one, since in [*starts, (made, 30)]:
+def test_failed_poll_does_not_extend_the_deadline(ask_us: int, allowed: int, took: int) -> None:
+    """Polls are refused at once or fail after a wait, at the start, after a watch, and when overdue."""
+    polling = polling_of(ask_us=ask_us, start=SECOND)
+    polling.start(SECOND)
+    starts = [(polling, 1)]
+    polling = polling_of(ask_us=ask_us)
+    poll_successfully(polling, SECOND)
+    polling.poll_failed(32 * SECOND, 30 * SECOND)
+    for node, since in [*starts, (polling, 30)]:
         for _ in range(5):
-            at = one.next_poll_at_us
-            one.poll_if_due(at)
-            one.poll_failed(at + took)
-            assert one.deadline_us == (since + allowed) * SECOND
-        watching(one, 99 * SECOND)
-        assert one.deadline_us == math.inf
+            at = node.next_poll_at_us
+            node.poll_if_due(at)
+            node.poll_failed(at + took)
+            assert node.deadline_us == (since + allowed) * SECOND
+        poll_successfully(node, 99 * SECOND)
+        assert node.deadline_us == math.inf
 
 
-def test_who_is_overdue_calls_on_within_the_time_that_news_have() -> None:
-    """A discovery that refuses at once is asked steadily: it may be back with news at any moment."""
+def test_overdue_node_keeps_polling_within_the_notification_delay() -> None:
+    """A discovery that refuses polls may return with changes at any time, so it is polled steadily."""
     for me in range(230):
-        made = calls(me)
-        made.start(0)
+        polling = polling_of(me)
+        polling.start(0)
         for _ in range(9):
-            at = made.next_poll_at_us
-            made.poll_if_due(at)
-            made.poll_failed(at + 1000)
-            assert made.next_poll_at_us - at <= 0.76 * 6 * SECOND
+            at = polling.next_poll_at_us
+            polling.poll_if_due(at)
+            polling.poll_failed(at + 1000)
+            assert polling.next_poll_at_us - at <= 0.76 * 6 * SECOND
 
 
 @pytest.mark.parametrize("waits", [1_500_000, 3 * SECOND])
 @pytest.mark.parametrize("cost", [5_000, 60_000])
-def test_a_discovery_down_for_eight_seconds_is_asked_in_time_when_it_is_back(waits: int, cost: int) -> None:
-    """Its failures come after a wait, as those of one that is overrun do; six seconds all the same."""
+def test_discovery_that_was_down_for_eight_seconds_is_polled_in_time_after_it_returns(
+    waits: int, cost: int
+) -> None:
+    """Its failures come after a wait, as if it were overloaded; the six seconds must be kept anyway."""
     late = []
     for me in range(230):
-        made = calls(me)
-        watching(made, SECOND, cost)
-        made.poll_failed(30 * SECOND, 29 * SECOND)
-        while made.next_poll_at_us < 38 * SECOND:
-            at = made.next_poll_at_us
-            made.poll_if_due(at)
-            made.poll_failed(at + waits)
-        late.append(made.next_poll_at_us > 44 * SECOND)
+        polling = polling_of(me)
+        poll_successfully(polling, SECOND, cost)
+        polling.poll_failed(30 * SECOND, 29 * SECOND)
+        while polling.next_poll_at_us < 38 * SECOND:
+            at = polling.next_poll_at_us
+            polling.poll_if_due(at)
+            polling.poll_failed(at + waits)
+        late.append(polling.next_poll_at_us > 44 * SECOND)
     assert sum(late) <= 0.06 * len(late)
 
 
 @pytest.mark.parametrize(("at", "note"), [(5, []), (9, ["the list came 3.0 s after its deadline"])])
-def test_a_list_that_comes_late_is_noted(at: int, note: list[str]) -> None:
-    """Operators see it, and how late."""
-    made = Balancer(settings(must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0)
-    made.handle(SECOND, [TimerFired("subscribe")])
-    out = made.handle(at * SECOND, [EndpointsChanged("all", [entry(0)])])
-    assert [action.text for action in out if isinstance(action, LogNotice)] == note
+def test_late_list_is_logged(at: int, note: list[str]) -> None:
+    """The log tells operators how late the list was."""
+    balancer = Balancer(settings(must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0)
+    balancer.handle(SECOND, [TimerFired("subscribe")])
+    actions = balancer.handle(at * SECOND, [EndpointsChanged("all", [entry(0)])])
+    assert [action.text for action in actions if isinstance(action, LogNotice)] == note
 
 
-def test_another_discovery_counts_whatever_calls_fail() -> None:
-    """Its news count so long after the move."""
-    made = calls()
-    watching(made, SECOND)
-    made.discovery_changed(20 * SECOND, 4 * SECOND, poll_now=True)
-    at = made.next_poll_at_us
-    made.poll_if_due(at)
-    made.poll_failed(at + SECOND)
-    assert made.deadline_us == 24 * SECOND and made.next_poll_at_us < 24 * SECOND
+def test_deadline_set_by_a_new_discovery_is_kept_when_polls_fail() -> None:
+    """Its changes count as notified a fixed time after the configuration change."""
+    polling = polling_of()
+    poll_successfully(polling, SECOND)
+    polling.discovery_changed(20 * SECOND, 4 * SECOND, poll_now=True)
+    at = polling.next_poll_at_us
+    polling.poll_if_due(at)
+    polling.poll_failed(at + SECOND)
+    assert polling.deadline_us == 24 * SECOND and polling.next_poll_at_us < 24 * SECOND
 
 
-def test_a_late_planned_call_is_brought_forward_by_worse_news() -> None:
-    """The start leaves six seconds, another discovery four."""
-    made = calls(me=76, ask_us=10 * SECOND)
-    made.start(0)
-    assert made.next_poll_at_us > 3 * SECOND
-    made.discovery_changed(0, 4 * SECOND, poll_now=True)
-    assert made.next_poll_at_us <= 2.4 * SECOND
+def test_planned_poll_is_moved_forward_by_an_earlier_deadline() -> None:
+    """The start leaves six seconds, another discovery only four."""
+    polling = polling_of(me=76, ask_us=10 * SECOND)
+    polling.start(0)
+    assert polling.next_poll_at_us > 3 * SECOND
+    polling.discovery_changed(0, 4 * SECOND, poll_now=True)
+    assert polling.next_poll_at_us <= 2.4 * SECOND
 
 
-class Fleet:
-    """230 nodes that watch, and the one discovery that works on their calls, 5 ms each, one by one."""
+class PollingFleet:
+    """A simulation of 230 nodes and the one discovery that processes their polls in turn, 5 ms each."""
 
     def __init__(self, broke_us: int, until_us: int, who: range, silent: bool) -> None:
-        """Have some watches break then; calls fail, after 1 s, until discovery is back for those nodes."""
-        self.had, self.queue_us, self.calls = dict[int, int](), 0, 0
-        nodes, due, free = [calls(me) for me in range(230)], list[tuple[int, int, str]](), 0
+        """Fail the watches of nodes ``who`` at ``broke_us``; polls fail after 1 s until ``until_us``."""
+        # Time of the answer by node, longest queue at discovery, and number of polls.
+        self.answered_at_us, self.queue_us, self.poll_count = dict[int, int](), 0, 0
+        nodes, due, free = [polling_of(me) for me in range(230)], list[tuple[int, int, str]](), 0
         for me in who:
-            watching(nodes[me], SECOND)
+            poll_successfully(nodes[me], SECOND)
             noticed = broke_us + (1_750_000 - me * 1000 if silent else 1000)
             nodes[me].poll_failed(noticed, broke_us - me * 1000)
             heapq.heappush(due, (nodes[me].next_poll_at_us, me, "call"))
         while due:
-            now, me, what = heapq.heappop(due)
-            if what == "answer":
+            now, me, event = heapq.heappop(due)
+            if event == "answer":
                 nodes[me].poll_answered(now)
-                self.had[me] = now
-            elif what == "fail":
+                self.answered_at_us[me] = now
+            elif event == "fail":
                 nodes[me].poll_failed(now, failure=CallFailure.SILENT)
                 heapq.heappush(due, (nodes[me].next_poll_at_us, me, "call"))
             elif nodes[me].poll_if_due(now):
-                self.calls += 1
+                self.poll_count += 1
                 if now < until_us:
                     heapq.heappush(due, (now + SECOND, me, "fail"))
                     continue
@@ -222,46 +230,51 @@
         ("a zone is cut off for 18 s", 18 * SECOND, range(0, 230, 3), True, 23 * SECOND),
     ],
 )
-def test_a_fleet_has_the_list_again_in_time(
+def test_fleet_gets_the_list_again_in_time(
     what: str, down_us: int, who: range, silent: bool, within_us: int
 ) -> None:
-    """Within the silence's time, or the time to ask from discovery's return; and discovery is not overrun."""
+    """The limit is the lease, or the time to ask after discovery's return. Discovery is not overloaded."""
     began = 40 * SECOND
-    fleet = Fleet(began, began + down_us, who, silent)
-    assert len(fleet.had) == len(who) and max(fleet.had.values()) < began + within_us, what
+    fleet = PollingFleet(began, began + down_us, who, silent)
+    assert len(fleet.answered_at_us) == len(who) and max(fleet.answered_at_us.values()) < began + within_us, (
+        what
+    )
     assert fleet.queue_us < SECOND, what
-    assert fleet.calls <= len(who) * (1 + down_us / SECOND / 2), what
+    assert fleet.poll_count <= len(who) * (1 + down_us / SECOND / 2), what
 
 
-def test_a_move_while_the_old_watch_is_silent_keeps_to_what_comes_first() -> None:
-    """The silence counts two seconds after it is noticed, the move four: the call goes out before both."""
-    made = calls(me=100)
-    watching(made, SECOND)
-    made.discovery_changed(30 * SECOND, 4 * SECOND, poll_now=True)
-    made.poll_failed(31 * SECOND, 27 * SECOND)
-    assert made.deadline_us == 33 * SECOND and made.next_poll_at_us < 33 * SECOND
+def test_new_discovery_during_a_silent_watch_keeps_the_earlier_deadline() -> None:
+    """The lease ends two seconds after the silence is noticed, the other deadline four after the move.
+
+    The poll must be sent before both.
+    """
+    polling = polling_of(me=100)
+    poll_successfully(polling, SECOND)
+    polling.discovery_changed(30 * SECOND, 4 * SECOND, poll_now=True)
+    polling.poll_failed(31 * SECOND, 27 * SECOND)
+    assert polling.deadline_us == 33 * SECOND and polling.next_poll_at_us < 33 * SECOND
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_retries_and_copies_keep_clear_of_who_leaves(state: str) -> None:
-    """Whatever has them sent again: an outcome, or the look at a job that has not started."""
+def test_retries_and_hedges_avoid_servers_that_leave(state: str) -> None:
+    """Both after an outcome, and after the check of a job that has not started."""
     for fails in (True, False):
-        made = Balancer(settings(balancers=1), 1, 0)
-        made.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
-        first = made.handle(SECOND, [RequestReceived(1, "safe", 5 * SECOND)])
+        balancer = Balancer(settings(balancers=1), 1, 0)
+        balancer.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
+        first = balancer.handle(SECOND, [RequestReceived(1, "safe", 5 * SECOND)])
         at = next(a.endpoint for a in first if isinstance(a, Dispatch))
         other = {"w0": 2, "w2": 0}[at]
-        made.handle(SECOND, [EndpointsChanged("changes", [entry(other, state)])])
+        balancer.handle(SECOND, [EndpointsChanged("changes", [entry(other, state)])])
         then = (
-            made.handle(SECOND + 1, [AttemptEnded(1, 0, Outcome.FULL, 1, False, None, at)])
+            balancer.handle(SECOND + 1, [AttemptEnded(1, 0, Outcome.FULL, 1, False, None, at)])
             if fails
-            else made.handle(2 * SECOND, [TimerFired("watch")])
+            else balancer.handle(2 * SECOND, [TimerFired("watch")])
         )
         assert f"w{other}" not in [a.endpoint for a in then if isinstance(a, Dispatch)]
 
 
-def test_1024_entries_of_one_list_are_all_used() -> None:
-    """Decoded, indented, in one answer below the bound on its size; and handed over to the next process."""
+def test_list_of_1024_entries_is_used_and_handed_over_completely() -> None:
+    """An indented list of this size must stay far below the limit on an answer's size."""
     rows = [
         {
             "id": f"s-{n:08x}",
@@ -277,41 +290,41 @@
     ]
     text = json.dumps({"version": 1, "full": True, "servers": rows}, indent=4).encode()
     assert len(text) < LIMITS.endpoint_list_bytes / 4
-    found = messages.entries(messages.read_listing(text))
-    made = Balancer(settings(balancers=230), 1, 0)
-    made.handle(
+    entries = messages.entries(messages.read_listing(text))
+    balancer = Balancer(settings(balancers=230), 1, 0)
+    balancer.handle(
         0,
         [
             EndpointsChanged(
                 "all",
-                [EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, 0) for e in found],
+                [EndpointEntry(e.server, e.zone, e.kind, e.cell, e.state, e.weight, 0) for e in entries],
             )
         ],
     )
-    assert len(made.parts.endpoints.usable) == 1024
-    sent = handed.state_messages(1, found, made.take_snapshot(), False)
+    assert len(balancer.parts.endpoints.usable) == 1024
+    sent = handed.state_messages(1, entries, balancer.take_snapshot(), False)
     assert sum(len(message.entries) for message in sent if isinstance(message, handed.StateChunk)) == 1024
     assert sum(len(message.endpoints) for message in sent if isinstance(message, handed.StateChunk)) == 1024
     assert max(len(handed.encode(message)) for message in sent) < LIMITS.handover_packet_bytes
 
 
-def test_a_node_with_1024_entries_keeps_to_its_descriptors(tmp_path: Path) -> None:
-    """Every job is turned away and goes to one server after the other: old connections make room."""
+def test_node_with_1024_entries_stays_within_its_descriptor_limit(tmp_path: Path) -> None:
+    """Every job is rejected by one server after another, so old connections must make room for new ones."""
 
-    async def turns_away(server: StandIn, request: Request) -> Response:
+    async def reject(server: StandIn, request: Request) -> Response:
         return Response(503, b"", [(b"x-not-processed", b"1")])
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            server = at.add("s-0", play=turns_away)
+            server = at.add("s-0", play=reject)
             at.rows += [{**at.rows[0], "id": f"s-{n}", "cell": n // 6} for n in range(1, 1024)]
             await at.start(program=True, discovery="automatic")
             assert at.process is not None
-            most = 0
+            max_descriptors = 0
             for number in range(60):
-                await at.admit(f"j{number}", 3000)  # refused, or failed where the machine is slow
-                most = max(most, len(os.listdir(f"/proc/{at.process.pid}/fd")))
-            assert len(server.connections) > 80 and most < at.sockets * 35 // 100 + 32
+                await at.admit(f"j{number}", 3000)  # rejected, or failed if the machine is slow
+                max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{at.process.pid}/fd")))
+            assert len(server.connections) > 80 and max_descriptors < at.sockets * 35 // 100 + 32
 
     play(scene)
 
@@ -319,18 +332,18 @@
 # Discovery on sockets.
 
 
-class Told:
-    """A stand-in discovery, and what a node's watch of it tells."""
+class DiscoveryHarness:
+    """A stand-in discovery, a node's watch of it, and the inbox to which the watch reports."""
 
-    def __init__(self, scene: Stage, pushed: bool, plays: list[str], room: int = 100) -> None:
-        self.plays, self.lists = plays, 0
-        self.asked = StandIn(scene, "discovery", self.answer)
-        self.asked.sock.listen(8)  # Guards against a first call that finds nobody.
-        scene.nursery.start_soon(self.asked.listen)
-        send, self.inbox = trio.open_memory_channel[Message](room)
+    def __init__(self, scene: Stage, pushed: bool, answers: list[str], inbox_size: int = 100) -> None:
+        self.answers, self.lists_sent = answers, 0
+        self.stand_in = StandIn(scene, "discovery", self.answer)
+        self.stand_in.sock.listen(8)  # listens at once, so that the first poll is not refused
+        scene.nursery.start_soon(self.stand_in.listen)
+        send, self.inbox = trio.open_memory_channel[Message](inbox_size)
         self.counters = Counters()
         self.discovery = Discovery(
-            self.asked.addr,
+            self.stand_in.addr,
             None,
             [ServiceEntry("s", "127.0.0.2:1")],
             pushed,
@@ -343,35 +356,37 @@
         scene.nursery.start_soon(self.discovery.run)
 
     async def answer(self, server: StandIn, request: Request) -> Response | None:
-        """Play the next of the plays, then a list in which the server drains."""
-        what = self.plays.pop(0) if self.plays else "draining"
-        rows = [{"id": "s", "addr": "127.0.0.2:1", "state": "SERVING" if what == "up" else "DRAINING"}]
-        if what == "silent":
+        """Give the next of the answers, or a list in which the server drains when there are none left."""
+        kind = self.answers.pop(0) if self.answers else "draining"
+        rows = [{"id": "s", "addr": "127.0.0.2:1", "state": "SERVING" if kind == "up" else "DRAINING"}]
+        if kind == "silent":
             await trio.sleep_forever()
-        if what == "down":
+        if kind == "down":
             return Response(503)
-        if what in ("cut", "odd"):
+        if kind in ("cut", "odd"):
             return Response(
                 200,
                 b'{"version":2,"full":true,"servers":[{"id"'
-                if what == "cut"
+                if kind == "cut"
                 else b'{"version":"x","full":true,"servers":[]}',
             )
-        if what == "empty":
+        if kind == "empty":
             rows = []
-        if what == "nothing":
-            return Response(200, json.dumps({"version": self.lists, "full": False, "servers": []}).encode())
-        self.lists += 1
+        if kind == "nothing":
+            return Response(
+                200, json.dumps({"version": self.lists_sent, "full": False, "servers": []}).encode()
+            )
+        self.lists_sent += 1
         return Response(
             200,
             json.dumps(
-                {"version": self.lists, "full": True, "servers": rows},
-                indent=2 if what == "indented" else None,
+                {"version": self.lists_sent, "full": True, "servers": rows},
+                indent=2 if kind == "indented" else None,
             ).encode(),
         )
 
-    async def news(self) -> EndpointListReceived:
-        """Return what the watch tells next."""
+    async def next_message(self) -> EndpointListReceived:
+        """Return the next message that the watch reports."""
         message = await self.inbox.receive()
         assert isinstance(message, EndpointListReceived)
         return message
@@ -379,80 +394,89 @@
 
 @pytest.mark.parametrize("trouble", ["silent", "down", "cut cut", "silent silent down"])
 @pytest.mark.parametrize("pushed", [True, False])
-def test_whatever_ends_a_watch_the_list_is_had_again(tmp_path: Path, trouble: str, pushed: bool) -> None:
-    """Where lists are pushed by itself; where they are asked for as soon as the module says so."""
+def test_list_is_received_again_whatever_ended_the_watch(tmp_path: Path, trouble: str, pushed: bool) -> None:
+    """A watch of pushed lists restarts by itself; other watches restart when the module subscribes."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, pushed, ["up", *trouble.split()])
-            told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "up" and told.discovery.is_up("s")
-            refused = []
-            while (news := await told.news()).scope == "refused":
-                refused.append(news.last_answer_at_us > 0)
+            harness = DiscoveryHarness(at, pushed, ["up", *trouble.split()])
+            harness.discovery.subscribe()
+            assert (await harness.next_message()).entries[0].state == "up" and harness.discovery.is_up("s")
+            had_answer = []
+            while (message := await harness.next_message()).scope == "refused":
+                had_answer.append(message.last_answer_at_us > 0)
                 if not pushed:
-                    told.discovery.subscribe()
-            assert refused == [True] + [False] * (len(refused) - 1) and refused
-            assert news.entries[0].state == "draining" and not told.discovery.is_up("s")
+                    harness.discovery.subscribe()
+            assert had_answer == [True] + [False] * (len(had_answer) - 1) and had_answer
+            assert message.entries[0].state == "draining" and not harness.discovery.is_up("s")
 
     play(scene)
 
 
 @pytest.mark.parametrize("what", ["cut", "odd"])
-def test_a_spoilt_list_leaves_the_old_one_and_ends_no_watch(tmp_path: Path, what: str) -> None:
-    """It is asked for once more on the same watch, and the next one counts."""
+def test_malformed_list_keeps_the_old_one_and_the_watch(tmp_path: Path, what: str) -> None:
+    """The poll is repeated on the same connection, and the next list is used."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, False, ["up", what, "indented"])
-            told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "up"
-            news = await told.news()
-            assert (news.scope, news.entries[0].state) == ("all", "draining")
-            assert told.counters.counts["lists_spoilt"] == 1 and not told.counters.counts["watches_failed"]
-            assert len(told.asked.connections) == 1
+            harness = DiscoveryHarness(at, False, ["up", what, "indented"])
+            harness.discovery.subscribe()
+            assert (await harness.next_message()).entries[0].state == "up"
+            message = await harness.next_message()
+            assert (message.scope, message.entries[0].state) == ("all", "draining")
+            assert (
+                harness.counters.counts["lists_spoilt"] == 1 and not harness.counters.counts["watches_failed"]
+            )
+            assert len(harness.stand_in.connections) == 1
 
     play(scene)
 
 
-def test_a_new_configuration_at_the_same_place_is_answered_though_nothing_has_changed(tmp_path: Path) -> None:
-    """Right after the moment that it has set, which would never be lifted else. The watch stays as it is."""
+def test_reload_with_the_same_discovery_is_confirmed_without_changes(tmp_path: Path) -> None:
+    """A reload sets a deadline that only a later answer lifts, so an answer without changes is reported.
+
+    The watch itself goes on.
+    """
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, False, ["up", *["nothing"] * 999])
-            told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "up"
+            harness = DiscoveryHarness(at, False, ["up", *["nothing"] * 999])
+            harness.discovery.subscribe()
+            assert (await harness.next_message()).entries[0].state == "up"
             moved_at = trio.current_time()
-            assert not told.discovery.move(told.asked.addr)
-            news = await told.news()
+            assert not harness.discovery.move(harness.stand_in.addr)
+            message = await harness.next_message()
             assert 0.2 <= trio.current_time() - moved_at < 0.4
-            assert (news.scope, news.entries, news.is_from_former_discovery) == ("changes", [], False)
-            assert len(told.asked.connections) == 1
+            assert (message.scope, message.entries, message.is_from_former_discovery) == (
+                "changes",
+                [],
+                False,
+            )
+            assert len(harness.stand_in.connections) == 1
 
     play(scene)
 
 
-def test_an_answer_that_crosses_a_new_configuration_is_marked_as_a_former_one_s(tmp_path: Path) -> None:
-    """It comes from where the configuration points no more."""
+def test_answer_that_crosses_a_reload_is_marked_as_from_the_former_discovery(tmp_path: Path) -> None:
+    """The configuration no longer names the discovery that has sent it."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, False, ["up", "draining"])
-            told.discovery.subscribe()
-            assert not (await told.news()).is_from_former_discovery
-            told.discovery.move("127.0.0.2:9")
-            assert (await told.news()).is_from_former_discovery
+            harness = DiscoveryHarness(at, False, ["up", "draining"])
+            harness.discovery.subscribe()
+            assert not (await harness.next_message()).is_from_former_discovery
+            harness.discovery.move("127.0.0.2:9")
+            assert (await harness.next_message()).is_from_former_discovery
 
     play(scene)
 
 
-def test_a_watch_s_call_ends_right_after_the_moment_that_has_to_be_confirmed(tmp_path: Path) -> None:
-    """Else a node would refuse until the call ends by itself."""
+def test_poll_is_held_until_right_after_the_time_to_be_confirmed(tmp_path: Path) -> None:
+    """If discovery held the poll longer, the node would reject requests until the poll ends."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            discovery = Told(at, False, []).discovery
+            discovery = DiscoveryHarness(at, False, []).discovery
             discovery.limits = LIMITS
             assert discovery._next_wait_s() == LIMITS.watch_wait_s
             discovery.confirm_after(300_000)
@@ -461,71 +485,74 @@
     play(scene)
 
 
-def test_news_that_were_taken_in_and_not_told_are_asked_for_again(tmp_path: Path) -> None:
-    """A new call ends the watch while it waits to tell them: the next asks for the whole list."""
+def test_answer_that_was_applied_and_not_reported_is_requested_again(tmp_path: Path) -> None:
+    """A subscription ends the watch while it waits to report; the next poll must ask for the whole list."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, False, ["up", "draining"], room=0)
-            told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "up"
-            while told.discovery.is_up("s"):
+            harness = DiscoveryHarness(at, False, ["up", "draining"], inbox_size=0)
+            harness.discovery.subscribe()
+            assert (await harness.next_message()).entries[0].state == "up"
+            while harness.discovery.is_up("s"):
                 await trio.sleep(0.01)
-            calls = len(told.asked.seen)
-            told.discovery.subscribe()
-            assert (await told.news()).entries[0].state == "draining"
-            assert "after=" not in told.asked.seen[calls][1].target
+            polls_before = len(harness.stand_in.seen)
+            harness.discovery.subscribe()
+            assert (await harness.next_message()).entries[0].state == "draining"
+            assert "after=" not in harness.stand_in.seen[polls_before][1].target
 
     play(scene)
 
 
-def test_a_whole_list_that_no_longer_names_a_server_ends_it(tmp_path: Path) -> None:
-    """Gone without a word of its own."""
+def test_server_missing_from_a_whole_list_is_removed(tmp_path: Path) -> None:
+    """A server may disappear without an entry with the state DELETED."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, True, ["up", "empty"])
-            await told.news()
-            assert (await told.news()).entries == [] and not told.discovery.is_up("s")
+            harness = DiscoveryHarness(at, True, ["up", "empty"])
+            await harness.next_message()
+            assert (await harness.next_message()).entries == [] and not harness.discovery.is_up("s")
 
     play(scene)
 
 
-def test_a_pushed_list_is_watched_at_the_new_agent_at_once(tmp_path: Path) -> None:
-    """The old one still holds the call; it may tell nothing any more."""
+def test_pushed_list_is_watched_at_the_new_agent_at_once(tmp_path: Path) -> None:
+    """The former agent still holds the poll, and may not report any further change."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            old, new = Told(at, True, ["up", "silent"]), Told(at, True, ["empty"] * 99)
-            assert (await old.news()).entries[0].state == "up"
-            assert old.discovery.move(new.asked.addr)
-            news = await old.news()
-            assert (news.scope, news.entries) == ("all", [])
+            old, new = (
+                DiscoveryHarness(at, True, ["up", "silent"]),
+                DiscoveryHarness(at, True, ["empty"] * 99),
+            )
+            assert (await old.next_message()).entries[0].state == "up"
+            assert old.discovery.move(new.stand_in.addr)
+            message = await old.next_message()
+            assert (message.scope, message.entries) == ("all", [])
 
     play(scene)
 
 
-def test_news_that_wait_for_a_full_inbox_count_already(tmp_path: Path) -> None:
-    """The dispatcher is behind by a hundred messages; what is sent meanwhile looks at what was heard."""
+def test_list_counts_before_the_dispatcher_has_read_it(tmp_path: Path) -> None:
+    """While the inbox is full, the pre-send check must use the last answer and not the dispatcher's list."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            told = Told(at, True, ["up"], room=1)
-            while told.lists < 2:
+            harness = DiscoveryHarness(at, True, ["up"], inbox_size=1)
+            while harness.lists_sent < 2:
                 await trio.sleep(0.01)
             with trio.move_on_after(0.05):
                 await trio.sleep_forever()
-            assert told.inbox.statistics().current_buffer_used == 1
-            assert not told.discovery.is_up("s")
+            assert harness.inbox.statistics().current_buffer_used == 1
+            assert not harness.discovery.is_up("s")
 
     play(scene)
 
 
-# The whole node where lists are pushed.
+# A whole node to which lists are pushed.
 
 
-def test_a_node_to_which_lists_are_pushed_watches(tmp_path: Path) -> None:
-    """Nothing new to a server that drains; the next goes to the one that is left."""
+def test_node_with_pushed_lists_sends_nothing_to_a_draining_server(tmp_path: Path) -> None:
+    """New jobs must go to the other server only."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
@@ -534,8 +561,8 @@
             assert (await at.admit("j")).status == 200 and left.targets()
             at.add("stays")
             at.change("left", state="DRAINING")
-            heard = at.counters.counts["entries_all"]
-            while at.counters.counts["entries_all"] < heard + 2:
+            lists_before = at.counters.counts["entries_all"]
+            while at.counters.counts["entries_all"] < lists_before + 2:
                 await trio.sleep(0.01)
             before = len(left.targets())
             assert {(await at.admit(f"k{n}")).status for n in range(8)} == {200}
@@ -544,17 +571,17 @@
     play(scene)
 
 
-def test_a_node_that_starts_sends_nothing_by_the_old_list_it_knew(tmp_path: Path) -> None:
-    """What the agent has counts as told from the first moment: the node is ready once it has heard it."""
+def test_starting_node_does_not_use_the_old_list_from_its_file(tmp_path: Path) -> None:
+    """The agent's list counts as notified from the start, so the node is ready once it has received it."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
             left = at.add("left")
-            listed = at.discovery
+            answer = at.discovery
 
             async def late(server: StandIn, request: Request) -> Response | None:
                 await trio.sleep(0.1)
-                return await listed(server, request)
+                return await answer(server, request)
 
             at.discovery = late  # type: ignore[method-assign]
             environ = at.configure(discovery="automatic")
@@ -566,27 +593,27 @@
     play(scene)
 
 
-# Between placing and the first byte.
+# Between the decision for a server and the first byte.
 
 
-async def takes(server: StandIn, request: Request) -> Response:
-    """Take whatever comes."""
+async def accept_all(server: StandIn, request: Request) -> Response:
+    """Accept every request."""
     return Response(202)
 
 
-def test_a_drain_told_during_the_dial_withholds_the_job(tmp_path: Path) -> None:
-    """The connection is kept for what else is to be said to that server."""
+def test_drain_reported_while_connecting_withholds_the_job(tmp_path: Path) -> None:
+    """The connection is kept for other exchanges with the server, such as a DELETE."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            server, leaves = at.add("s", play=takes), False
+            server, is_draining = at.add("s", play=accept_all), False
             server.sock.listen(8)
             counters = Counters()
-            pool = ConnectionPool(LIMITS, counters, lambda name: not leaves)
+            pool = ConnectionPool(LIMITS, counters, lambda name: not is_draining)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
             assert (await pool.exchange("s", JOB_REQUEST)).status == 202
             await trio.sleep(1.2 * LIMITS.pool_reuse_pause_s)
-            leaves = True
+            is_draining = True
             with pytest.raises(RequestNotSentError):
                 await pool.exchange("s", JOB_REQUEST)
             assert (await pool.exchange("s", OutgoingRequest("DELETE", "/jobs/x"))).status == 202
@@ -596,12 +623,12 @@
     play(scene)
 
 
-def test_an_attempt_withheld_ends_as_never_sent(tmp_path: Path) -> None:
-    """The module may send it elsewhere, whatever the job's class."""
+def test_withheld_attempt_ends_as_never_sent(tmp_path: Path) -> None:
+    """With this outcome the module may send the job elsewhere, whatever its class."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
-            server, counters, clock = at.add("s", play=takes), Counters(), Clock()
+            server, counters, clock = at.add("s", play=accept_all), Counters(), Clock()
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, counters, lambda name: False)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -616,8 +643,8 @@
     play(scene)
 
 
-def test_a_server_under_another_address_gets_no_job_that_was_chosen_before(tmp_path: Path) -> None:
-    """It is another process: what was known of it at the choice is void."""
+def test_job_is_not_sent_to_a_server_whose_address_has_changed(tmp_path: Path) -> None:
+    """It is another process, so the state on which the decision was based is no longer valid."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
@@ -625,14 +652,14 @@
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters(), lambda name: True)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
-            dial = pool._connection
+            get_connection = pool._connection
 
-            async def moved(known: object, in_quarantine: bool) -> object:
-                made = await dial(known, in_quarantine)  # type: ignore[arg-type]
+            async def move_meanwhile(pooled_server: object, in_quarantine: bool) -> object:
+                connection = await get_connection(pooled_server, in_quarantine)  # type: ignore[arg-type]
                 pool.update_endpoints("changes", [ServiceEntry("s", "127.0.0.2:1")])
-                return made
+                return connection
 
-            pool._connection = moved  # type: ignore[method-assign,assignment]
+            pool._connection = move_meanwhile  # type: ignore[method-assign,assignment]
             with pytest.raises(RequestNotSentError):
                 await pool.exchange("s", JOB_REQUEST)
             assert not server.targets()
@@ -640,18 +667,18 @@
     play(scene)
 
 
-def test_the_module_takes_the_watch_s_last_answer() -> None:
-    """What discovery's side tells of a watch that broke reaches the plan of the next call."""
-    made = Balancer(
+def test_time_of_the_last_answer_reaches_the_decision_module() -> None:
+    """The deadline after a failed watch counts from its last answer, not from the failure."""
+    balancer = Balancer(
         settings(balancers=1, must_subscribe=True, safety=SafetyMargins(must_ask_in_us=10 * SECOND)), 1, 0
     )
     clock, servers = Mock(), Mock()
-    dispatcher = Dispatcher(made, clock, LIMITS, Counters(), Log(9), servers, Mock())
-    for now, news in (
+    dispatcher = Dispatcher(balancer, clock, LIMITS, Counters(), Log(9), servers, Mock())
+    for now, message in (
         (0, EndpointListReceived("remembered")),
         (SECOND, EndpointListReceived("all")),
         (20 * SECOND, EndpointListReceived("refused", [], 18 * SECOND)),
     ):
         clock.now_us.return_value = now
-        dispatcher.run_batch([news])
-    assert made.parts.polling.deadline_us == 18 * SECOND + NOTIFICATION_DELAY_US
+        dispatcher.run_batch([message])
+    assert balancer.parts.polling.deadline_us == 18 * SECOND + NOTIFICATION_DELAY_US
