--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,8 @@
-"""One small test for each failure found, and for troubles that are on no list. No bench."""
+"""Failures of endpoints, lists, reports and clocks, and how the decision module handles them.
+
+There is one small test for each failure that was found, and for further ones that could happen. The tests use
+the module alone, with scripted outcomes.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 def fleet(endpoints: int = 6, **changes: object) -> Checker:
-    """Return a checker over a balancer that knows a fleet."""
+    """Return a checker over a balancer that knows a fleet of ``endpoints`` endpoints."""
     conf = settings(**changes)
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
     check.give(EndpointsChanged("all", [entry(n) for n in range(endpoints)]))
@@ -29,7 +33,7 @@
 
 
 def offer(check: Checker, number: int, cls: str = "safe", **more: object) -> str:
-    """Offer a job; return the endpoint it went to, or '' if it was refused."""
+    """Offer a job; return the endpoint to which it was dispatched, or '' if it was rejected."""
     budget = next(c.deadline_us for c in check.conf.classes if c.name == cls)
     actions = check.give(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
     placed = [a for a in actions if isinstance(a, Dispatch) and a.id == number]
@@ -40,7 +44,7 @@
 def end(
     check: Checker, number: int, outcome: int = 1, attempt: int = 0, report: list[object] | None = None
 ) -> list[Action]:
-    """End an attempt."""
+    """End an attempt with an outcome, and return the actions that follow."""
     sent, job = check.jobs[number].attempts[attempt], check.jobs[number]
     return check.give(
         AttemptEnded(
@@ -50,7 +54,7 @@
 
 
 def serve(check: Checker, numbers: range, run_us: int = 50_000, cls: str = "safe") -> list[str]:
-    """Offer jobs one after another, each started and served; return where they went."""
+    """Offer jobs one after another, and start and complete each; return their endpoints."""
     where = []
     for number in numbers:
         endpoint = offer(check, number, cls)
@@ -66,8 +70,11 @@
 
 
 @pytest.mark.parametrize("outcome", [2, 5, 6])
-def test_worker_that_fails_at_once_does_not_look_free(outcome: int) -> None:
-    """A failing endpoint draws few jobs while it fails, and is used again once it works."""
+def test_failing_endpoint_does_not_look_free(outcome: int) -> None:
+    """An endpoint that fails jobs at once has few in flight, and must not attract jobs for that reason.
+
+    It is used again once it works.
+    """
     check = fleet()
     serve(check, range(20))
     bad, drawn = "w0", 0
@@ -88,29 +95,29 @@
 
 
 def run_fleet(check: Checker, numbers: range, slow: str, times: float) -> list[str]:
-    """Offer a job every 10 ms; each runs for 50 ms, on one endpoint longer. Return where their first went."""
+    """Offer a job every 10 ms that runs for 50 ms, longer on ``slow``; return the first endpoints."""
     due: dict[tuple[int, int], int] = {}
     where, offers = [], iter(numbers)
     while (number := next(offers, None)) is not None or due:
         if number is not None:
             where.append(offer(check, number))
-        for one, job in check.jobs.items():
-            for copy, sent in enumerate(job.attempts):  # each starts at once
-                if one in numbers and not sent.outcome and (one, copy) not in due:
-                    check.give(ExecutionStarted(one, copy))
-                    due[one, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
+        for running, job in check.jobs.items():
+            for copy, sent in enumerate(job.attempts):  # each attempt starts at once
+                if running in numbers and not sent.outcome and (running, copy) not in due:
+                    check.give(ExecutionStarted(running, copy))
+                    due[running, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
         check.pass_time(10_000)
-        for (one, copy), at in list(due.items()):
-            if check.jobs[one].attempts[copy].outcome:  # cancelled
-                del due[one, copy]
+        for (running, copy), at in list(due.items()):
+            if check.jobs[running].attempts[copy].outcome:  # cancelled
+                del due[running, copy]
             elif at <= check.now:
-                del due[one, copy]
-                end(check, one, 1, copy, report=[1, 3])
+                del due[running, copy]
+                end(check, running, 1, copy, report=[1, 3])
     return where
 
 
-def test_a_machine_that_slows_down_gets_few_jobs_and_comes_back() -> None:
-    """Its pace is learned from its jobs, they get copies elsewhere, and it is tried again after a while."""
+def test_endpoint_that_slows_down_gets_few_jobs_and_recovers() -> None:
+    """Its pace is learned from its jobs, which are hedged elsewhere; it is tried again after a while."""
     check = fleet(kinds=["k"], balancers=1)
     before = run_fleet(check, range(100, 200), "w2", 1)
     during = run_fleet(check, range(200, 500), "w2", 6)
@@ -124,8 +131,8 @@
     assert check.broken == []
 
 
-def test_connections_that_break_now_and_then_leave_no_worker_out() -> None:
-    """Two resets in a row tell of the network; each endpoint goes on getting its share of the jobs."""
+def test_occasional_connection_resets_eject_no_endpoint() -> None:
+    """Two consecutive resets point to the network; each endpoint must keep getting its share of the jobs."""
     check = fleet()
     serve(check, range(20))
     for number in range(100, 160):
@@ -147,8 +154,8 @@
     assert check.broken == []
 
 
-def test_hung_worker_gets_nothing_new_and_comes_back() -> None:
-    """An endpoint that takes jobs and answers none is left out; it is tried again after its time-outs."""
+def test_hung_endpoint_gets_no_new_jobs_and_recovers() -> None:
+    """An endpoint that accepts jobs and answers none is avoided; it is tried again after its timeouts."""
     check = fleet(balancers=1)
     serve(check, range(20))
     taken = 0
@@ -165,8 +172,8 @@
     assert check.broken == []
 
 
-def test_unstarted_job_gets_a_second_copy_and_the_first_to_start_keeps_it() -> None:
-    """A stalled endpoint does not keep a job that is safe to repeat."""
+def test_unstarted_job_is_hedged_and_the_first_attempt_to_start_keeps_it() -> None:
+    """A stalled endpoint must not hold up a job that is safe to repeat."""
     check = fleet()
     serve(check, range(10))
     first = offer(check, 50)
@@ -177,8 +184,8 @@
     assert Cancel(50, 0) in actions
 
 
-def test_free_slots_reported_but_full_answered() -> None:
-    """An endpoint that reports room and turns jobs away is not asked again and again."""
+def test_endpoint_that_reports_free_slots_but_rejects_jobs() -> None:
+    """An endpoint that reports free slots but rejects jobs must not be tried over and over."""
     check = fleet(balancers=1)
     serve(check, range(10))
     asked = 0
@@ -195,8 +202,8 @@
     assert check.broken == []
 
 
-def test_frozen_report_is_taken_once() -> None:
-    """A report that never changes counts once: its endpoint does not look fuller with each repeat."""
+def test_frozen_load_report_counts_once() -> None:
+    """A report that never changes counts once, so its endpoint does not look fuller with each repeat."""
     check = fleet(endpoints=1, balancers=1)
     serve(check, range(10))
     assert isinstance(check.balancer, Balancer)
@@ -208,8 +215,8 @@
 
 
 @pytest.mark.parametrize("scope", ["changes", "all"])
-def test_all_workers_drain_at_once_and_return(scope: str) -> None:
-    """With nobody to send to, jobs are refused unsent; admission recovers with the list."""
+def test_all_endpoints_drain_at_once_and_return(scope: str) -> None:
+    """Without a usable endpoint, jobs are rejected unsent; admission recovers with the list."""
     check = fleet()
     serve(check, range(10))
     check.give(
@@ -222,8 +229,8 @@
     assert check.broken == []
 
 
-def test_flapping_list() -> None:
-    """A list that drops and names endpoints in turn keeps the rules and loses nothing."""
+def test_flapping_endpoint_list() -> None:
+    """A list that alternately drops and names endpoints breaks no rule and loses no job."""
     check = fleet()
     for number in range(60):
         check.give(EndpointsChanged("all", [entry(n) for n in range(6) if (n + number) % 3]))
@@ -234,7 +241,10 @@
 
 
 def test_restart_with_a_stale_list_under_load() -> None:
-    """Nothing but a remembered list, half of it gone: connect failures move jobs on, nothing is lost."""
+    """After a restart only the remembered list is known, and half of its endpoints are gone.
+
+    Jobs move on to other endpoints after connect failures, and none is lost.
+    """
     conf = settings()
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
     check.give(EndpointsChanged("remembered", [entry(n) for n in range(8)]))
@@ -250,7 +260,7 @@
 
 
 def test_clock_jumps() -> None:
-    """A jump ahead ends what is due once; a step back is taken as no time having passed."""
+    """A jump forward fires each due timer once; a step back counts as no time having passed."""
     check = fleet()
     serve(check, range(10))
     offer(check, 50, "unsafe")
@@ -263,8 +273,11 @@
     assert check.broken == []
 
 
-def test_other_kinds_are_tried() -> None:
-    """Found on a day where 7 of 32 endpoints were used: a kind not yet tried is taken for a usual one."""
+def test_endpoints_without_jobs_yet_are_tried() -> None:
+    """A kind that has run no job yet counts as an average one.
+
+    Otherwise it gets no job and stays unknown; on one day, 7 of 32 endpoints were used.
+    """
     check = fleet(endpoints=8, balancers=2, report_fields=[])
     used = set()
     for number in range(200):
@@ -277,8 +290,11 @@
     assert len(used - {""}) >= 7
 
 
-def test_key_stays_with_few_workers() -> None:
-    """Found as a jam of misses: a job with a key goes to its few endpoints, or anywhere if none is usable."""
+def test_jobs_with_the_same_key_go_to_few_endpoints() -> None:
+    """A job with a key goes to its few endpoints, or to any other if none of them is usable.
+
+    Spread over all endpoints, jobs with keys missed their caches and piled up.
+    """
     check = fleet(endpoints=12, balancers=1)
     where = set()
     for number in range(40):
@@ -294,16 +310,19 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 16, 100])
-def test_one_job_shuts_no_gate_at_any_number_of_schedulers(balancers: int) -> None:
-    """With hundreds of schedulers a single job of ours elsewhere must not refuse the next one."""
+def test_one_job_does_not_block_admission_at_any_number_of_balancers(balancers: int) -> None:
+    """A balancer scales its own jobs up to estimate the load of all.
+
+    With hundreds of balancers, a single job of this one must not cause the next to be rejected.
+    """
     check = fleet(endpoints=20, balancers=balancers)
     offer(check, 1)
     check.pass_time(300_000)
     assert offer(check, 2)
 
 
-def test_over_quota_is_worth_less() -> None:
-    """What a tenant sends beyond its quota is refused first."""
+def test_jobs_over_quota_are_rejected_first() -> None:
+    """The jobs that a tenant sends beyond its quota have a lower priority weight."""
 
     def served(quota: float) -> int:
         check = fleet(endpoints=2, balancers=1, over_share_worth=0.01, tenants=[Tenant("t", quota)])
@@ -319,7 +338,7 @@
 
 
 def test_state_is_bounded() -> None:
-    """Finished jobs, departed endpoints and old timers leave nothing behind."""
+    """Finished jobs, removed endpoints and old timers must leave no state behind."""
     check = fleet()
     assert isinstance(check.balancer, Balancer)
     for number in range(3000):
@@ -352,47 +371,52 @@
     ],
 )
 def test_invalid_settings_name_the_field(cls: type, values: dict[str, object], name: str) -> None:
-    """Settings that make no sense raise ``ValueError`` with the field."""
+    """Invalid settings raise a ``ValueError`` that names the field."""
     with pytest.raises(ValueError, match=name.replace(".", r"\.")):
         cls(**values)
 
 
-def asking() -> Checker:
-    """Return a checker over a fleet that reports its load to probes only."""
+def fleet_with_health_checks() -> Checker:
+    """Return a checker over a fleet that reports its load to health checks only."""
     limits = DispatchLimits(probes=True, send_cap=3)
     return fleet(asks_first=True, tells_start=False, limits=limits, balancers=100, held_field="active")
 
 
-def probes(check: Checker, number: int) -> list[str]:
-    """Offer a job and return the endpoints probed for it."""
+def checked_for(check: Checker, number: int) -> list[str]:
+    """Offer a job, and return the endpoints that are checked for it before its dispatch."""
     actions = check.give(RequestReceived(number, "safe", 5_000_000))
     assert not any(isinstance(a, (Dispatch, Reject)) for a in actions)
     return [a.endpoint for a in actions if isinstance(a, CheckHealth)]
 
 
-def test_a_job_waits_for_probes_and_goes_to_the_first_room() -> None:
-    """Found as 70% 'full': where only probes tell load, a scaled count of one job is noise, so it asks."""
-    check = asking()
-    first, second, *_ = asked = probes(check, 1)
+def test_job_waits_for_health_checks_and_goes_to_the_first_free_endpoint() -> None:
+    """If only health checks report the load, the module checks endpoints before it dispatches a job.
+
+    A scaled estimate from one job is noise then: 70% of the jobs were rejected as full.
+    """
+    check = fleet_with_health_checks()
+    first, second, *_ = asked = checked_for(check, 1)
     assert 2 <= len(asked) == len(set(asked)) <= 6
     assert not check.give(HealthCheckEnded(first, 1, 500, [9, 0]))
     placed = check.give(HealthCheckEnded(second, 1, 600, [1, 2]))
     assert [a.endpoint for a in placed if isinstance(a, Dispatch)] == [second]
     for name in asked[2:]:
         assert not check.give(HealthCheckEnded(name, 1, 700, [0, 3]))
-    asked = probes(check, 2)
+    asked = checked_for(check, 2)
     for name in asked:
         last = check.give(HealthCheckEnded(name, 1, 500, [90, 0]))
     assert [type(a) for a in last] == [Reject]
     assert not check.broken
 
 
-def test_a_worker_that_drains_after_its_answer_gets_nothing() -> None:
-    """The list may change between a probe's answer and the decision."""
-    check = asking()
+def test_endpoint_that_drains_after_its_health_check_gets_no_job() -> None:
+    """The list may change between the reply to a health check and the decision."""
+    check = fleet_with_health_checks()
     check.give(*[HealthCheckEnded(f"w{n}", 1, 500, [0, 4]) for n in range(6)])
-    first, *others = probes(check, 1)
-    assert not check.give(HealthCheckEnded(first, 1, 500, [4, 0]))  # full, but under its gate
+    first, *others = checked_for(check, 1)
+    assert not check.give(
+        HealthCheckEnded(first, 1, 500, [4, 0])
+    )  # full, but still below its admission limit
     check.give(EndpointsChanged("changes", [entry(int(first[1:]), "draining")]))
     check.pass_time(1_000)
     for name in others:
@@ -400,34 +424,37 @@
     assert [type(a) for a in last] == [Reject]
 
 
-def test_a_full_worker_makes_the_job_ask_again() -> None:
-    """Room may be gone when the job comes: it asks other endpoints, not the one that answered 'full'."""
-    check = asking()
-    endpoint = probes(check, 1)[0]
+def test_job_rejected_as_full_checks_other_endpoints() -> None:
+    """The free slot may be taken when the job arrives. Other endpoints are then checked, not the full one."""
+    check = fleet_with_health_checks()
+    endpoint = checked_for(check, 1)[0]
     check.give(HealthCheckEnded(endpoint, 1, 500, [0, 3]))
     actions = check.give(AttemptEnded(1, 0, 3, 900, False, None, endpoint))
     again = [a.endpoint for a in actions if isinstance(a, CheckHealth)]
     assert again and endpoint not in again
 
 
-def test_lost_probes_hold_no_job_up() -> None:
-    """A probe without an answer must not cost the job its final answer, nor may a client that has left."""
-    check = asking()
-    probes(check, 1)
+def test_lost_health_checks_delay_no_final_answer() -> None:
+    """Neither a lost reply to a health check nor a disconnected client may delay a final answer."""
+    check = fleet_with_health_checks()
+    checked_for(check, 1)
     check.pass_time(200_000)
     assert check.jobs[1].attempts or check.jobs[1].answers
-    probes(check, 2)
+    checked_for(check, 2)
     check.give(ClientDisconnected(2))
     assert isinstance(check.balancer, Balancer) and 2 not in check.balancer.parts.requests.by_id
-    asked = probes(check, 3)
-    for name in asked:  # answers to probes for jobs that are settled serve the one that waits
+    asked = checked_for(check, 3)
+    for name in asked:  # replies to checks for settled jobs count for the job that waits
         check.give(HealthCheckEnded(name, 4, 100_000, None))
     assert check.jobs[3].attempts or check.jobs[3].answers
     assert not check.broken
 
 
-def test_reports_that_lie_lose_their_weight() -> None:
-    """Found as i601cff: endpoints reported free slots and refused; the mean must come to count for more."""
+def test_wrong_load_reports_lose_their_weight() -> None:
+    """Endpoints that report free slots but reject jobs must lose the trust in their reports.
+
+    The smoothed mean then counts for more (issue i601cff).
+    """
     check = fleet(endpoints=4, balancers=2, report_fields=["x0"])
     balancer = check.balancer
     assert isinstance(balancer, Balancer)
@@ -435,20 +462,20 @@
         offer(check, number)
         sent = 0
         while sent < len(check.jobs[number].attempts):
-            endpoint, said = check.jobs[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
-            check.give(AttemptEnded(number, sent, 3, 300, False, [said], endpoint))
+            endpoint, reported = check.jobs[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
+            check.give(AttemptEnded(number, sent, 3, 300, False, [reported], endpoint))
             sent += 1
         check.pass_time(1_000_000)
     assert balancer.parts.reports.capacity_hit_rate < 0.3
     balancer.parts.load.smoothed_in_flight, seen = 20.0, balancer.parts.endpoints.by_name["w0"]
     balancer.parts.load.observe_peers(seen, 5.0)
-    check.give(HealthCheckEnded("w0", 1, 300, [4.9]))  # it says that it holds nothing
+    check.give(HealthCheckEnded("w0", 1, 300, [4.9]))  # it reports that no slot is taken
     assert balancer.parts.load.peer_slots(seen) > 4
     assert not check.broken
 
 
-def test_an_overloaded_zone_sends_its_jobs_away() -> None:
-    """Full near endpoints must not beat free far ones, and near ones are used again once free."""
+def test_jobs_of_an_overloaded_zone_go_to_another() -> None:
+    """Full endpoints nearby must not be preferred to free ones far away; they are used again once free."""
     check = fleet(endpoints=6, balancers=1)
     near = {f"w{n}" for n in range(6) if entry(n).zone == "a"}
     for n in range(6):
@@ -461,8 +488,8 @@
     assert {offer(check, number) for number in range(2, 6)} & near
 
 
-def test_all_workers_restart_at_once() -> None:
-    """A fleet that is cold as a whole gets little at first and the usual once it is warm; nothing is lost."""
+def test_all_endpoints_restart_at_once() -> None:
+    """A fleet in slow start gets few jobs at first and the usual number once warm; no job is lost."""
     check = fleet(endpoints=6, balancers=8)
     serve(check, range(20))
     check.give(EndpointsChanged("changes", [entry(n, "up", check.now - 1_000) for n in range(6)]))
@@ -474,8 +501,11 @@
     assert not check.broken
 
 
-def test_overlapping_failures_keep_the_rules() -> None:
-    """Hung, failing and draining endpoints, a flapping list and a frozen report at once; then all is well."""
+def test_overlapping_failures_break_no_rule() -> None:
+    """Hung, failing and draining endpoints, a flapping list and a frozen report occur together.
+
+    Afterwards the fleet works again and serves almost all jobs.
+    """
     check = fleet(endpoints=8, balancers=2)
     for number in range(120):
         state = "draining" if number % 20 == 7 else "up"
@@ -483,7 +513,7 @@
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
         for i, sent in enumerate(list(check.jobs[number].attempts)):
             if sent.endpoint in ("w3", "w4") or sent.outcome:
-                continue  # hung
+                continue  # the endpoint hangs
             end(check, number, 2 if sent.endpoint == "w5" else 1, i, [0, 4.0])
         check.pass_time(40_000)
     check.finish()
@@ -494,8 +524,12 @@
     assert not check.broken
 
 
-def test_a_share_of_a_cold_workers_budget_is_used() -> None:
-    """Found as 25% refused under deploys: a share is rare, and a random look rarely meets its endpoint."""
+def test_share_of_a_warming_endpoints_admissions_is_used() -> None:
+    """A balancer's share of a warming endpoint's admissions is rare, and random checks seldom meet it.
+
+    The endpoint must be checked when the share is due. Otherwise 25% of the jobs were rejected during
+    deployments.
+    """
     check = fleet(
         endpoints=80,
         balancers=100,
@@ -509,20 +543,23 @@
     balancer = check.balancer
     assert isinstance(balancer, Balancer)
     balancer.parts.endpoints.by_name["w7"].slow_start.next_admission_at_us = check.now + 50_000
-    assert "w7" not in probes(check, 1)
+    assert "w7" not in checked_for(check, 1)
     check.pass_time(60_000)
-    assert "w7" in probes(check, 2)
+    assert "w7" in checked_for(check, 2)
+
 
+def test_endpoint_that_reported_too_little_memory_is_tried_again() -> None:
+    """Reports come only with the ends of jobs, so an endpoint that gets none must be tried again later.
 
-def test_worker_told_to_lack_memory_is_not_shut_out_for_good() -> None:
-    """Only jobs end with reports: an endpoint that gets none must be tried again some run times later."""
+    It is tried again after some run times.
+    """
     check = fleet(1, report_fields=["active", "x0", "x1"], free_memory_field="x1")
     serve(check, range(5))
     assert offer(check, 10, memory=0.5) == "w0"
     check.give(ExecutionStarted(10, 0))
     check.pass_time(50_000)
     end(check, 10, report=[1, 3, 0.1])
-    assert offer(check, 11, memory=0.5) == ""  # told just now
+    assert offer(check, 11, memory=0.5) == ""  # the report is recent
     assert offer(check, 12, memory=0.05) == "w0"
     end(check, 12)
     check.pass_time(1_000_000)
@@ -530,13 +567,13 @@
     assert check.broken == []
 
 
-def test_copies_that_all_came_back_unstarted_leave_a_job_that_may_be_refused() -> None:
-    """A keyed job, unstarted at both its endpoints: nothing has run, so trying again is harmless."""
+def test_job_whose_attempts_all_returned_unstarted_is_rejected() -> None:
+    """A keyed job that none of its endpoints has started never ran, so a retry is harmless."""
     for first, second in ((0, 1), (1, 0)):
         check = fleet()
         offer(check, 1, "keyed")
         check.pass_time(400_000)
-        assert len(check.jobs[1].attempts) == 2  # it had not started, so a copy went out
+        assert len(check.jobs[1].attempts) == 2  # it had not started, so it was hedged
         end(check, 1, Outcome.FULL, first)
         actions = end(check, 1, Outcome.FULL, second)
         while not any(isinstance(action, Reject | Fail) for action in actions):
@@ -544,8 +581,8 @@
         assert any(isinstance(action, Reject) for action in actions) and not check.broken
 
 
-def test_a_suspended_job_tells_no_pace_and_gets_no_copy() -> None:
-    """Suspended for ten mean run times, then run to its end: its endpoint looks no slower for it."""
+def test_suspended_job_affects_no_pace_and_is_not_hedged() -> None:
+    """Ten mean run times of suspension must not make the endpoint of a job look slower."""
     for paused in (True, False):
         check = fleet()
         serve(check, range(60))
@@ -565,8 +602,8 @@
             assert balancer.parts.run_times.pace(balancer.parts.endpoints.by_name[endpoint]) < 1.2
 
 
-def test_a_job_bound_to_workers_goes_to_no_other() -> None:
-    """Of many, the named one gets it; without it, the job is refused unsent."""
+def test_job_bound_to_endpoints_goes_to_no_other() -> None:
+    """The named endpoint of many gets the job; if it is not usable, the job is rejected unsent."""
     check = fleet(60)
     assert [offer(check, number, only=("w41",)) for number in range(2)] == ["w41"] * 2
     check.give(EndpointsChanged("changes", [entry(41, "draining")]))
@@ -574,11 +611,11 @@
     assert offer(check, 11, only=("w41", "w7")) == "w7"
 
 
-def test_a_job_that_takes_room_only_stands_in_no_queue() -> None:
-    """While its gate is open for others, it is refused as soon as no slot is free."""
+def test_job_that_needs_a_free_slot_is_not_queued() -> None:
+    """It is rejected as soon as no slot is free, although other jobs are still admitted."""
     for room_only in (True, False):
         check = fleet(1)
-        serve(check, range(5))  # its reports tell three free slots
+        serve(check, range(5))  # its reports show three free slots
         placed = [offer(check, number, room_only=room_only) for number in range(100, 112)]
         queued = sum(bool(endpoint) for endpoint in placed)
         assert (queued <= 4) if room_only else (queued > 4)
