--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -1,6 +1,6 @@
 """The messages that other tasks put into the dispatcher's inbox.
 
-Nobody waits for a reply; a message that asks for one has a ``reply`` callable. ``AttemptStarted``,
+A message that asks for a reply has a ``reply`` callable, which must not wait. ``AttemptStarted``,
 ``AttemptProgress`` and ``AttemptFinished`` are also encoded: during a handover, a callback that reaches the
 process without the request is forwarded to the other process.
 """
@@ -98,7 +98,7 @@
 class AttemptFinished(msgspec.Struct, tag="SchedulingEnded", frozen=True):
     """The attempt has ended.
 
-    A request has at most one attempt at a time on a server, so the names of both identify the attempt.
+    A request has at most one attempt at a time on a server, so the two names identify the attempt.
     """
 
     name: str
--- a/merlinbay/platform/replies.py
+++ b/merlinbay/platform/replies.py
@@ -43,5 +43,5 @@
 
 
 def is_conclusive(reply: Reply) -> bool:
-    """Return whether a reply settles if the server has the job: it has accepted it, or does not have it."""
+    """Return whether a reply leaves no doubt: the server has accepted the job, or does not have it."""
     return classify(reply) in (JobReply.TAKEN, JobReply.NOT_PROCESSED, JobReply.FAILED)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -533,7 +533,7 @@
 
 
 def test_list_counts_before_the_dispatcher_has_read_it(tmp_path: Path) -> None:
-    """While the inbox is full, the pre-send check must use the last answer and not the dispatcher's list."""
+    """The dispatcher may be a hundred messages behind; the pre-send check must use the last answer."""
 
     async def scene() -> None:
         async with stage(tmp_path) as at:
