--- a/tests/faulty_executor.py
+++ b/tests/faulty_executor.py
@@ -30,7 +30,7 @@
     NonHttpResponse,
     ScriptedCallback,
 )
-from tests.net import bound
+from tests.net import bind_loopback
 
 SECOND_ANSWER_DELAY_S = 0.03  # delay of a second answer if its connection is not used again before
 # A second answer that is later than this is not sent, so that a slow test does not look like a slow network.
@@ -198,7 +198,7 @@
         self._listen()
 
     def _listen(self) -> None:
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(BACKLOG)
         self.listener = trio.socket.from_stdlib_socket(sock)
 
--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -42,7 +42,7 @@
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientAdapter
 from tests import net
-from tests.net import LIMITS, StandIn, bound, play, serves, stage
+from tests.net import LIMITS, FakeServer, bind_loopback, completes_job, node_fixture, run_scenario
 from tests.support import settings
 from tests.test_crossings import REQUEST_BYTES, ListenerHarness, listener_harness, wait_until
 from tests.test_node import full, silent
@@ -175,7 +175,7 @@
                 assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"served")
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("how", ["expire", "close_if_unused"])
@@ -198,7 +198,7 @@
             if how == "expire":  # the connection ends after the answer
                 assert await at.client.recv(1000) == b""
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("body", [60_000, 65_536])
@@ -216,7 +216,7 @@
             await at.request_received.wait()
             assert len(at.requested) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_incomplete_request_is_cut_off_at_the_time_limit_though_bytes_arrive() -> None:
@@ -231,7 +231,7 @@
             await wait_until(lambda: not at.listener.connections)
             assert not at.requested
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("part", [b"", REQUEST_BYTES[:-1]])
@@ -253,7 +253,7 @@
                     await at.client.send(REQUEST_BYTES)
             assert not interposed.bytes_read and not at.requested
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_later_request_has_its_full_time_limit_from_its_first_byte() -> None:
@@ -272,7 +272,7 @@
             await at.client.send(REQUEST_BYTES[10:])
             await wait_until(lambda: len(at.requested) == 2)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_later_request_that_arrives_too_slowly_is_cut_off() -> None:
@@ -293,7 +293,7 @@
             await wait_until(lambda: not at.listener.connections)
             assert len(at.requested) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_pipelined_request_is_answered_though_connections_are_being_closed() -> None:
@@ -311,7 +311,7 @@
             assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"two")
             assert received.count(b"connection: close") == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("behind", [b"\r\n", REQUEST_BYTES])
@@ -327,7 +327,7 @@
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served") and len(at.requested) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 class FaultyHarness(ListenerHarness):
@@ -353,7 +353,7 @@
                 assert at.listener.counters.counts["edge_connections_faulty"] == 1
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_is_not_evicted_while_its_error_response_is_written() -> None:
@@ -366,7 +366,7 @@
             await at.client.send(REQUEST_BYTES.replace(b"length: 2", b"length: 60000000"))
             assert (await at.answered()).startswith(b"HTTP/1.1 413") and evicted == [False]
 
-    play(scene)
+    run_scenario(scene)
 
 
 class CrossingHarness(ListenerHarness):
@@ -394,7 +394,7 @@
                 assert await at.client.recv(4096) == b""
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # A dispatcher that the test runs batch by batch, behind a listener and a client adapter.
@@ -421,7 +421,7 @@
         )
         self.adapter = ClientAdapter(send, self.clock, LIMITS, self.counters, {"safe"}, Log(9))
         self.listener = Listener(self.adapter, LIMITS, self.counters, Log(9))
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(8)
         self.address = sock.getsockname()
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
@@ -498,7 +498,7 @@
             assert [type(message) for message in node.take()] == [RequestArrived]
             assert not node.started
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
@@ -517,7 +517,7 @@
             assert RequestArrived not in map(type, node.take())
             assert not node.started and not len(node.dispatcher.requests)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
@@ -539,7 +539,7 @@
             node.dispatcher.run_batch([])
             assert len(node.started) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_retry_starts_for_a_client_that_stays_connected() -> None:
@@ -555,7 +555,7 @@
             assert len(node.started) == 2
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("leave", DISCONNECTS, ids=["close", "reset", "half_close"])
@@ -573,7 +573,7 @@
             node.wait_until_disconnected()
             assert not node.started[0].may_begin()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_attempt_starts_for_a_client_that_has_got_an_error_response() -> None:
@@ -590,7 +590,7 @@
             assert not node.started
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_is_handed_over_only_without_a_request_in_progress() -> None:
@@ -618,7 +618,7 @@
             assert len(node.dispatcher.requests) == 0
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_terminated_job_counts_as_disconnected() -> None:
@@ -646,7 +646,7 @@
                 client.close()
             assert not node.started and not node.adapter.unanswered
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Deadlines of requests.
@@ -675,10 +675,10 @@
             (message,) = node.take()
             assert isinstance(message, RequestArrived)
             assert before <= message.spec.arrived_at_us <= read_by
-            assert node.started[1].deadline_at_us <= read_by + 900_000 - LIMITS.answer_margin_us
+            assert node.started[1].deadline_at_us <= read_by + 900_000 - LIMITS.response_margin_us
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_deadline_counts_from_the_last_byte_and_not_the_first() -> None:
@@ -691,9 +691,8 @@
                 await client.send(bytes([byte]))
                 await trio.testing.wait_all_tasks_blocked()
             await trio.sleep(0.1)
-            assert (
-                len(next(iter(node.listener.connections)).stream.reader.reads) <= 1
-            )  # not one entry for each read
+            # There is not one entry for each read.
+            assert len(next(iter(node.listener.connections)).stream.reader.reads) <= 1
             before = node.clock.now_us()
             await client.send(b"i")
             await node.arrived()
@@ -702,30 +701,30 @@
             assert before <= message.spec.arrived_at_us <= node.clock.now_us()
             client.close()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Every request is answered, whatever servers and other clients do.
 
 
-async def hangs(server: StandIn, request: Request) -> Response | None:
+async def hangs(server: FakeServer, request: Request) -> Response | None:
     """Never answer a job; answer everything else with 200."""
     if request.method == "POST":
         await trio.sleep_forever()
     return Response(200)
 
 
-async def fails(server: StandIn, request: Request) -> Response | None:
+async def fails(server: FakeServer, request: Request) -> Response | None:
     """Answer everything with 500."""
     return Response(500)
 
 
-async def answers_204(server: StandIn, request: Request) -> Response | None:
+async def answers_204(server: FakeServer, request: Request) -> Response | None:
     """Answer jobs with a status that the protocol does not define."""
     return Response(204) if request.method == "POST" else Response(200)
 
 
-async def breaks_off(server: StandIn, request: Request) -> Response | None:
+async def breaks_off(server: FakeServer, request: Request) -> Response | None:
     """Break the connection before the 202."""
     return None
 
@@ -818,21 +817,21 @@
         [fails],
         [full],
         [answers_204],
-        [hangs, silent, breaks_off, fails, serves],
+        [hangs, silent, breaks_off, fails, completes_job],
     ],
     ids=["hang", "silent", "break", "fail", "full", "nonsense", "all"],
 )
 def test_each_request_is_answered_once_in_time_whatever_servers_do(
-    tmp_path: Path, plays: list[Callable[[StandIn, Request], Awaitable[Response | None]]]
+    tmp_path: Path, plays: list[Callable[[FakeServer, Request], Awaitable[Response | None]]]
 ) -> None:
     """The status may be 200, 429, 500 or 503; one of the listed servers does not exist."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             for number in range(4):
-                s.add(f"s-{number}", plays[number % len(plays)])
-            gone = bound()
-            s.add("s-gone", serves, addr=f"127.0.0.2:{gone.getsockname()[1]}")
+                s.add_server(f"s-{number}", plays[number % len(plays)])
+            gone = bind_loopback()
+            s.add_server("s-gone", completes_job, addr=f"127.0.0.2:{gone.getsockname()[1]}")
             gone.close()
             await s.start()
             clients = RegularClients(s.port)
@@ -840,7 +839,7 @@
             assert not clients.faults and len(clients.statuses) == 20
             assert set(clients.statuses) <= {200, 429, 500, 503}
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("sockets", [96, 256])
@@ -850,10 +849,10 @@
     """Hundreds of connections send part of a request, far too much, or the same request repeatedly."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             s.sockets = sockets
             for number in range(4):
-                s.add(f"s-{number}")
+                s.add_server(f"s-{number}")
             await s.start()
             clients = RegularClients(s.port)
             async with trio.open_nursery() as nursery:
@@ -863,19 +862,19 @@
                 nursery.cancel_scope.cancel()
             assert not clients.faults and len(clients.statuses) == 20
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_each_request_is_answered_once_in_time_while_discovery_is_down(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The node knows its servers from its configuration."""
+    """A node that knows servers from its configuration answers; one that knows none rejects requests."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-0")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-0")
 
-            async def down(server: StandIn, request: Request) -> Response | None:
+            async def down(server: FakeServer, request: Request) -> Response | None:
                 return None
 
             monkeypatch.setattr(s, "discovery", down)
@@ -884,7 +883,7 @@
             await clients.ask_many(10, 5, 600)
             assert not clients.faults and len(clients.statuses) == 10
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -903,15 +902,15 @@
     monkeypatch.setattr(net, "load", load_limited)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
+        async with node_fixture(tmp_path) as s:
             for number in range(2):
-                s.add(f"s-{number}")
+                s.add_server(f"s-{number}")
             await s.start()
             clients = RegularClients(s.port)
             await clients.ask_many(20, 10, 600)
             assert not clients.faults and len(clients.statuses) == 20
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_each_request_is_answered_once_if_the_exchange_raises_an_exception(
@@ -926,8 +925,8 @@
         return await exchange(self, method, target, *arguments)
 
     async def scene() -> None:
-        async with stage(tmp_path) as s:
-            s.add("s-0")
+        async with node_fixture(tmp_path) as s:
+            s.add_server("s-0")
             await s.start()
             monkeypatch.setattr(ClientConnection, "exchange", faulty)
             clients = RegularClients(s.port)
@@ -935,7 +934,7 @@
             assert not clients.faults and len(clients.statuses) == 4
             assert s.counters.counts["server_tasks_faulty"] > 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Requests that do not agree with the settings.
@@ -968,5 +967,5 @@
         assert (response.status if response is not None else None) == status
         assert inbox.statistics().current_buffer_used == (status is None)
 
-    play(scene)
+    run_scenario(scene)
     assert capsys.readouterr().err.strip() == (f"merlinbay: {line}" if line else "")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -44,7 +44,7 @@
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 from merlinbay.platform.client_adapter import ClientRequest
-from tests.net import CONF, LIMITS, StandIn, admission, bound, play, stage
+from tests.net import CONF, LIMITS, FakeServer, admission_headers, bind_loopback, node_fixture, run_scenario
 from tests.support import settings
 
 REQUEST_BYTES = b"POST /admit HTTP/1.1\r\nhost: n\r\ncontent-length: 2\r\n\r\nhi"
@@ -66,7 +66,7 @@
 
     async def open(self, **limits: object) -> None:
         """Start the listener, and connect the client."""
-        sock = bound()
+        sock = bind_loopback()
         sock.listen(8)
         self.listener = Listener(self, replace(LIMITS, **limits), Counters(), Log(9))  # type: ignore[arg-type]
         await self.nursery.start(self.listener.serve, trio.socket.from_stdlib_socket(sock))
@@ -123,7 +123,7 @@
             await wait_until(lambda: not at.listener.connections)
             assert len(at.requested) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_data_read_behind_an_open_request_is_limited() -> None:
@@ -135,7 +135,7 @@
             received = await at.answered()
             assert received.startswith(b"HTTP/1.1 400") and at.disconnected == at.requested == [at.connection]
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_pipelined_request_is_handled_after_the_first_response(tmp_path: Path) -> None:
@@ -155,7 +155,7 @@
             received = await at.answered()
             assert received.count(b"HTTP/1.1 200") == 2 and received.endswith(b"two")
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("how", ["end_idle", "expire"])
@@ -174,16 +174,15 @@
                 at.connection.expire()
             at.client._sock.send(REQUEST_BYTES[:10])  # type: ignore[attr-defined]  # no task runs in between
             await wait_until(lambda: at.connection.stream.h11.trailing_data[0] == REQUEST_BYTES[:10])
-            assert (
-                at.connection.lifetime.expires_at > trio.current_time()
-            )  # the request has its own time limit
+            # The request has its own time limit now.
+            assert at.connection.lifetime.expires_at > trio.current_time()
             await at.client.send(REQUEST_BYTES[10:])
             await at.request_received.wait()
             at.connection.closes_after_response = True
             at.connection.respond(Response(200, b"served"))
             assert (await at.answered()).endswith(b"served")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_request_after_the_shutdown_is_neither_read_nor_handled() -> None:
@@ -200,7 +199,7 @@
             await wait_until(lambda: not at.listener.connections)
             assert not at.requested
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_is_not_closed_over_unread_data_after_the_last_answer() -> None:
@@ -219,7 +218,7 @@
                 await trio.testing.wait_all_tasks_blocked(0.01)
             assert (await at.answered()).endswith(b"last")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_data_received_while_the_last_answer_is_written_does_not_truncate_it() -> None:
@@ -236,7 +235,7 @@
             await wait_until(lambda: bool(at.connection.stream.h11.trailing_data[0]))
             assert len(await at.answered()) > 20_000_000
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_with_an_unread_request_is_not_evicted() -> None:
@@ -253,7 +252,7 @@
             assert at.connection.close_if_unused() and at.connection.stream.raw.fileno() < 0
             await wait_until(lambda: not at.listener.connections)
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("at_once", [False, True])
@@ -269,7 +268,7 @@
             at.connection.respond(Response(200, b"x" * 50_000_000))
             await wait_until(lambda: not at.listener.connections)
 
-    play(scene)
+    run_scenario(scene)
 
 
 class PacedSocket:
@@ -318,11 +317,11 @@
     async with trio.open_nursery() as nursery:
         harness = ListenerHarness(nursery, answer=Response(200, b"x" * answer_bytes))
         listener = Listener(harness, LIMITS, Counters(), Log(9))
-        with bound() as sock:
+        with bind_loopback() as sock:
             sock.listen(1)
             await nursery.start(listener.serve, trio.socket.from_stdlib_socket(sock))
             began = trio.current_time()
-            listener.adopt(client)  # type: ignore[arg-type]
+            listener.add_connection(client)  # type: ignore[arg-type]
             await wait_until(lambda: bool(listener.connections))
             await wait_until(lambda: not listener.connections)
             nursery.cancel_scope.cancel()
@@ -356,7 +355,7 @@
         async with listener_harness() as at:
             assert at.connection.stream.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_process_that_ends_closes_its_connections_in_an_orderly_way() -> None:
@@ -374,7 +373,7 @@
                 at.client.close()
             assert b"connection: close" in received and not at.listener.connections
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("calls_back", [False, True])
@@ -390,7 +389,7 @@
                 at.listener.close_idle(including_callbacks=True)
                 assert at.connection.is_closing
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Attempts for a client that has disconnected.
@@ -454,7 +453,7 @@
     spec = RequestSpec("j", job_class, 1_000_000, 5_000_000, idempotency_key="k")
     dispatcher.run_batch([RequestArrived(spec, responder), ShutdownRequested()])
     assert servers.start.call_count == 1
-    clock.now_us.return_value += LIMITS.stop_answers_for_us
+    clock.now_us.return_value += LIMITS.stop_responses_for_us
     dispatcher.run_batch([])
     assert servers.start.call_count == servers.cancel.call_count == 1
     (answer,) = [call.args[0] for call in responder.answer.call_args_list]
@@ -499,10 +498,10 @@
             client_end.close()
             assert client_request.has_disconnected()
 
-    play(scene)
+    run_scenario(scene)
 
 
-async def answer_no_job(server: StandIn, request: Request) -> Response | None:
+async def answer_no_job(server: FakeServer, request: Request) -> Response | None:
     """Never answer a job; answer everything else with 200."""
     if request.method == "POST":
         await trio.sleep_forever()
@@ -513,8 +512,8 @@
     """The new connection, which the request does not need any more, is kept for other requests."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, is_connected = at.add("s"), True
+        async with node_fixture(tmp_path) as at:
+            server, is_connected = at.add_server("s"), True
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters())
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -535,27 +534,27 @@
 
             with pytest.raises(AttemptWithheldError):
                 await pool.exchange("s", OutgoingRequest("POST", "/", [], b"x", check_before_sending))
-            assert not server.seen and len(pool.servers["s"].idle_connections) == 1
+            assert not server.received and len(pool.servers["s"].idle_connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_attempt_cancelled_before_its_202_is_deleted(tmp_path: Path) -> None:
     """The 202 may have crossed the close; the server has then accepted the job and would run it."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s", play=answer_no_job)
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s", behaviour=answer_no_job)
             await at.start()
             client = trio.socket.socket()
             await client.connect(("127.0.0.2", at.port))
-            head = "".join(f"{name}: {value}\r\n" for name, value in admission("j"))
+            head = "".join(f"{name}: {value}\r\n" for name, value in admission_headers("j"))
             await client.send(f"POST /admit HTTP/1.1\r\nhost: n\r\n{head}content-length: 0\r\n\r\n".encode())
             await wait_until(lambda: bool(server.targets()))
             client.close()
             await wait_until(lambda: server.targets("DELETE") == ["/jobs/j"])
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Servers that send an answer twice.
@@ -611,7 +610,7 @@
                 ).status == first.status
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Signals.
@@ -621,13 +620,13 @@
     """A node that misses the signal would serve until it is killed, with requests in progress."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            at.add("s")
+        async with node_fixture(tmp_path) as at:
+            at.add_server("s")
             classes = [{**CONF["classes"][0], "deadlineUs": 200_000}]
             monkeypatch.setattr(node_signals, "pending_sigterms", [signal.SIGTERM])
             await node.run(load(at.configure(classes=classes)), Counters())
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_requests_after_the_dispatchers_end_are_answered_and_not_started(tmp_path: Path) -> None:
@@ -639,7 +638,7 @@
         send, inbox = trio.open_memory_channel[object](9)
         adapter = ClientAdapter(send, Clock(), LIMITS, Counters(), {"admit"}, Log(9))
         adapter.has_ended = True
-        head = {name.lower(): value for name, value in admission("j")}
+        head = {name.lower(): value for name, value in admission_headers("j")}
         rejected = await adapter.request(Mock(has_served_request=False), Request("POST", "/admit", head, b""))
         callback = json.dumps({"id": "j", "from": "s", "state": "done"}).encode()
         confirmed = await adapter.request(Mock(), Request("POST", "/v1/job-events", {}, callback))
@@ -648,4 +647,4 @@
             confirmed is not None and confirmed.status == 200 and inbox.statistics().current_buffer_used == 0
         )
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -28,14 +28,14 @@
     """Return a checker over a balancer that knows a fleet of ``endpoints`` endpoints."""
     conf = settings(**changes)
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
-    check.give(EndpointsChanged("all", [entry(n) for n in range(endpoints)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(endpoints)]))
     return check
 
 
 def offer(check: Checker, number: int, cls: str = "safe", **more: object) -> str:
     """Offer a job; return the endpoint to which it was dispatched, or '' if it was rejected."""
     budget = next(c.deadline_us for c in check.conf.classes if c.name == cls)
-    actions = check.give(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
+    actions = check.deliver(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
     placed = [a for a in actions if isinstance(a, Dispatch) and a.id == number]
     assert placed or any(isinstance(a, Reject) and a.id == number for a in actions)
     return placed[0].endpoint if placed else ""
@@ -45,10 +45,16 @@
     check: Checker, number: int, outcome: int = 1, attempt: int = 0, report: list[object] | None = None
 ) -> list[Action]:
     """End an attempt with an outcome, and return the actions that follow."""
-    sent, job = check.jobs[number].attempts[attempt], check.jobs[number]
-    return check.give(
+    sent, job = check.requests[number].attempts[attempt], check.requests[number]
+    return check.deliver(
         AttemptEnded(
-            number, attempt, outcome, check.now - sent.at, job.over or outcome == 1, report, sent.endpoint
+            number,
+            attempt,
+            outcome,
+            check.now - sent.at,
+            job.is_settled or outcome == 1,
+            report,
+            sent.endpoint,
         )
     )
 
@@ -61,7 +67,7 @@
         where.append(endpoint)
         if endpoint:
             check.pass_time(1_000)
-            check.give(ExecutionStarted(number, 0))
+            check.deliver(ExecutionStarted(number, 0))
             check.pass_time(run_us)
             end(check, number, report=[1, 3])
         else:
@@ -84,14 +90,14 @@
         drawn += endpoint == bad
         if endpoint:
             end(check, number, outcome if endpoint == bad else 1, report=[0, 5])
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, outcome if sent.endpoint == bad else 1, i)
     assert drawn <= 6
     check.pass_time(10_000_000)
     assert bad in serve(check, range(300, 360))
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def run_fleet(check: Checker, numbers: range, slow: str, times: float) -> list[str]:
@@ -101,14 +107,14 @@
     while (number := next(offers, None)) is not None or due:
         if number is not None:
             where.append(offer(check, number))
-        for running, job in check.jobs.items():
+        for running, job in check.requests.items():
             for copy, sent in enumerate(job.attempts):  # each attempt starts at once
                 if running in numbers and not sent.outcome and (running, copy) not in due:
-                    check.give(ExecutionStarted(running, copy))
+                    check.deliver(ExecutionStarted(running, copy))
                     due[running, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
         check.pass_time(10_000)
         for (running, copy), at in list(due.items()):
-            if check.jobs[running].attempts[copy].outcome:  # cancelled
+            if check.requests[running].attempts[copy].outcome:  # cancelled
                 del due[running, copy]
             elif at <= check.now:
                 del due[running, copy]
@@ -123,12 +129,12 @@
     during = run_fleet(check, range(200, 500), "w2", 6)
     assert before.count("w2") >= 8
     assert during.count("w2") <= 15  # at its old share it would be 50 and more
-    copied = [job for job in check.jobs.values() if len(job.attempts) > 1]
+    copied = [job for job in check.requests.values() if len(job.attempts) > 1]
     assert copied and all(job.attempts[0].endpoint == "w2" for job in copied)
     check.pass_time(40_000_000)
     assert run_fleet(check, range(500, 700), "w2", 1).count("w2") >= 10
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_occasional_connection_resets_eject_no_endpoint() -> None:
@@ -139,8 +145,8 @@
         endpoint = offer(check, number)
         check.pass_time(5_000)
         end(check, number, 6 if number % 3 else 1, report=[1, 3])
-        assert not check.jobs[number].over or number % 3 == 0
-        for i, sent in enumerate(check.jobs[number].attempts):
+        assert not check.requests[number].is_settled or number % 3 == 0
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i, report=[1, 3])
         assert endpoint
@@ -151,7 +157,7 @@
         for endpoint in check.balancer.parts.endpoints.by_name.values()
     )
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_hung_endpoint_gets_no_new_jobs_and_recovers() -> None:
@@ -169,7 +175,7 @@
     check.pass_time(30_000_000)
     assert "w2" in serve(check, range(400, 460), cls="unsafe")
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_unstarted_job_is_hedged_and_the_first_attempt_to_start_keeps_it() -> None:
@@ -178,9 +184,9 @@
     serve(check, range(10))
     first = offer(check, 50)
     check.pass_time(400_000)
-    sent = check.jobs[50].attempts
+    sent = check.requests[50].attempts
     assert len(sent) >= 2 and sent[1].endpoint != first
-    actions = check.give(ExecutionStarted(50, len(sent) - 1))
+    actions = check.deliver(ExecutionStarted(50, len(sent) - 1))
     assert Cancel(50, 0) in actions
 
 
@@ -193,13 +199,13 @@
         if offer(check, number) == "w2":
             asked += 1
             end(check, number, 3, report=[0, float(5 + number % 2)])
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i)
         check.pass_time(2_000)
     assert asked < 25
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_frozen_load_report_counts_once() -> None:
@@ -208,7 +214,7 @@
     serve(check, range(10))
     assert isinstance(check.balancer, Balancer)
     for _ in range(20):
-        check.give(HealthCheckEnded("w0", 1, 5, [9, 0.0]))
+        check.deliver(HealthCheckEnded("w0", 1, 5, [9, 0.0]))
     once = check.balancer.parts.load.peer_slots(check.balancer.parts.endpoints.by_name["w0"])
     assert 0 < once <= 0.5 * 3
     assert offer(check, 100)
@@ -219,25 +225,25 @@
     """Without a usable endpoint, jobs are rejected unsent; admission recovers with the list."""
     check = fleet()
     serve(check, range(10))
-    check.give(
+    check.deliver(
         EndpointsChanged(scope, [entry(n, "draining") for n in range(6)] if scope == "changes" else [])
     )
     assert offer(check, 50) == ""
-    check.give(EndpointsChanged("all", [entry(n) for n in range(6)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(6)]))
     assert offer(check, 51)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_flapping_endpoint_list() -> None:
     """A list that alternately drops and names endpoints breaks no rule and loses no job."""
     check = fleet()
     for number in range(60):
-        check.give(EndpointsChanged("all", [entry(n) for n in range(6) if (n + number) % 3]))
+        check.deliver(EndpointsChanged("all", [entry(n) for n in range(6) if (n + number) % 3]))
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
         check.pass_time(60_000)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_restart_with_a_stale_list_under_load() -> None:
@@ -247,16 +253,16 @@
     """
     conf = settings()
     check = Checker(conf, Balancer(conf, 3, 1_000_000))
-    check.give(EndpointsChanged("remembered", [entry(n) for n in range(8)]))
+    check.deliver(EndpointsChanged("remembered", [entry(n) for n in range(8)]))
     for number in range(80):
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
-        for i, sent in enumerate(list(check.jobs[number].attempts)):
+        for i, sent in enumerate(list(check.requests[number].attempts)):
             if not sent.outcome:
                 end(check, number, 5 if sent.endpoint in ("w0", "w1", "w2", "w3") else 1, i)
         check.pass_time(30_000)
     check.finish()
-    assert check.broken == []
-    assert sum(any(s.outcome == 1 for s in job.attempts) for job in check.jobs.values()) > 70
+    assert check.violations == []
+    assert sum(any(s.outcome == 1 for s in job.attempts) for job in check.requests.values()) > 70
 
 
 def test_clock_jumps() -> None:
@@ -270,7 +276,7 @@
     check.pass_time(1)
     assert offer(check, 52)
     check.finish()
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_endpoints_without_jobs_yet_are_tried() -> None:
@@ -282,8 +288,8 @@
     used = set()
     for number in range(200):
         used.add(offer(check, number))
-        if check.jobs[number].attempts:
-            check.give(ExecutionStarted(number, 0))
+        if check.requests[number].attempts:
+            check.deliver(ExecutionStarted(number, 0))
         check.pass_time(10_000)
         if number >= 100:
             end(check, number - 100)
@@ -305,7 +311,7 @@
     where.discard("")
     assert 1 <= len(where) <= 3
     rest = [entry(n, "draining" if f"w{n}" in where else "up") for n in range(12)]
-    check.give(EndpointsChanged("changes", rest))
+    check.deliver(EndpointsChanged("changes", rest))
     assert offer(check, 99, key="k") not in {"", *where}
 
 
@@ -330,9 +336,9 @@
         for number in range(200):
             count += bool(offer(check, number, "unsafe", tenant="t" if number % 2 else ""))
             check.pass_time(5_000)
-            if number >= 30 and check.jobs[number - 30].attempts:
+            if number >= 30 and check.requests[number - 30].attempts:
                 end(check, number - 30)
-        return sum(bool(check.jobs[n].attempts) for n in range(1, 200, 2))
+        return sum(bool(check.requests[n].attempts) for n in range(1, 200, 2))
 
     assert served(0.001) < served(1e9)
 
@@ -343,13 +349,13 @@
     assert isinstance(check.balancer, Balancer)
     for number in range(3000):
         offer(check, number, key=f"key{number}")
-        for i, sent in enumerate(check.jobs[number].attempts):
+        for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i)
-        del check.jobs[number]
+        del check.requests[number]
         check.pass_time(5_000)
         if number % 100 == 0:
-            check.give(EndpointsChanged("all", [entry(number + n) for n in range(6)]))
+            check.deliver(EndpointsChanged("all", [entry(number + n) for n in range(6)]))
     check.pass_time(5_000_000)
     balancer = check.balancer
     assert (
@@ -357,7 +363,7 @@
         and not balancer.parts.timers
         and len(balancer.parts.endpoints.by_name) == 6
     )
-    assert balancer.parts.placement.cached_keys() <= 4096
+    assert balancer.parts.placement.cached_key_count() <= 4096
 
 
 @pytest.mark.parametrize(
@@ -384,7 +390,7 @@
 
 def checked_for(check: Checker, number: int) -> list[str]:
     """Offer a job, and return the endpoints that are checked for it before its dispatch."""
-    actions = check.give(RequestReceived(number, "safe", 5_000_000))
+    actions = check.deliver(RequestReceived(number, "safe", 5_000_000))
     assert not any(isinstance(a, (Dispatch, Reject)) for a in actions)
     return [a.endpoint for a in actions if isinstance(a, CheckHealth)]
 
@@ -397,30 +403,29 @@
     check = fleet_with_health_checks()
     first, second, *_ = asked = checked_for(check, 1)
     assert 2 <= len(asked) == len(set(asked)) <= 6
-    assert not check.give(HealthCheckEnded(first, 1, 500, [9, 0]))
-    placed = check.give(HealthCheckEnded(second, 1, 600, [1, 2]))
+    assert not check.deliver(HealthCheckEnded(first, 1, 500, [9, 0]))
+    placed = check.deliver(HealthCheckEnded(second, 1, 600, [1, 2]))
     assert [a.endpoint for a in placed if isinstance(a, Dispatch)] == [second]
     for name in asked[2:]:
-        assert not check.give(HealthCheckEnded(name, 1, 700, [0, 3]))
+        assert not check.deliver(HealthCheckEnded(name, 1, 700, [0, 3]))
     asked = checked_for(check, 2)
     for name in asked:
-        last = check.give(HealthCheckEnded(name, 1, 500, [90, 0]))
+        last = check.deliver(HealthCheckEnded(name, 1, 500, [90, 0]))
     assert [type(a) for a in last] == [Reject]
-    assert not check.broken
+    assert not check.violations
 
 
 def test_endpoint_that_drains_after_its_health_check_gets_no_job() -> None:
     """The list may change between the reply to a health check and the decision."""
     check = fleet_with_health_checks()
-    check.give(*[HealthCheckEnded(f"w{n}", 1, 500, [0, 4]) for n in range(6)])
+    check.deliver(*[HealthCheckEnded(f"w{n}", 1, 500, [0, 4]) for n in range(6)])
     first, *others = checked_for(check, 1)
-    assert not check.give(
-        HealthCheckEnded(first, 1, 500, [4, 0])
-    )  # full, but still below its admission limit
-    check.give(EndpointsChanged("changes", [entry(int(first[1:]), "draining")]))
+    # The endpoint is full, but still below its admission limit.
+    assert not check.deliver(HealthCheckEnded(first, 1, 500, [4, 0]))
+    check.deliver(EndpointsChanged("changes", [entry(int(first[1:]), "draining")]))
     check.pass_time(1_000)
     for name in others:
-        last = check.give(HealthCheckEnded(name, 1, 600, [90, 0]))
+        last = check.deliver(HealthCheckEnded(name, 1, 600, [90, 0]))
     assert [type(a) for a in last] == [Reject]
 
 
@@ -428,8 +433,8 @@
     """The free slot may be taken when the job arrives. Other endpoints are then checked, not the full one."""
     check = fleet_with_health_checks()
     endpoint = checked_for(check, 1)[0]
-    check.give(HealthCheckEnded(endpoint, 1, 500, [0, 3]))
-    actions = check.give(AttemptEnded(1, 0, 3, 900, False, None, endpoint))
+    check.deliver(HealthCheckEnded(endpoint, 1, 500, [0, 3]))
+    actions = check.deliver(AttemptEnded(1, 0, 3, 900, False, None, endpoint))
     again = [a.endpoint for a in actions if isinstance(a, CheckHealth)]
     assert again and endpoint not in again
 
@@ -439,15 +444,15 @@
     check = fleet_with_health_checks()
     checked_for(check, 1)
     check.pass_time(200_000)
-    assert check.jobs[1].attempts or check.jobs[1].answers
+    assert check.requests[1].attempts or check.requests[1].answers
     checked_for(check, 2)
-    check.give(ClientDisconnected(2))
+    check.deliver(ClientDisconnected(2))
     assert isinstance(check.balancer, Balancer) and 2 not in check.balancer.parts.requests.by_id
     asked = checked_for(check, 3)
     for name in asked:  # replies to checks for settled jobs count for the job that waits
-        check.give(HealthCheckEnded(name, 4, 100_000, None))
-    assert check.jobs[3].attempts or check.jobs[3].answers
-    assert not check.broken
+        check.deliver(HealthCheckEnded(name, 4, 100_000, None))
+    assert check.requests[3].attempts or check.requests[3].answers
+    assert not check.violations
 
 
 def test_wrong_load_reports_lose_their_weight() -> None:
@@ -461,17 +466,17 @@
     for number in range(30):
         offer(check, number)
         sent = 0
-        while sent < len(check.jobs[number].attempts):
-            endpoint, reported = check.jobs[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
-            check.give(AttemptEnded(number, sent, 3, 300, False, [reported], endpoint))
+        while sent < len(check.requests[number].attempts):
+            endpoint, reported = check.requests[number].attempts[sent].endpoint, 5.0 + number % 2 / 100
+            check.deliver(AttemptEnded(number, sent, 3, 300, False, [reported], endpoint))
             sent += 1
         check.pass_time(1_000_000)
     assert balancer.parts.reports.capacity_hit_rate < 0.3
     balancer.parts.load.smoothed_in_flight, seen = 20.0, balancer.parts.endpoints.by_name["w0"]
     balancer.parts.load.observe_peers(seen, 5.0)
-    check.give(HealthCheckEnded("w0", 1, 300, [4.9]))  # it reports that no slot is taken
+    check.deliver(HealthCheckEnded("w0", 1, 300, [4.9]))  # it reports that no slot is taken
     assert balancer.parts.load.peer_slots(seen) > 4
-    assert not check.broken
+    assert not check.violations
 
 
 def test_jobs_of_an_overloaded_zone_go_to_another() -> None:
@@ -479,8 +484,8 @@
     check = fleet(endpoints=6, balancers=1)
     near = {f"w{n}" for n in range(6) if entry(n).zone == "a"}
     for n in range(6):
-        check.give(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.0] if f"w{n}" in near else [0, 5.0]))
-        check.give(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.1] if f"w{n}" in near else [0, 5.1]))
+        check.deliver(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.0] if f"w{n}" in near else [0, 5.0]))
+        check.deliver(HealthCheckEnded(f"w{n}", 1, 100, [5, 0.1] if f"w{n}" in near else [0, 5.1]))
     for endpoint in near:
         check.balancer.parts.load.observe_peers(check.balancer.parts.endpoints.by_name[endpoint], 9.0)  # type: ignore[attr-defined]
     assert offer(check, 1) not in {"", *near}
@@ -492,13 +497,13 @@
     """A fleet in slow start gets few jobs at first and the usual number once warm; no job is lost."""
     check = fleet(endpoints=6, balancers=8)
     serve(check, range(20))
-    check.give(EndpointsChanged("changes", [entry(n, "up", check.now - 1_000) for n in range(6)]))
+    check.deliver(EndpointsChanged("changes", [entry(n, "up", check.now - 1_000) for n in range(6)]))
     serve(check, range(100, 160))
-    check.check_cold(slots=3, run_us=50_000)
+    check.check_slow_start(slots=3, run_us=50_000)
     check.pass_time(9_000_000)
     assert sum(map(bool, serve(check, range(200, 260)))) > 50
     check.finish()
-    assert not check.broken
+    assert not check.violations
 
 
 def test_overlapping_failures_break_no_rule() -> None:
@@ -509,19 +514,19 @@
     check = fleet(endpoints=8, balancers=2)
     for number in range(120):
         state = "draining" if number % 20 == 7 else "up"
-        check.give(EndpointsChanged("changes", [entry(number % 3, state)]))
+        check.deliver(EndpointsChanged("changes", [entry(number % 3, state)]))
         offer(check, number, ("safe", "keyed", "unsafe")[number % 3])
-        for i, sent in enumerate(list(check.jobs[number].attempts)):
+        for i, sent in enumerate(list(check.requests[number].attempts)):
             if sent.endpoint in ("w3", "w4") or sent.outcome:
                 continue  # the endpoint hangs
             end(check, number, 2 if sent.endpoint == "w5" else 1, i, [0, 4.0])
         check.pass_time(40_000)
     check.finish()
-    check.give(EndpointsChanged("all", [entry(n) for n in range(8)]))
+    check.deliver(EndpointsChanged("all", [entry(n) for n in range(8)]))
     check.pass_time(20_000_000)
     assert sum(map(bool, serve(check, range(1000, 1040)))) > 35
     check.finish()
-    assert not check.broken
+    assert not check.violations
 
 
 def test_share_of_a_warming_endpoints_admissions_is_used() -> None:
@@ -539,7 +544,7 @@
         held_field="active",
     )
     check.pass_time(5_000_000)
-    check.give(EndpointsChanged("changes", [entry(7, "up", check.now - 1_000_000)]))
+    check.deliver(EndpointsChanged("changes", [entry(7, "up", check.now - 1_000_000)]))
     balancer = check.balancer
     assert isinstance(balancer, Balancer)
     balancer.parts.endpoints.by_name["w7"].slow_start.next_admission_at_us = check.now + 50_000
@@ -556,7 +561,7 @@
     check = fleet(1, report_fields=["active", "x0", "x1"], free_memory_field="x1")
     serve(check, range(5))
     assert offer(check, 10, memory=0.5) == "w0"
-    check.give(ExecutionStarted(10, 0))
+    check.deliver(ExecutionStarted(10, 0))
     check.pass_time(50_000)
     end(check, 10, report=[1, 3, 0.1])
     assert offer(check, 11, memory=0.5) == ""  # the report is recent
@@ -564,7 +569,7 @@
     end(check, 12)
     check.pass_time(1_000_000)
     assert offer(check, 13, memory=0.5) == "w0"
-    assert check.broken == []
+    assert check.violations == []
 
 
 def test_job_whose_attempts_all_returned_unstarted_is_rejected() -> None:
@@ -573,12 +578,12 @@
         check = fleet()
         offer(check, 1, "keyed")
         check.pass_time(400_000)
-        assert len(check.jobs[1].attempts) == 2  # it had not started, so it was hedged
+        assert len(check.requests[1].attempts) == 2  # it had not started, so it was hedged
         end(check, 1, Outcome.FULL, first)
         actions = end(check, 1, Outcome.FULL, second)
         while not any(isinstance(action, Reject | Fail) for action in actions):
-            actions = end(check, 1, Outcome.FULL, len(check.jobs[1].attempts) - 1)
-        assert any(isinstance(action, Reject) for action in actions) and not check.broken
+            actions = end(check, 1, Outcome.FULL, len(check.requests[1].attempts) - 1)
+        assert any(isinstance(action, Reject) for action in actions) and not check.violations
 
 
 def test_suspended_job_affects_no_pace_and_is_not_hedged() -> None:
@@ -587,16 +592,16 @@
         check = fleet()
         serve(check, range(60))
         endpoint = offer(check, 100)
-        check.give(ExecutionStarted(100, 0))
+        check.deliver(ExecutionStarted(100, 0))
         if paused:
-            check.give(ExecutionPaused(100, 0, True))
+            check.deliver(ExecutionPaused(100, 0, True))
         check.pass_time(2_000_000)
         balancer = check.balancer
         assert isinstance(balancer, Balancer)
         assert (balancer.parts.run_times.pace(balancer.parts.endpoints.by_name[endpoint]) < 1.2) == paused
         if paused:
-            assert len(check.jobs[100].attempts) == 1
-            check.give(ExecutionPaused(100, 0, False))
+            assert len(check.requests[100].attempts) == 1
+            check.deliver(ExecutionPaused(100, 0, False))
             check.pass_time(50_000)
             end(check, 100)
             assert balancer.parts.run_times.pace(balancer.parts.endpoints.by_name[endpoint]) < 1.2
@@ -606,7 +611,7 @@
     """The named endpoint of many gets the job; if it is not usable, the job is rejected unsent."""
     check = fleet(60)
     assert [offer(check, number, only=("w41",)) for number in range(2)] == ["w41"] * 2
-    check.give(EndpointsChanged("changes", [entry(41, "draining")]))
+    check.deliver(EndpointsChanged("changes", [entry(41, "draining")]))
     assert offer(check, 10, only=("w41", "w99")) == ""
     assert offer(check, 11, only=("w41", "w7")) == "w7"
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -46,7 +46,7 @@
 from merlinbay.platform import messages
 from merlinbay.platform.discovery import Discovery
 from merlinbay.platform.servers import PlatformServers
-from tests.net import LIMITS, Stage, StandIn, play, stage
+from tests.net import LIMITS, FakeServer, NodeFixture, node_fixture, run_scenario
 from tests.support import entry, settings
 
 SECOND = 1_000_000
@@ -311,13 +311,15 @@
 def test_node_with_1024_entries_stays_within_its_descriptor_limit(tmp_path: Path) -> None:
     """Every job is rejected by one server after another, so old connections must make room for new ones."""
 
-    async def reject(server: StandIn, request: Request) -> Response:
+    async def reject(server: FakeServer, request: Request) -> Response:
         return Response(503, b"", [(b"x-not-processed", b"1")])
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s-0", play=reject)
-            at.rows += [{**at.rows[0], "id": f"s-{n}", "cell": n // 6} for n in range(1, 1024)]
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s-0", behaviour=reject)
+            at.endpoint_rows += [
+                {**at.endpoint_rows[0], "id": f"s-{n}", "cell": n // 6} for n in range(1, 1024)
+            ]
             await at.start(program=True, discovery="automatic")
             assert at.process is not None
             max_descriptors = 0
@@ -326,7 +328,7 @@
                 max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{at.process.pid}/fd")))
             assert len(server.connections) > 80 and max_descriptors < at.sockets * 35 // 100 + 32
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Discovery on sockets.
@@ -335,9 +337,9 @@
 class DiscoveryHarness:
     """A stand-in discovery, a node's watch of it, and the inbox to which the watch reports."""
 
-    def __init__(self, scene: Stage, pushed: bool, answers: list[str], inbox_size: int = 100) -> None:
+    def __init__(self, scene: NodeFixture, pushed: bool, answers: list[str], inbox_size: int = 100) -> None:
         self.answers, self.lists_sent = answers, 0
-        self.stand_in = StandIn(scene, "discovery", self.answer)
+        self.stand_in = FakeServer(scene, "discovery", self.answer)
         self.stand_in.sock.listen(8)  # listens at once, so that the first poll is not refused
         scene.nursery.start_soon(self.stand_in.listen)
         send, self.inbox = trio.open_memory_channel[Message](inbox_size)
@@ -355,7 +357,7 @@
         )
         scene.nursery.start_soon(self.discovery.run)
 
-    async def answer(self, server: StandIn, request: Request) -> Response | None:
+    async def answer(self, server: FakeServer, request: Request) -> Response | None:
         """Give the next of the answers, or a list in which the server drains when there are none left."""
         kind = self.answers.pop(0) if self.answers else "draining"
         rows = [{"id": "s", "addr": "127.0.0.2:1", "state": "SERVING" if kind == "up" else "DRAINING"}]
@@ -398,7 +400,7 @@
     """A watch of pushed lists restarts by itself; other watches restart when the module subscribes."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, pushed, ["up", *trouble.split()])
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "up" and harness.discovery.is_up("s")
@@ -410,7 +412,7 @@
             assert had_answer == [True] + [False] * (len(had_answer) - 1) and had_answer
             assert message.entries[0].state == "draining" and not harness.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("what", ["cut", "odd"])
@@ -418,7 +420,7 @@
     """The poll is repeated on the same connection, and the next list is used."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, False, ["up", what, "indented"])
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "up"
@@ -429,7 +431,7 @@
             )
             assert len(harness.stand_in.connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_reload_with_the_same_discovery_is_confirmed_without_changes(tmp_path: Path) -> None:
@@ -439,7 +441,7 @@
     """
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, False, ["up", *["nothing"] * 999])
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "up"
@@ -454,72 +456,72 @@
             )
             assert len(harness.stand_in.connections) == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_answer_that_crosses_a_reload_is_marked_as_from_the_former_discovery(tmp_path: Path) -> None:
     """The configuration no longer names the discovery that has sent it."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, False, ["up", "draining"])
             harness.discovery.subscribe()
             assert not (await harness.next_message()).is_from_former_discovery
             harness.discovery.move("127.0.0.2:9")
             assert (await harness.next_message()).is_from_former_discovery
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_poll_is_held_until_right_after_the_time_to_be_confirmed(tmp_path: Path) -> None:
     """If discovery held the poll longer, the node would reject requests until the poll ends."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             discovery = DiscoveryHarness(at, False, []).discovery
             discovery.limits = LIMITS
             assert discovery._next_wait_s() == LIMITS.watch_wait_s
             discovery.confirm_after(300_000)
             assert 0.3 < discovery._next_wait_s() <= 0.3 + LIMITS.confirm_margin_s
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_answer_that_was_applied_and_not_reported_is_requested_again(tmp_path: Path) -> None:
     """A subscription ends the watch while it waits to report; the next poll must ask for the whole list."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, False, ["up", "draining"], inbox_size=0)
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "up"
             while harness.discovery.is_up("s"):
                 await trio.sleep(0.01)
-            polls_before = len(harness.stand_in.seen)
+            polls_before = len(harness.stand_in.received)
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "draining"
-            assert "after=" not in harness.stand_in.seen[polls_before][1].target
+            assert "after=" not in harness.stand_in.received[polls_before][1].target
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_server_missing_from_a_whole_list_is_removed(tmp_path: Path) -> None:
     """A server may disappear without an entry with the state DELETED."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, True, ["up", "empty"])
             await harness.next_message()
             assert (await harness.next_message()).entries == [] and not harness.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_pushed_list_is_watched_at_the_new_agent_at_once(tmp_path: Path) -> None:
     """The former agent still holds the poll, and may not report any further change."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             old, new = (
                 DiscoveryHarness(at, True, ["up", "silent"]),
                 DiscoveryHarness(at, True, ["empty"] * 99),
@@ -529,14 +531,14 @@
             message = await old.next_message()
             assert (message.scope, message.entries) == ("all", [])
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_list_counts_before_the_dispatcher_has_read_it(tmp_path: Path) -> None:
     """The dispatcher may be a hundred messages behind; the pre-send check must use the last answer."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
+        async with node_fixture(tmp_path) as at:
             harness = DiscoveryHarness(at, True, ["up"], inbox_size=1)
             while harness.lists_sent < 2:
                 await trio.sleep(0.01)
@@ -545,7 +547,7 @@
             assert harness.inbox.statistics().current_buffer_used == 1
             assert not harness.discovery.is_up("s")
 
-    play(scene)
+    run_scenario(scene)
 
 
 # A whole node to which lists are pushed.
@@ -555,12 +557,12 @@
     """New jobs must go to the other server only."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            left = at.add("left")
+        async with node_fixture(tmp_path) as at:
+            left = at.add_server("left")
             await at.start(discovery="automatic")
             assert (await at.admit("j")).status == 200 and left.targets()
-            at.add("stays")
-            at.change("left", state="DRAINING")
+            at.add_server("stays")
+            at.update_server("left", state="DRAINING")
             lists_before = at.counters.counts["entries_all"]
             while at.counters.counts["entries_all"] < lists_before + 2:
                 await trio.sleep(0.01)
@@ -568,35 +570,35 @@
             assert {(await at.admit(f"k{n}")).status for n in range(8)} == {200}
             assert len(left.targets()) == before
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_starting_node_does_not_use_the_old_list_from_its_file(tmp_path: Path) -> None:
     """The agent's list counts as notified from the start, so the node is ready once it has received it."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            left = at.add("left")
+        async with node_fixture(tmp_path) as at:
+            left = at.add_server("left")
             answer = at.discovery
 
-            async def late(server: StandIn, request: Request) -> Response | None:
+            async def late(server: FakeServer, request: Request) -> Response | None:
                 await trio.sleep(0.1)
                 return await answer(server, request)
 
             at.discovery = late  # type: ignore[method-assign]
             environ = at.configure(discovery="automatic")
-            at.rows[0]["state"] = "DRAINING"  # after the node's file was written
+            at.endpoint_rows[0]["state"] = "DRAINING"  # after the node's file was written
             at.configure = lambda **conf: environ  # type: ignore[method-assign]
             await at.start()
             assert (await at.admit("j")).status == 503 and not left.targets()
 
-    play(scene)
+    run_scenario(scene)
 
 
 # Between the decision for a server and the first byte.
 
 
-async def accept_all(server: StandIn, request: Request) -> Response:
+async def accept_all(server: FakeServer, request: Request) -> Response:
     """Accept every request."""
     return Response(202)
 
@@ -605,8 +607,8 @@
     """The connection is kept for other exchanges with the server, such as a DELETE."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, is_draining = at.add("s", play=accept_all), False
+        async with node_fixture(tmp_path) as at:
+            server, is_draining = at.add_server("s", behaviour=accept_all), False
             server.sock.listen(8)
             counters = Counters()
             pool = ConnectionPool(LIMITS, counters, lambda name: not is_draining)
@@ -620,15 +622,15 @@
             assert server.targets() == ["/"] and len(server.connections) == 1
             assert counters.counts["sends_withheld"] == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_withheld_attempt_ends_as_never_sent(tmp_path: Path) -> None:
     """With this outcome the module may send the job elsewhere, whatever its class."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server, counters, clock = at.add("s", play=accept_all), Counters(), Clock()
+        async with node_fixture(tmp_path) as at:
+            server, counters, clock = at.add_server("s", behaviour=accept_all), Counters(), Clock()
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, counters, lambda name: False)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -638,17 +640,17 @@
             servers.start(ServerAttempt(RequestSpec("j", "admit", now, SECOND), 1, 0, "s", now, now + SECOND))
             ended = await inbox.receive()
             assert isinstance(ended, AttemptFinished) and ended.outcome is Outcome.MOOT
-            assert not server.seen
+            assert not server.received
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_job_is_not_sent_to_a_server_whose_address_has_changed(tmp_path: Path) -> None:
     """It is another process, so the state on which the decision was based is no longer valid."""
 
     async def scene() -> None:
-        async with stage(tmp_path) as at:
-            server = at.add("s")
+        async with node_fixture(tmp_path) as at:
+            server = at.add_server("s")
             server.sock.listen(8)
             pool = ConnectionPool(LIMITS, Counters(), lambda name: True)
             pool.update_endpoints("all", [ServiceEntry("s", server.addr)])
@@ -664,7 +666,7 @@
                 await pool.exchange("s", JOB_REQUEST)
             assert not server.targets()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_time_of_the_last_answer_reaches_the_decision_module() -> None:
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -91,7 +91,7 @@
             nursery.cancel_scope.cancel()
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(scene: Callable[[], Awaitable[None]]) -> None:
     """Run a scene in virtual time."""
     trio.run(scene, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -114,7 +114,7 @@
             (method, headers), *_ = at.pool.sent
             assert method == "POST" and int(headers["x-timeout-ms"]) == 1600
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_attempt_no_longer_permitted_after_connecting_is_not_sent() -> None:
@@ -128,7 +128,7 @@
             assert await at.outcome() is Outcome.MOOT
             assert not at.pool.sent
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
             await trio.testing.wait_all_tasks_blocked()
             assert at.pool.methods == expected and at.is_open()
 
-    play(scene)
+    run_scenario(scene)
 
 
 UNKNOWN = {"200": Reply(200, {}, b""), "bare 503": Reply(503, {}, b""), "302": Reply(302, {}, b"")}
@@ -193,7 +193,7 @@
                 assert await at.outcome() is Outcome.ERROR
             assert at.servers.counters.counts["answers_unknown"] == 1
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_that_breaks_before_the_reply_is_a_reset() -> None:
@@ -208,4 +208,4 @@
             assert await at.outcome() is Outcome.RESET
             assert at.pool.methods == ["POST"]
 
-    play(scene)
+    run_scenario(scene)
