--- a/tests/test_client_terms.py
+++ b/tests/test_client_terms.py
@@ -48,11 +48,11 @@
 from tests.test_node import full, silent
 
 
-def job(name: str, job_class: str = "safe", timeout_ms: int = 2000, more: str = "") -> bytes:
+def job(name: str, job_class: str = "safe", timeout_ms: int = 2000, headers: str = "") -> bytes:
     """Return a complete request as a client writes it."""
     return (
         f"POST /{job_class} HTTP/1.1\r\nhost: n\r\nx-request-id: {name}\r\nx-priority-class: {job_class}\r\n"
-        f"x-timeout-ms: {timeout_ms}\r\nidempotency-key: k-{name}\r\n{more}content-length: 2\r\n\r\nhi"
+        f"x-timeout-ms: {timeout_ms}\r\nidempotency-key: k-{name}\r\n{headers}content-length: 2\r\n\r\nhi"
     ).encode()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -274,9 +274,9 @@
 class PacedSocket:
     """A client's connection as the node sees it: it sends one request, then reads some bytes a second."""
 
-    def __init__(self, bytes_a_second: int, bytes_in_all: int) -> None:
-        self.bytes_a_second, self.bytes_in_all = bytes_a_second, bytes_in_all
-        self.taken = 0
+    def __init__(self, bytes_a_second: int, max_bytes_read: int) -> None:
+        self.bytes_a_second, self.max_bytes_read = bytes_a_second, max_bytes_read
+        self.bytes_read = 0
         self.request = REQUEST_BYTES
 
     def __enter__(self) -> PacedSocket:
@@ -304,11 +304,11 @@
 
     async def send(self, data: bytes | memoryview) -> int:
         """Read one second's share of the data, after a second."""
-        if self.taken >= self.bytes_in_all:
+        if self.bytes_read >= self.max_bytes_read:
             await trio.sleep_forever()
         await trio.sleep(1.0)
         count = min(len(data), self.bytes_a_second)
-        self.taken += count
+        self.bytes_read += count
         return count
 
 
@@ -330,17 +330,17 @@
 
 def test_slow_client_gets_its_whole_answer() -> None:
     """The write timeout counts from the last byte read, so a whole answer may take longer than that."""
-    client = PacedSocket(bytes_a_second=1000, bytes_in_all=1_000_000)
+    client = PacedSocket(bytes_a_second=1000, max_bytes_read=1_000_000)
     seconds = int(4 * LIMITS.write_response_timeout_s)
     trio.run(serve_paced_client, client, 1000 * seconds, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert client.taken > 1000 * seconds
+    assert client.bytes_read > 1000 * seconds
 
 
 def test_client_that_stops_reading_is_disconnected_after_the_write_timeout() -> None:
     """The timeout counts from the last byte that the client read."""
-    client = PacedSocket(bytes_a_second=1000, bytes_in_all=3000)
+    client = PacedSocket(bytes_a_second=1000, max_bytes_read=3000)
     ended = trio.run(serve_paced_client, client, 20_000, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert client.taken == 3000
+    assert client.bytes_read == 3000
     assert (
         3.0 + LIMITS.write_response_timeout_s
         <= ended
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -32,10 +32,10 @@
     return check
 
 
-def offer(check: Checker, number: int, cls: str = "safe", **more: object) -> str:
+def offer(check: Checker, number: int, cls: str = "safe", **fields: object) -> str:
     """Offer a job; return the endpoint to which it was dispatched, or '' if it was rejected."""
     budget = next(c.deadline_us for c in check.conf.classes if c.name == cls)
-    actions = check.deliver(RequestReceived(number, cls, budget, **more))  # type: ignore[arg-type]
+    actions = check.deliver(RequestReceived(number, cls, budget, **fields))  # type: ignore[arg-type]
     placed = [a for a in actions if isinstance(a, Dispatch) and a.id == number]
     assert placed or any(isinstance(a, Reject) and a.id == number for a in actions)
     return placed[0].endpoint if placed else ""
@@ -128,7 +128,7 @@
     before = run_fleet(check, range(100, 200), "w2", 1)
     during = run_fleet(check, range(200, 500), "w2", 6)
     assert before.count("w2") >= 8
-    assert during.count("w2") <= 15  # at its old share it would be 50 and more
+    assert during.count("w2") <= 15  # with its former share it would get 50 or more
     copied = [job for job in check.requests.values() if len(job.attempts) > 1]
     assert copied and all(job.attempts[0].endpoint == "w2" for job in copied)
     check.pass_time(40_000_000)
@@ -164,14 +164,14 @@
     """An endpoint that accepts jobs and answers none is avoided; it is tried again after its timeouts."""
     check = fleet(balancers=1)
     serve(check, range(20))
-    taken = 0
+    dispatched = 0
     for number in range(100, 300):
         endpoint = offer(check, number, "unsafe")
         check.pass_time(25_000)
-        taken += endpoint == "w2"
+        dispatched += endpoint == "w2"
         if endpoint and endpoint != "w2":
             end(check, number, report=[0, 5])
-    assert taken <= 12  # at most what it took before its silence was noticed
+    assert dispatched <= 12  # at most the jobs that it got before its silence was detected
     check.pass_time(30_000_000)
     assert "w2" in serve(check, range(400, 460), cls="unsafe")
     check.finish()
@@ -194,16 +194,16 @@
     """An endpoint that reports free slots but rejects jobs must not be tried over and over."""
     check = fleet(balancers=1)
     serve(check, range(10))
-    asked = 0
+    dispatched = 0
     for number in range(100, 150):
         if offer(check, number) == "w2":
-            asked += 1
+            dispatched += 1
             end(check, number, 3, report=[0, float(5 + number % 2)])
         for i, sent in enumerate(check.requests[number].attempts):
             if not sent.outcome:
                 end(check, number, 1, i)
         check.pass_time(2_000)
-    assert asked < 25
+    assert dispatched < 25
     check.finish()
     assert check.violations == []
 
@@ -401,15 +401,15 @@
     A scaled estimate from one job is noise then: 70% of the jobs were rejected as full.
     """
     check = fleet_with_health_checks()
-    first, second, *_ = asked = checked_for(check, 1)
-    assert 2 <= len(asked) == len(set(asked)) <= 6
+    first, second, *_ = checked = checked_for(check, 1)
+    assert 2 <= len(checked) == len(set(checked)) <= 6
     assert not check.deliver(HealthCheckEnded(first, 1, 500, [9, 0]))
     placed = check.deliver(HealthCheckEnded(second, 1, 600, [1, 2]))
     assert [a.endpoint for a in placed if isinstance(a, Dispatch)] == [second]
-    for name in asked[2:]:
+    for name in checked[2:]:
         assert not check.deliver(HealthCheckEnded(name, 1, 700, [0, 3]))
-    asked = checked_for(check, 2)
-    for name in asked:
+    checked = checked_for(check, 2)
+    for name in checked:
         last = check.deliver(HealthCheckEnded(name, 1, 500, [90, 0]))
     assert [type(a) for a in last] == [Reject]
     assert not check.violations
@@ -448,8 +448,8 @@
     checked_for(check, 2)
     check.deliver(ClientDisconnected(2))
     assert isinstance(check.balancer, Balancer) and 2 not in check.balancer.parts.requests.by_id
-    asked = checked_for(check, 3)
-    for name in asked:  # replies to checks for settled jobs count for the job that waits
+    checked = checked_for(check, 3)
+    for name in checked:  # replies to checks for settled jobs count for the job that waits
         check.deliver(HealthCheckEnded(name, 4, 100_000, None))
     assert check.requests[3].attempts or check.requests[3].answers
     assert not check.violations
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -335,17 +335,17 @@
 
 
 class DiscoveryHarness:
-    """A stand-in discovery, a node's watch of it, and the inbox to which the watch reports."""
+    """A fake discovery, a node's watch of it, and the inbox to which the watch reports."""
 
     def __init__(self, scene: NodeFixture, pushed: bool, answers: list[str], inbox_size: int = 100) -> None:
         self.answers, self.lists_sent = answers, 0
-        self.stand_in = FakeServer(scene, "discovery", self.answer)
-        self.stand_in.sock.listen(8)  # listens at once, so that the first poll is not refused
-        scene.nursery.start_soon(self.stand_in.listen)
+        self.fake_server = FakeServer(scene, "discovery", self.answer)
+        self.fake_server.sock.listen(8)  # listens at once, so that the first poll is not refused
+        scene.nursery.start_soon(self.fake_server.listen)
         send, self.inbox = trio.open_memory_channel[Message](inbox_size)
         self.counters = Counters()
         self.discovery = Discovery(
-            self.stand_in.addr,
+            self.fake_server.addr,
             None,
             [ServiceEntry("s", "127.0.0.2:1")],
             pushed,
@@ -429,7 +429,7 @@
             assert (
                 harness.counters.counts["lists_spoilt"] == 1 and not harness.counters.counts["watches_failed"]
             )
-            assert len(harness.stand_in.connections) == 1
+            assert len(harness.fake_server.connections) == 1
 
     run_scenario(scene)
 
@@ -446,7 +446,7 @@
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "up"
             moved_at = trio.current_time()
-            assert not harness.discovery.move(harness.stand_in.addr)
+            assert not harness.discovery.move(harness.fake_server.addr)
             message = await harness.next_message()
             assert 0.2 <= trio.current_time() - moved_at < 0.4
             assert (message.scope, message.entries, message.is_from_former_discovery) == (
@@ -454,7 +454,7 @@
                 [],
                 False,
             )
-            assert len(harness.stand_in.connections) == 1
+            assert len(harness.fake_server.connections) == 1
 
     run_scenario(scene)
 
@@ -497,10 +497,10 @@
             assert (await harness.next_message()).entries[0].state == "up"
             while harness.discovery.is_up("s"):
                 await trio.sleep(0.01)
-            polls_before = len(harness.stand_in.received)
+            polls_before = len(harness.fake_server.received)
             harness.discovery.subscribe()
             assert (await harness.next_message()).entries[0].state == "draining"
-            assert "after=" not in harness.stand_in.received[polls_before][1].target
+            assert "after=" not in harness.fake_server.received[polls_before][1].target
 
     run_scenario(scene)
 
@@ -527,7 +527,7 @@
                 DiscoveryHarness(at, True, ["empty"] * 99),
             )
             assert (await old.next_message()).entries[0].state == "up"
-            assert old.discovery.move(new.stand_in.addr)
+            assert old.discovery.move(new.fake_server.addr)
             message = await old.next_message()
             assert (message.scope, message.entries) == ("all", [])
 
