--- a/merlinbay/http/__init__.py
+++ b/merlinbay/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over trio by h11: a server and a client that every front shares."""
+"""An HTTP/1.1 server and client over trio and h11, shared by all fronts and server transports."""
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -1,4 +1,8 @@
-"""The client's side of HTTP/1.1: one connection, one exchange at a time. Nothing is retried here."""
+"""The client side of HTTP/1.1: a connection that carries one exchange at a time.
+
+The connection pool and the discovery clients use it. Failures raise the errors defined here, which separate
+requests that were not sent from those that the server may have processed. Nothing is retried here.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from merlinbay.http.sockets import is_readable, send_all
 from merlinbay.limits import ResourceLimits
 
-# Errors of a connect whose cause is the other side, or the way to it.
+# Connect errors caused by the other side or by the network on the way to it.
 REMOTE_ERRORS = (
     errno.ECONNREFUSED,
     errno.ECONNRESET,
@@ -20,7 +24,7 @@
     errno.EHOSTDOWN,
     errno.ENETUNREACH,
 )
-# Errors of a connect whose cause is a lack on this machine.
+# Connect errors caused by a shortage of resources on this machine.
 LOCAL_RESOURCE_ERRORS = (
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
@@ -33,11 +37,11 @@
 
 
 class RequestNotSentError(Exception):
-    """No connection came up, or it broke before the request's last byte was written."""
+    """No connection was established, or it broke before the last byte of the request was written."""
 
 
 class ConnectTimeoutError(RequestNotSentError):
-    """No connection in time: the server has gone silently, or has as many as it accepts."""
+    """The connect timed out: the server has gone without notice, or its accept queue is full."""
 
 
 class ConnectRefusedError(RequestNotSentError):
@@ -45,23 +49,23 @@
 
 
 class LocalResourceError(RequestNotSentError):
-    """A lack of descriptors, ports or memory on this machine, which says nothing of the server."""
+    """A shortage of descriptors, ports or memory on this machine; it says nothing about the server."""
 
 
 class AttemptWithheldError(RequestNotSentError):
-    """The pre-send check found that the request is not to be sent any more."""
+    """The pre-send check found that the request must not be sent any more."""
 
 
 class ConnectionBrokenError(Exception):
-    """The connection broke, or spoke no HTTP, after the request's last byte was written."""
+    """The connection broke, or the response was not HTTP, after the whole request was written."""
 
 
 class UnreadableResponseError(ConnectionBrokenError):
-    """The response is no HTTP, or too large; the other side has not closed the connection."""
+    """The response is not HTTP or is too large. The other side has not closed the connection."""
 
 
 def connect_error(error: OSError | ValueError) -> type[RequestNotSentError]:
-    """Return the type of error for a connect that has failed."""
+    """Return the error type for a failed connect."""
     number = error.errno if isinstance(error, OSError) else None
     if number in LOCAL_RESOURCE_ERRORS:
         return LocalResourceError
@@ -73,7 +77,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A whole response to a request of ours. Header names are in lower case."""
+    """A complete response from a server. Header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -81,7 +85,7 @@
 
 
 class ClientConnection:
-    """One connection to a server. Moments are by trio's clock."""
+    """One connection to a server. Times are on trio's clock."""
 
     def __init__(
         self, sock: trio.socket.SocketType, host: str, limits: ResourceLimits, body_bytes: int
@@ -89,21 +93,22 @@
         self.sock, self.host, self.limits, self.body_bytes = sock, host, limits, body_bytes
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.head_bytes)
         self.idle_since = 0.0
-        self.quarantined_until = 0.0  # a stray response may come until then
+        self.quarantined_until = 0.0  # a stray response may arrive until this time
 
     @classmethod
     async def connect(
         cls, addr: str, limits: ResourceLimits, body_bytes: int = 0, timeout: float = 0.0
     ) -> ClientConnection:
-        """Open a connection; raise ``RequestNotSentError`` if none comes up.
+        """Open a connection. Raises ``RequestNotSentError`` if it cannot be established.
 
-        ``timeout`` is in seconds, ``body_bytes`` the limit of a response's body; 0: those for servers.
+        ``timeout`` is in seconds; ``body_bytes`` limits the body of a response. The limits for
+        servers apply where they are 0.
         """
         timeout = timeout or limits.connect_timeout_s
         host, _, port = addr.rpartition(":")
         try:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
-        except OSError as error:  # Guards against a lack of descriptors that counts against the server.
+        except OSError as error:  # A shortage of descriptors here must not count against the server.
             raise LocalResourceError(f"socket: {error}") from None
         try:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -111,10 +116,10 @@
                 await sock.connect((host, int(port)))
         except trio.TooSlowError:
             sock.close()
-            raise ConnectTimeoutError(f"dial {addr}: no answer in {timeout} s") from None
+            raise ConnectTimeoutError(f"connect to {addr}: no answer within {timeout} s") from None
         except (OSError, ValueError) as error:
             sock.close()
-            raise connect_error(error)(f"dial {addr}: {error}") from None
+            raise connect_error(error)(f"connect to {addr}: {error}") from None
         except BaseException:
             sock.close()
             raise
@@ -122,12 +127,13 @@
 
     @property
     def can_be_reused(self) -> bool:
-        """Whether the last exchange leaves it open."""
-        # Guards against a second response that came with the first and would be taken for the next one.
+        """Whether the last exchange has left the connection open and without unread bytes."""
+        # Bytes after the response may be a second response, which would be read as the response to the next
+        # request.
         return self.h11.our_state is h11.IDLE and not self.h11.trailing_data[0]
 
     def is_available(self) -> bool:
-        """Tell whether it can carry another request: nothing is to be read, not even its end."""
+        """Return whether another request can be sent: nothing is readable, not even the end of the stream."""
         return self.can_be_reused and not is_readable(self.sock)
 
     def close(self) -> None:
@@ -152,8 +158,8 @@
             raise (ConnectionBrokenError if has_ended else UnreadableResponseError)(str(error)) from None
 
     def _encode(self, method: str, target: str, headers: Headers, body: bytes) -> bytes:
-        """Return a request's bytes. Raises ``h11.LocalProtocolError``."""
-        # Guards against header bytes beyond ASCII, which are forwarded as they came.
+        """Return the bytes of a request. Raises ``h11.LocalProtocolError``."""
+        # Header values are encoded as Latin-1, since bytes beyond ASCII are forwarded as they were received.
         encoded = [
             (name.encode(), value.encode("latin-1", "replace"))
             for name, value in [("host", self.host), *headers]
@@ -178,7 +184,7 @@
             elif type(event) is h11.Data:
                 body += event.data
                 if len(body) > self.body_bytes:
-                    raise UnreadableResponseError("the answer is too large")
+                    raise UnreadableResponseError("the response body exceeds the size limit")
             elif type(event) is h11.EndOfMessage and head is not None:
                 if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
                     self.h11.start_next_cycle()
@@ -188,4 +194,4 @@
                     bytes(body),
                 )
             elif type(event) is h11.ConnectionClosed:
-                raise ConnectionBrokenError("the connection ended before the answer")
+                raise ConnectionBrokenError("the connection was closed before the response was complete")
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -1,4 +1,7 @@
-"""Whether this node accepts clients, and how it sends them to other nodes without losing requests."""
+"""Directs clients to other nodes while this node is in standby, without losing requests.
+
+The operator's call and the handover set the state. Draining cannot fail: it goes on until it is revoked.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +14,23 @@
 
 
 class ClientSteering:
-    """Drains client connections while the node is in standby. Connections of servers are not touched."""
+    """Drains client connections while the node is in standby. Connections used by servers stay open."""
 
     def __init__(self, listener: Listener, limits: ResourceLimits) -> None:
         self.listener, self.limits = listener, limits
-        self.is_draining = False  # clients are to use other nodes
-        self.changed = trio.Event()  # set whenever ``is_draining`` has changed
+        self.is_draining = False  # whether clients should use other nodes
+        self.changed = trio.Event()  # set when ``is_draining`` changes
         self.on_operator_request: Callable[[bool], None] = lambda is_draining: None
 
     def accepts_clients(self) -> bool:
-        """Tell whether new clients are accepted."""
+        """Return whether new clients are accepted."""
         return not self.is_draining
 
     def set_draining(self, is_draining: bool, relayed: bool = False) -> None:
-        """Begin or end draining. ``relayed``: the node's other process has asked, and needs no relay back."""
+        """Begin or end draining.
+
+        ``relayed`` means that the node's other process has passed the request on, so it is not sent back.
+        """
         if not relayed:
             self.on_operator_request(is_draining)
         if is_draining == self.is_draining:
@@ -35,7 +41,7 @@
         self.changed.set()
 
     async def run(self) -> None:
-        """Drain whenever that is asked for, until it is no longer."""
+        """Drain connections while ``is_draining`` is set. Runs until cancelled."""
         while True:
             await self.changed.wait()
             self.changed = trio.Event()
@@ -48,10 +54,12 @@
 
     async def _drain(self) -> None:
         began = trio.current_time()
-        # Guards against clients that meet a closed connection: new ones come until the front has polled.
+        # Keeps connections open at first: new clients arrive until the front layer has polled the node's
+        # state, and should not meet a closed connection.
         await trio.sleep(self.limits.standby_arrivals_for_s)
         self.listener.set_closes_after_response(True)
-        # Guards against requests that cross the close: most connections end with a response.
+        # Waits until most connections have closed after a response. A connection closed earlier as idle could
+        # meet a request that is on its way.
         await trio.sleep_until(began + self.limits.standby_close_after_s)
         while True:
             self.listener.close_idle(self.limits.standby_idle_after_s)
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -1,4 +1,9 @@
-"""One accepted connection: one request at a time, answered now or later, and one way to end it."""
+"""One accepted connection, which carries one request at a time.
+
+It owns the socket and the tasks that read and write. The listener creates it and tells it when to close; the
+handler answers its requests, at once or later. An error ends this connection only, and the handler is told if
+a request was in progress.
+"""
 
 from __future__ import annotations
 
@@ -17,24 +22,24 @@
 from merlinbay.http.sockets import StreamSocket, is_readable
 from merlinbay.limits import ResourceLimits
 
-__all__ = ["Connection", "GiveAway", "Handler", "PrepareSocket", "Request", "Response"]
+__all__ = ["Connection", "Handler", "PrepareSocket", "Request", "Response", "SendToSuccessor"]
 
-GiveAway = Callable[["Connection"], bool]
-"""Gives a connection to another process; tells whether that took it."""
+SendToSuccessor = Callable[["Connection"], bool]
+"""Sends a connection to the process that replaces this one; returns whether it was sent."""
 
 
 class Handler(Protocol):
     """Answers the requests of a listener's connections."""
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Answer a request, or return None and call ``connection.respond`` later."""
+        """Return the response, or return None and call ``connection.respond`` later."""
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Note that the client has disconnected before its response."""
+        """Handle a client that disconnected before its response was written."""
 
 
 class Connection:
-    """One accepted connection: a task that reads, and one that writes responses that come later."""
+    """An accepted connection with a task that reads and, if needed, a task that writes late responses."""
 
     def __init__(
         self,
@@ -53,64 +58,66 @@
         )
         self.lifetime = ConnectionLifetime(limits)
         self.stream = ServerStream(sock, plain_socket, limits, self.lifetime)
-        self.incoming = RequestBuffer(limits)  # the request that is being read
-        # Set by fronts.
-        self.context: object = None  # what the handler keeps for the request in progress
-        self.carries_callbacks = False  # a server uses it, which is never sent to another node
-        self.has_served_request = False  # it is worth keeping while it is idle
-        # Set by the listener.
+        self.incoming = RequestBuffer(limits)  # parts of the request that is being read
+        # These attributes are set by fronts.
+        self.context: object = None  # state that the handler keeps for the request in progress
+        self.carries_callbacks = False  # whether a server uses it; servers are never sent to another node
+        self.has_served_request = False  # whether it served a request with success; it is kept longer then
+        # These attributes are set by the listener.
         self.closes_after_response = False
-        self.give_away: GiveAway | None = None  # called as soon as no request is in progress
-        # State.
-        self.has_request_in_progress = False  # with the handler, or its response is being written
-        self.has_answered = False  # at least one request
-        self.is_reading_ahead = False  # behind a request that is not answered yet
-        self.is_closing = False  # no request is begun any more
+        # Called as soon as no request is in progress.
+        self.send_to_successor: SendToSuccessor | None = None
+        # The state of the connection.
+        self.has_request_in_progress = False  # from the call of the handler until its response is written
+        self.has_answered = False  # whether at least one response was written
+        self.is_reading_ahead = False  # whether it reads while a response is awaited
+        self.is_closing = False  # whether it ends instead of reading another request
         self.has_ended = False
-        self.scope = trio.CancelScope()  # of the task that reads
-        self.read_scope = trio.CancelScope()  # of its current read
+        self.scope = trio.CancelScope()  # the scope of the task that reads
+        self.read_scope = trio.CancelScope()  # the scope of the current read
         self.late_responses = LateResponses()
-        self.has_late_writer = False  # the task that writes late responses runs; most connections need none
+        # Whether the task that writes late responses runs; most connections do not need it.
+        self.has_late_writer = False
 
     @property
     def sock(self) -> StreamSocket:
-        """What the connection is read and written by."""
+        """The socket or TLS stream that is read and written."""
         return self.stream.sock
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is in progress, and no byte of one was read."""
+        """Whether no request is in progress and no byte of the next request was read."""
         return not self.has_request_in_progress and self.stream.is_between_requests
 
     @property
     def is_receiving_request(self) -> bool:
-        """Whether a part of a request was read and not yet the rest."""
+        """Whether a part of a request was read and the rest is missing."""
         return self.stream.is_within_request and not self.has_request_in_progress and not self.is_closing
 
-    # Its end.
+    # Closing the connection.
 
-    def hand_over(self, give_away: GiveAway) -> None:
-        """Have the connection given away once no request is in progress on it."""
-        if self.prepare_socket is None:  # the state of TLS cannot be given
-            self.give_away = give_away
+    def hand_over(self, send_to_successor: SendToSuccessor) -> None:
+        """Send the connection to the successor once no request is in progress on it."""
+        if self.prepare_socket is None:  # The state of a TLS stream cannot be handed over.
+            self.send_to_successor = send_to_successor
             if self.is_idle:
                 self.read_scope.cancel()
 
     def close_gracefully(self) -> None:
-        """Have it ended in good order by its own task. Does not wait."""
+        """Ask the connection's own task to end it cleanly. Does not wait."""
         self.is_closing = True
         self.read_scope.cancel()
 
     def close_if_idle(self) -> bool:
-        """End it unless a request is in progress or has come; tell whether it ends."""
+        """Close it gracefully unless a request is in progress or readable. Return whether it closes."""
         if not self.is_idle or is_readable(self.sock):
             return False
         self.close_gracefully()
         return True
 
     def close_if_unused(self) -> bool:
-        """Close it at once unless a request is in progress or has come; tell whether it is closed."""
-        # Guards against a request that comes between the check and the close: no task runs in between.
+        """Close it at once unless a request is in progress or readable. Return whether it is closed."""
+        # Checks and closes without a checkpoint, so that no task reads a request in between.
         if is_readable(self.sock) or not (self.is_idle or self.is_receiving_request):
             return False
         self.stream.raw.close()
@@ -118,17 +125,19 @@
         return True
 
     def expire(self) -> None:
-        """End it because its client was idle, or too slow, for too long."""
+        """End the connection because its client was idle or too slow for too long."""
         is_preparing = self.prepare_socket is not None and self.sock is self.stream.raw
         if self.stream.is_writing or is_preparing:
-            self.scope.cancel()  # its client takes nothing, and nobody reads: there is no good order left
+            # The task writes to a client that reads nothing, or still prepares the stream. It is not in a
+            # read that a graceful close could end.
+            self.scope.cancel()
         else:
             self.close_gracefully()
 
     # Requests.
 
     async def serve(self) -> None:
-        """Serve the connection to its end. Its errors end it alone."""
+        """Serve the connection until it ends. Its errors end no other connection."""
         with self.scope, self.stream.raw:
             try:
                 if self.prepare_socket is not None:
@@ -149,21 +158,21 @@
             if not self.stream.has_sent_last_response:
                 goes_on = await self._handle_next_event()
             elif not self.is_closing:
-                # Guards against a close over the last response, which is being written: what comes behind it
-                # is no request any more.
+                # Reads on while the last response is being written, so that the connection is not closed
+                # before the response is out. Bytes after the last request are not a request any more.
                 goes_on = await self._read_ahead()
             else:
                 await self._linger()
                 return
 
     async def _handle_next_event(self) -> bool:
-        """Handle the next part of what was read, or read more; tell whether the connection goes on."""
+        """Handle the next h11 event, or read more bytes. Return whether the connection goes on."""
         try:
             event = self.stream.h11.next_event()
         except h11.RemoteProtocolError as error:
             if self.has_request_in_progress:
-                # Guards against a request that fails for the bytes behind it: it carried ``Connection:
-                # close``.
+                # The request in progress carried ``Connection: close`` and bytes follow it. It is answered as
+                # usual; the bytes behind it do not make it fail.
                 return await self._read_ahead()
             await self._reject(error.error_status_hint if error.error_status_hint >= 400 else 400)
             return False
@@ -180,7 +189,7 @@
         return type(event) is not h11.ConnectionClosed
 
     async def _begin_request(self, head: h11.Request) -> bool:
-        """Begin a request; tell whether the rest of it is wanted."""
+        """Begin a request. Return whether its body may follow."""
         if not await self._accept_or_reject(self.incoming.begin(head)):
             return False
         if self.stream.h11.they_are_waiting_for_100_continue:
@@ -188,22 +197,22 @@
         return True
 
     async def _accept_or_reject(self, status: int) -> bool:
-        """Reject the request with a status, if any; tell whether it is accepted."""
+        """Reject the request if the status is not 0. Return whether it is accepted."""
         if status:
             await self._reject(status)
         return not status
 
     async def _handle_request(self, request: Request) -> None:
-        """Give a request to the handler; write its response, or leave it to the task for late ones."""
+        """Pass a request to the handler, and write its response unless it comes late."""
         self.lifetime.await_response()
         self.has_request_in_progress = True
         self.stream.is_head_request = request.method == "HEAD"
-        if self.is_closing:  # the request was whole in time; the end comes after its response
+        if self.is_closing:  # The request was complete in time: the connection ends after its response.
             self.is_closing, self.closes_after_response = False, True
         try:
             response = await self.handler.request(self, request)
         except Exception:
-            # Guards against a request that is read and gets no answer: the listener logs the fault.
+            # A request that was read always gets a response, also after a fault, which the listener logs.
             await self._reject(500)
             raise
         if response is not None:
@@ -212,50 +221,51 @@
             self.has_late_writer = True
             self.nursery.start_soon(self._write_late_responses)
 
-    # Reads.
+    # Reading.
 
     async def _read_more(self) -> bool:
-        """Read more of a request; tell whether the connection goes on."""
+        """Read more of a request. Return whether the connection goes on."""
         if self.is_closing and not self._has_more_to_read():
-            # Guards against a request that is read and gets no answer: closed at once, later bytes are reset
-            # unread, so the client knows that they were not processed.
+            # Closes without another read. Later bytes are reset unread, so the client knows that they were
+            # not processed; a request that was read would need a response.
             return False
-        if self.is_idle and self.give_away is not None and self.give_away(self):
+        if self.is_idle and self.send_to_successor is not None and self.send_to_successor(self):
             return False
         self.stream.forget_reads()
-        # Guards against bytes read and thrown away: cancelled by itself, this has read none.
+        # The scope holds nothing but the read, so that a cancelled read has consumed no bytes.
         with trio.CancelScope() as self.read_scope:
             data = await self.stream.receive()
         if self.read_scope.cancelled_caught:
             return True
         if self.is_idle and self.has_answered:
-            # Guards against a request that comes byte by byte: all of it has so long. The time of the first
-            # one runs from the accept. This is after the read, which may have begun before the last response.
+            # Starts the time limit for the whole request, so that a client cannot extend it by sending byte
+            # by byte. The limit of the first request runs from the accept. This comes after the read, which
+            # may have begun before the last response.
             self.lifetime.begin_request()
         self.stream.h11.receive_data(data)
         return True
 
     def _has_more_to_read(self) -> bool:
-        """Tell whether a connection that is closing has more to read first: the end comes after it."""
+        """Return whether a connection that is closing has bytes to read before it ends."""
         if not is_readable(self.sock):
             return False
         if self.is_idle:
-            # Guards against a request that crosses the end: it is answered, and the end comes after.
+            # A request has arrived while the connection was closing. It is answered before the end.
             self.is_closing, self.closes_after_response = False, True
             self.lifetime.begin_request()
-        # Guards also against a request whose rest has come in time and was not read yet. Nothing is waited
-        # for, and a request has a bound, so a slow client, or one that floods, is cut off all the same.
+        # The rest of a request that arrived in time, but was not read yet, is read too. The connection waits
+        # for nothing, and a request is limited in size, so slow or flooding clients are still cut off.
         return True
 
     async def _read_ahead(self) -> bool:
-        """Read on while a response is awaited; tell whether the client is still connected."""
-        # Guards against a disconnect that is not seen: bytes behind the request would hide it.
+        """Read on while a response is awaited. Return whether the client is still connected."""
+        # Reads the bytes after the request too, because unread bytes would hide a disconnect.
         ahead_bytes = len(self.stream.unconsumed)
         self.is_reading_ahead = True
         await trio.lowlevel.checkpoint()
         while self.has_request_in_progress and not self.is_closing:
             if ahead_bytes > self.limits.read_ahead_bytes:
-                # Guards against what has no end: no usual client sends a second request before its answer.
+                # Ends an endless stream: usual clients send no second request before the first response.
                 self.handler.client_disconnected(self)
                 await self._reject(400)
                 return False
@@ -270,14 +280,14 @@
         self.is_reading_ahead = False
         return True
 
-    # Responses.
+    # Responding.
 
     def respond(self, response: Response) -> None:
-        """Have a late response written. Does not wait."""
+        """Pass a late response to the task that writes it. Does not wait."""
         self.late_responses.put(response)
 
     async def _write_late_responses(self) -> None:
-        """Write responses that come later, until the connection ends."""
+        """Write late responses until the connection ends."""
         while True:
             response = await self.late_responses.next()
             if self.has_ended:
@@ -290,24 +300,24 @@
                     return
 
     async def _send_response(self, response: Response) -> None:
-        """Write a response, and make ready for the next request or end the connection."""
+        """Write a response, then prepare for the next request or end the connection."""
         self.lifetime.begin_write()
-        # Guards against clients that stay after a 4xx: each would hold a descriptor.
+        # Closes after a 4xx, because each client that stays connected after one would hold a descriptor.
         close = (self.closes_after_response and not self.carries_callbacks) or 400 <= response.status < 500
-        # Guards against a request that is read behind this one and gets no answer: the end comes after it.
+        # A request that was already read behind this one must be answered, so the connection ends after it.
         close = close and not self.stream.has_head_behind
         await self.stream.write_response(response, close)
         self.has_request_in_progress, self.has_answered = False, True
         if self.stream.start_next_cycle():
             self.lifetime.begin_idle(self.has_served_request)
-            if self.is_reading_ahead or self.give_away is not None:
+            if self.is_reading_ahead or self.send_to_successor is not None:
                 self.read_scope.cancel()
         else:
             self.close_gracefully()
 
     async def _reject(self, status: int) -> None:
-        """Answer a request that cannot be served, and let the connection end."""
-        # Guards against a close before this response is written: nobody else closes it from here on.
+        """Answer a request that cannot be served, then end the connection."""
+        # Sets the state first, so that no other task closes the connection before the response is written.
         self.has_request_in_progress, self.is_closing = False, True
         if self.stream.may_respond:
             self.lifetime.begin_write()
@@ -315,7 +325,7 @@
             await self._linger()
 
     async def _linger(self) -> None:
-        """Let the client close after the last response."""
+        """Wait a short time for the client to close after the last response."""
         self.is_closing = True
         self.lifetime.await_response()
         await self.stream.linger()
--- a/merlinbay/http/messages.py
+++ b/merlinbay/http/messages.py
@@ -1,4 +1,4 @@
-"""Whole requests and responses of a server, as its handlers take and return them."""
+"""Complete requests and responses, as the handlers of the server receive and return them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """A whole request of a client. Header names are in lower case."""
+    """A complete request from a client. Header names are in lower case."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    received_at: float | None = None  # when its last byte was read, by trio's clock
+    received_at: float | None = None  # time when its last byte was read, on trio's clock
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole response to a client."""
+    """A complete response to a client."""
 
     status: int
     body: bytes = b""
@@ -45,7 +45,7 @@
 
 
 def header_table(head: h11.Request) -> dict[str, str]:
-    """Return the headers by name; values of the same name are joined, so that none hides another."""
+    """Return the headers by name. Values with the same name are joined, so that none hides another."""
     table: dict[str, str] = {}
     for name, value in head.headers:
         key, text = name.decode(), value.decode("latin-1")
@@ -54,7 +54,7 @@
 
 
 def encode_response(state: h11.Connection, response: Response, close: bool, head_only: bool) -> bytes:
-    """Return a response's bytes; with ``close`` it says that it is the connection's last."""
+    """Return the bytes of a response. With ``close``, it announces that the connection closes after it."""
     headers = [*response.headers, (b"content-length", str(len(response.body)).encode())]
     if close:
         headers.append((b"connection", b"close"))
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -1,4 +1,8 @@
-"""A pool of connections to servers, shared by all server transports."""
+"""A pool of connections to servers, shared by all server transports.
+
+The pool owns every connection to a server, idle or in use. Transports call it for each exchange. A failed
+exchange closes its connection and raises an error; the pool does not retry it.
+"""
 
 from __future__ import annotations
 
@@ -21,28 +25,31 @@
 from merlinbay.limits import ResourceLimits
 
 PreSendCheck = Callable[[], Headers]
-"""Called right before the first byte of a request.
+"""Called right before the first byte of a request is written.
 
-Returns headers whose values depend on that moment. Raises ``AttemptWithheldError``.
+Returns headers whose values depend on that time. Raises ``AttemptWithheldError``.
 """
 
 
 def may_always_keep(reply: Reply) -> bool:
-    """Keep the connection after any answer."""
+    """Keep the connection after any response."""
     return True
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request for a pooled connection. Dispatching an attempt needs a ``pre_send_check``."""
+    """A request for a pooled connection. A request that dispatches an attempt needs a ``pre_send_check``."""
 
     method: str
     target: str
     headers: Headers = field(default_factory=list)
     body: bytes = b""
-    pre_send_check: PreSendCheck | None = None  # also requires that the server is still listed and serving
-    may_keep: Callable[[Reply], bool] = may_always_keep  # whether the connection stays open after an answer
-    may_reuse_in_quarantine: bool = False  # its answer proves nothing, so a stray earlier one does no harm
+    # With a pre-send check, the pool also requires that the server is still listed and serving.
+    pre_send_check: PreSendCheck | None = None
+    may_keep: Callable[[Reply], bool] = may_always_keep  # whether the connection stays open after a response
+    # Whether a quarantined connection may carry the request. This is only for requests whose response proves
+    # nothing, so that a stray response to an earlier request does no harm.
+    may_reuse_in_quarantine: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -50,12 +57,15 @@
     """A server and its idle connections."""
 
     address: str
-    started_at_us: int = 0  # its latest start; 0: long ago
+    started_at_us: int = 0  # time of the latest start; 0 means long ago
     idle_connections: list[ClientConnection] = field(default_factory=list)  # oldest first
 
 
 class ConnectionPool:
-    """Connections by server, the latest used first, up to a limit over all. Moments are by trio's clock."""
+    """Connections to all servers, up to a total limit. Times are on trio's clock.
+
+    The most recently used idle connection to a server is reused first.
+    """
 
     def __init__(
         self,
@@ -64,37 +74,37 @@
         is_serving: Callable[[str], bool] = lambda name: True,
     ) -> None:
         self.limits, self.counters = limits, counters
-        # Whether a server is up by the latest list, which the decision module may not know yet.
+        # Returns whether a server is up in the latest list, which the decision module may not have yet.
         self.is_serving = is_serving
         self.servers: dict[str, PooledServer] = {}
-        self.open_connections = 0  # idle or in use, of all servers
+        self.open_connections = 0  # number of connections to all servers, idle or in use
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Take addresses; close idle connections to earlier processes of servers."""
+        """Update the addresses; close idle connections to servers that have left, moved or restarted."""
         if scope in ("all", "remembered"):
-            named = {entry.server for entry in entries}
-            for name in [name for name in self.servers if name not in named]:
+            listed_names = {entry.server for entry in entries}
+            for name in [name for name in self.servers if name not in listed_names]:
                 self._drop_idle(self.servers.pop(name))
         for entry in entries:
-            known = self.servers.get(entry.server)
-            if known is not None and (
+            pooled = self.servers.get(entry.server)
+            if pooled is not None and (
                 entry.state == "removed"
-                or known.address != entry.address
-                or known.started_at_us != entry.started_at_us
+                or pooled.address != entry.address
+                or pooled.started_at_us != entry.started_at_us
             ):
                 self._drop_idle(self.servers.pop(entry.server))
-                known = None
-            if known is None and entry.state != "removed":
+                pooled = None
+            if pooled is None and entry.state != "removed":
                 self.servers[entry.server] = PooledServer(entry.address, entry.started_at_us)
 
     async def exchange(self, name: str, request: OutgoingRequest) -> Reply:
-        """Send a request to a server, return its answer, and keep the connection if it can carry another.
+        """Send a request to a server and return the response. Keep the connection if it can be reused.
 
         Raises ``RequestNotSentError`` or ``ConnectionBrokenError``.
         """
         server = self.servers.get(name)
         if server is None:
-            raise RequestNotSentError("not listed")
+            raise RequestNotSentError("the server is not in the endpoint list")
         connection = await self._connection(server, request.may_reuse_in_quarantine)
         headers = request.headers
         if request.pre_send_check is not None:
@@ -110,8 +120,9 @@
             self._close(connection)
             raise
         if request.may_keep(reply):
-            # Guards against a response that comes twice, the second time some milliseconds late: it would be
-            # taken for the response to the next request, which may never have run.
+            # Quarantines the connection for a short time. A server may send a response twice, the second copy
+            # some milliseconds late. That copy would be read as the response to the next request, which may
+            # never have run.
             quarantined_until = trio.current_time() + self.limits.pool_reuse_pause_s
             self._keep(name, server, connection, quarantined_until)
         else:
@@ -119,7 +130,7 @@
         return reply
 
     async def sweep(self) -> None:
-        """Close idle connections before the keep-alive of their servers does."""
+        """Close idle connections before the servers' keep-alive timeout closes them."""
         while True:
             await trio.sleep(self.limits.pool_idle_timeout_s / 8)
             now = trio.current_time()
@@ -129,36 +140,38 @@
 
     def _check_before_sending(self, name: str, server: PooledServer, check: PreSendCheck) -> Headers:
         """Check the server, then the request. Raises ``AttemptWithheldError``."""
-        # Guards against a drain notified between dispatch and the first byte, during a dial or a long batch.
+        # The server may have been reported as draining since the dispatch, while the connection was opened or
+        # a long batch ran. Nothing is sent to it then.
         if not self.is_serving(name) or self.servers.get(name) is not server:
-            raise AttemptWithheldError("its server has left since it was chosen")
+            raise AttemptWithheldError("the server has left or restarted since the dispatch")
         return check()
 
     async def _connection(self, server: PooledServer, may_reuse_in_quarantine: bool) -> ClientConnection:
-        """Return the available connection that was used last, or a new one."""
+        """Return the most recently used available connection, or a new one."""
         now = trio.current_time()
         for connection in [
-            kept
-            for kept in reversed(server.idle_connections)
-            if may_reuse_in_quarantine or kept.quarantined_until <= now
+            idle
+            for idle in reversed(server.idle_connections)
+            if may_reuse_in_quarantine or idle.quarantined_until <= now
         ]:
             server.idle_connections.remove(connection)
             if not self._has_expired(connection, now) and connection.is_available():
                 return connection
-            # Guards against a write that crosses the end of the server's keep-alive, and ends as a reset.
+            # Closes a connection that the server may be about to close: a request written just as the
+            # server's keep-alive ends would be answered by a reset.
             self._close(connection)
         return await self._connect(server)
 
     def _has_expired(self, connection: ClientConnection, now: float) -> bool:
-        """Tell whether the server may close an idle connection soon."""
+        """Return whether an idle connection is so old that the server may close it soon."""
         return now - connection.idle_since >= self.limits.pool_idle_timeout_s
 
     async def _connect(self, server: PooledServer) -> ClientConnection:
-        """Open a connection, if need be in the place of an idle one. Raises ``RequestNotSentError``."""
+        """Open a connection; at the limit, close an idle one first. Raises ``RequestNotSentError``."""
         if self.open_connections >= self.limits.server_connections:
             self._make_room()
         if self.open_connections >= self.limits.server_connections:
-            raise LocalResourceError("no descriptor left for servers")
+            raise LocalResourceError("every connection to servers that the limit allows is in use")
         self.open_connections += 1
         try:
             connection = await ClientConnection.connect(server.address, self.limits)
@@ -188,11 +201,11 @@
         self.open_connections -= 1
 
     def _make_room(self) -> None:
-        """Close the connection of all servers that has been idle the longest."""
+        """Close the connection that has been idle the longest, of all servers."""
         candidates = [server for server in self.servers.values() if server.idle_connections]
         if candidates:
-            longest = min(candidates, key=lambda server: server.idle_connections[0].idle_since)
-            self._close(longest.idle_connections.pop(0))
+            longest_idle = min(candidates, key=lambda server: server.idle_connections[0].idle_since)
+            self._close(longest_idle.idle_connections.pop(0))
 
     def _drop_idle(self, server: PooledServer) -> None:
         while server.idle_connections:
--- a/merlinbay/http/pooled_transport.py
+++ b/merlinbay/http/pooled_transport.py
@@ -1,4 +1,8 @@
-"""What all server transports over the connection pool have in common."""
+"""The base class of the server transports that use the connection pool.
+
+It runs each exchange in a task of its own and posts the outcome to the dispatcher's inbox. An exchange that
+fails becomes an outcome; a fault in its task is counted and logged, and the node goes on.
+"""
 
 from __future__ import annotations
 
@@ -26,21 +30,21 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-UNREADABLE = 0  # the status of a response that is no HTTP, or too large
+UNREADABLE_STATUS = 0  # stands for the status of a response that is not HTTP or is too large
 
 
 def check_may_begin(attempt: ServerAttempt) -> Headers:
-    """Check an attempt right before its first byte, as a ``PreSendCheck``.
+    """Check whether an attempt may still be sent; used as a ``PreSendCheck``.
 
     Raises ``AttemptWithheldError``.
     """
     if not attempt.may_begin():
-        raise AttemptWithheldError("its client has left, or its class allows it no more")
+        raise AttemptWithheldError("the client has disconnected, or the class allows no further attempt")
     return []
 
 
 class PooledServerTransport:
-    """Exchanges with servers in tasks, up to a limit, whose results are posted to the dispatcher's inbox."""
+    """Runs exchanges with servers in tasks, up to a limit, and posts the results to the inbox."""
 
     def __init__(
         self,
@@ -55,14 +59,14 @@
         self.nursery, self.pool, self.inbox = nursery, pool, inbox
         self.clock, self.limits, self.counters = clock, limits, counters
         self.log = log
-        self.task_count = 0  # exchanges in progress
+        self.task_count = 0  # number of exchanges in progress
 
     def update_endpoints(self, scope: str, entries: list[ServiceEntry]) -> None:
-        """Take addresses."""
+        """Update the servers' addresses."""
         self.pool.update_endpoints(scope, entries)
 
     def spawn(self, task: Callable[..., Awaitable[None]], *args: object) -> bool:
-        """Start a task, unless there are too many; tell whether it starts."""
+        """Start a task unless too many are running. Return whether it was started."""
         if self.task_count >= self.limits.server_tasks:
             self.counters.add("server_tasks_missing")
             return False
@@ -72,20 +76,22 @@
 
     def report_not_sent(self, attempt: ServerAttempt) -> None:
         """Report that an attempt was not sent."""
-        # Guards against a deadlock: the dispatcher's task calls this, and must not wait for its own inbox.
+        # Posts the report from a task of its own. The dispatcher's task calls this method and must not wait
+        # for its own inbox, which would be a deadlock.
         self.nursery.start_soon(self.report_ended, attempt, Outcome.CONNECT_FAILED)
 
     async def exchange(self, server: str, request: OutgoingRequest) -> Reply | Outcome:
-        """Send a request; return the response, even an unreadable one, or the outcome if none came."""
+        """Send a request. Return the response, even an unreadable one, or the outcome if there is none."""
         try:
             return await self.pool.exchange(server, request)
         except (AttemptWithheldError, LocalResourceError):
-            # Guards against servers that are ejected as failing for what this machine lacks.
+            # A shortage of resources on this machine is not counted against the server, which would be
+            # ejected as failing.
             return Outcome.MOOT
         except RequestNotSentError:
             return Outcome.CONNECT_FAILED
         except UnreadableResponseError:
-            return Reply(UNREADABLE, {}, b"")
+            return Reply(UNREADABLE_STATUS, {}, b"")
         except ConnectionBrokenError:
             return Outcome.RESET
 
@@ -101,13 +107,13 @@
 
     async def post(self, message: Message) -> None:
         """Put a message into the dispatcher's inbox."""
-        with suppress(trio.BrokenResourceError):  # the dispatcher has ended, and with it every request
+        with suppress(trio.BrokenResourceError):  # the dispatcher has ended, and every request with it
             await self.inbox.send(message)
 
     async def _counted(self, task: Callable[..., Awaitable[None]], args: tuple[object, ...]) -> None:
         try:
             await task(*args)
-        except Exception as error:  # Guards against a fault in one exchange that would end the node.
+        except Exception as error:  # A fault in one exchange must not end the node.
             self.counters.add("server_tasks_faulty")
             self.log.event("exchange_failed", level="error", error=repr(error))
         finally:
--- a/merlinbay/http/routes.py
+++ b/merlinbay/http/routes.py
@@ -1,4 +1,4 @@
-"""Routes the requests of one listener to several fronts, by the beginning of the path."""
+"""Routes the requests of one listener to several fronts by the prefix of the path."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Routes:
-    """Gives a request to the handler of the first prefix that fits; 404 if none does."""
+    """Passes a request to the handler of the first prefix that matches; responds with 404 if none does."""
 
     def __init__(self, handlers: list[tuple[str, Handler]]) -> None:
         self.handlers = handlers
         self.prefixes = [(prefix, prefix.rstrip("/") + "/", handler) for prefix, handler in handlers]
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Give the request to its handler."""
+        """Pass the request to its handler."""
         path = request.target.partition("?")[0]
-        for prefix, below, handler in self.prefixes:
-            if path.startswith(below) or path == prefix:
+        for prefix, subtree, handler in self.prefixes:
+            if path.startswith(subtree) or path == prefix:
                 return await handler.request(connection, request)
         return Response(404)
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Notify all handlers: the one whose request it was knows it by the connection's context."""
+        """Notify all handlers. The one whose request it was recognizes it by the connection's context."""
         for _, handler in self.handlers:
             handler.client_disconnected(connection)
--- a/merlinbay/http/server_stream.py
+++ b/merlinbay/http/server_stream.py
@@ -1,4 +1,7 @@
-"""The bytes of one accepted connection, and the state of HTTP/1.1 on it."""
+"""Reading and writing on one accepted connection, and its HTTP/1.1 state.
+
+The connection calls it; errors of the socket and of h11 are raised to the caller.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,14 @@
 HEAD_END = re.compile(rb"\n\r?\n")
 
 PrepareSocket = Callable[[trio.socket.SocketType], Awaitable[StreamSocket]]
-"""Makes what an accepted connection is read and written by, such as a TLS stream."""
+"""Wraps the socket of an accepted connection, for example in a TLS stream."""
 
 
 class ServerStream:
-    """Reads parts of requests, and writes responses; each part that the client takes restarts the timeout."""
+    """Reads parts of requests and writes responses.
+
+    The timeout of a write starts again after each part that the client has read.
+    """
 
     def __init__(
         self,
@@ -32,10 +38,11 @@
         lifetime: ConnectionLifetime,
     ) -> None:
         self.raw, self.limits, self.lifetime = sock, limits, lifetime
-        self.plain_socket = plain_socket  # beneath ``raw``, to be read without a checkpoint after the read
-        self.sock: StreamSocket = sock  # what is read and written: ``raw``, or what was prepared from it
+        # The socket beneath ``raw``, which can be read without a checkpoint after the read.
+        self.plain_socket = plain_socket
+        self.sock: StreamSocket = sock  # the stream that is read and written: ``raw``, or a wrapper of it
         self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
-        self.is_head_request = False  # the response to HEAD has no body
+        self.is_head_request = False  # whether the request is a HEAD, whose response has no body
         self.is_writing = False
         self.reader = SocketReader(limits.receive_bytes)
 
@@ -46,47 +53,47 @@
 
     @property
     def is_within_request(self) -> bool:
-        """Whether a part of a request was read and not yet the rest."""
+        """Whether a part of a request was read and the rest is missing."""
         return self.h11.their_state in (h11.IDLE, h11.SEND_BODY) and not self.is_between_requests
 
     @property
     def has_sent_last_response(self) -> bool:
-        """Whether the last response of the connection is written, or being written."""
+        """Whether the last response of the connection was written or is being written."""
         return self.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE, h11.DONE)
 
     @property
     def may_respond(self) -> bool:
-        """Whether no response to the current request was begun."""
+        """Whether no response to the current request has been started."""
         return self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     @property
     def unconsumed(self) -> bytes:
-        """What was read behind the current request."""
+        """The bytes that were read after the current request."""
         return bytes(self.h11.trailing_data[0])
 
     @property
     def has_head_behind(self) -> bool:
-        """Whether the head of another request was read behind the current one."""
+        """Whether the head of another request was read after the current request."""
         return HEAD_END.search(self.unconsumed) is not None
 
     def start_next_cycle(self) -> bool:
-        """Make ready for the next request; tell whether there can be one."""
+        """Prepare for the next request. Return whether the connection can carry one."""
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
             return True
         return False
 
     async def prepare(self, prepare_socket: PrepareSocket) -> None:
-        """Prepare the socket."""
+        """Replace the stream with the wrapper that ``prepare_socket`` returns."""
         self.sock = await prepare_socket(self.raw)
 
     async def receive(self) -> bytes:
-        """Read some bytes; none at the end of the stream."""
+        """Read some bytes. Returns no bytes at the end of the stream."""
         plain_socket = self.plain_socket if self.sock is self.raw else None
         return await self.reader.receive(self.sock, plain_socket)
 
     def forget_reads(self) -> None:
-        """Forget when bytes were read: none of them is the last one of what is to come."""
+        """Forget when earlier bytes were read, because none of them ends a request that is still to come."""
         self.reader.forget_reads()
 
     def when_request_read(self) -> float:
@@ -94,11 +101,11 @@
         return self.reader.when_read(len(self.unconsumed))
 
     async def write_response(self, response: Response, close: bool) -> None:
-        """Write a response; with ``close`` it says that it is the connection's last."""
+        """Write a response. With ``close``, it announces that the connection closes after it."""
         await self._write(encode_response(self.h11, response, close, self.is_head_request))
 
     async def write_continue(self) -> None:
-        """Write 100, for which the client waits before it sends a body."""
+        """Write status 100, which the client waits for before it sends the body."""
         await self._write(self.h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
 
     async def _write(self, data: bytes) -> None:
@@ -107,10 +114,10 @@
         self.is_writing = False
 
     async def linger(self) -> None:
-        """Shut the sending side down, and let the client close."""
-        # Guards against a reset that overtakes the last response, as a close over unread bytes would send
-        # one: what still comes is read and dropped, for a moment, and not much of it, since a client that
-        # sends at full speed would take the processor from the others.
+        """Shut the sending side down, and wait for the client to close."""
+        # Reads and drops incoming bytes, because closing with unread bytes sends a reset, which may overtake
+        # the last response. Time and amount are limited: a client that sends at full speed would take
+        # the processor from the others.
         self.sock.shutdown(trio.socket.SHUT_WR)
         remaining_bytes = self.limits.linger_bytes
         with trio.move_on_after(self.limits.linger_s):
--- a/merlinbay/http/socket_reader.py
+++ b/merlinbay/http/socket_reader.py
@@ -1,4 +1,4 @@
-"""Reads a connection's socket, and records when bytes were read."""
+"""Reads the socket of a connection and records when bytes were read."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 
 class SocketReader:
-    """Reads one socket. Moments are by trio's clock."""
+    """Reads one socket. Times are on trio's clock."""
 
     def __init__(self, receive_bytes: int) -> None:
-        self.receive_bytes = receive_bytes  # read at once, at most
-        self._has_read_without_wait = False  # the last read did not wait, so other tasks have not run since
-        self._received_bytes = 0  # in all
-        self.reads: deque[tuple[int, float]] = deque()  # bytes received in all by then, moment
+        self.receive_bytes = receive_bytes  # maximum size of one read
+        # Whether the last read returned without waiting, so that no other task has run since then.
+        self._has_read_without_wait = False
+        self._received_bytes = 0  # total number of bytes received
+        self.reads: deque[tuple[int, float]] = deque()  # total bytes received after each read, and its time
 
     async def receive(self, sock: StreamSocket, plain_socket: socket.socket | None) -> bytes:
-        """Read some bytes, from the plain socket if there is one; none at the end of the stream."""
+        """Read some bytes, from the plain socket if there is one. Returns none at the end of the stream."""
         if plain_socket is None:
             data = await sock.recv(self.receive_bytes)
         else:
@@ -30,10 +31,11 @@
         return data
 
     async def _receive_plain(self, plain_socket: socket.socket) -> bytes:
-        # Guards against a connection closed as idle over a whole request: where trio's read succeeds at once,
-        # it lets other tasks run before the bytes come back. Here they run before the next read instead.
+        # Returns the bytes without a checkpoint after the read. A read by trio that succeeds at once lets
+        # other tasks run before it returns, and one of them may close the connection as idle although a
+        # whole request was read. Here the other tasks run before the next read instead.
         if self._has_read_without_wait:
-            self._has_read_without_wait = False  # cancelled at this checkpoint, it reads without another one
+            self._has_read_without_wait = False  # If cancelled below, the next read has no checkpoint.
             await trio.lowlevel.checkpoint()
         self._has_read_without_wait = True
         while True:
@@ -44,11 +46,11 @@
                 await trio.lowlevel.wait_readable(plain_socket)
 
     def forget_reads(self) -> None:
-        """Forget when earlier bytes were read: all were consumed, or belong to no whole request."""
+        """Forget when earlier bytes were read: all were consumed, or belong to no complete request."""
         self.reads.clear()
 
     def when_read(self, unconsumed_bytes: int) -> float:
-        """Return when the last byte before so many unconsumed ones was read."""
+        """Return when the last consumed byte was read, given the number of unconsumed bytes after it."""
         end = self._received_bytes - unconsumed_bytes
         while self.reads[0][0] < end:
             self.reads.popleft()
--- a/merlinbay/http/sockets.py
+++ b/merlinbay/http/sockets.py
@@ -1,4 +1,4 @@
-"""What connections need of sockets, and checks of sockets that read nothing."""
+"""The socket interface that connections use, and checks of a socket's state that read no bytes."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class StreamSocket(Protocol):
-    """What a connection needs of a socket, or of a TLS stream over one."""
+    """The methods of a socket, or of a TLS stream over one, that a connection uses."""
 
-    def recv(self, most: int, /) -> Awaitable[bytes]:
-        """Read some bytes; none at the end of the stream."""
+    def recv(self, max_bytes: int, /) -> Awaitable[bytes]:
+        """Read some bytes. Returns no bytes at the end of the stream."""
 
     def send(self, data: bytes | memoryview, /) -> Awaitable[int]:
-        """Write some bytes; return how many."""
+        """Write some of the bytes. Return how many were written."""
 
     def shutdown(self, how: int, /) -> None:
-        """Shut a direction down."""
+        """Shut down one direction, or both."""
 
     def fileno(self) -> int:
-        """Return the descriptor."""
+        """Return the file descriptor."""
 
 
 async def send_all(sock: StreamSocket, data: bytes, on_progress: Callable[[], None] | None = None) -> None:
-    """Write all bytes; call ``on_progress`` before each part after the first."""
+    """Write all bytes. ``on_progress`` is called before each part after the first."""
     sent = await sock.send(data)
     if sent == len(data):
         return
@@ -39,8 +39,9 @@
 
 
 def is_readable(sock: StreamSocket) -> bool:
-    """Tell whether there is something to read, even if it is the end of the stream."""
-    # Guards against a close over a request that is written but not yet read: it would be lost.
+    """Return whether there is something to read, even if it is the end of the stream."""
+    # Connections are checked with this before they are closed, because a request that the client has written
+    # and nobody has read would be lost.
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -49,7 +50,7 @@
 
 
 def has_hung_up(sock: StreamSocket) -> bool:
-    """Tell whether the other side sends no more, whatever is still unread."""
+    """Return whether the other side has ended its stream, even if bytes before the end are unread."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
@@ -69,8 +70,8 @@
 def split_plain_socket(
     sock: trio.socket.SocketType,
 ) -> tuple[trio.socket.SocketType, socket.socket | None]:
-    """Return trio's socket and the plain one beneath it; None if the socket is not trio's own."""
-    if type(sock) is not TRIO_SOCKET:  # a replacement may do more on a read, which is not to be bypassed
+    """Return trio's socket and the plain socket beneath it, or None if the socket is not trio's own."""
+    if type(sock) is not TRIO_SOCKET:  # A replacement may do more on a read, which must not be bypassed.
         return sock, None
     plain = socket.socket(sock.family, sock.type, sock.proto, sock.detach())
     return trio.socket.from_stdlib_socket(plain), plain
