--- a/merlinbay/__main__.py
+++ b/merlinbay/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m merlinbay`` runs one node; with arguments it is the command line, imported only then."""
+"""Entry point of ``python -m merlinbay``: runs one node, or the command line if there are arguments.
+
+The command line is imported only when it is used.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 def main() -> int:
-    """Run a node; with arguments, run the command line."""
+    """Run a node, or the command line if there are arguments. Return the exit status."""
     if len(sys.argv) > 1:
         from merlinbay.cli.main import main as command_line
 
--- a/merlinbay/config.py
+++ b/merlinbay/config.py
@@ -1,4 +1,7 @@
-"""A node's configuration: environment variables and the configuration file."""
+"""A node's configuration, read from environment variables and the configuration file.
+
+It is read at the start and again on SIGHUP. An unusable configuration raises ``ConfigurationError``.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class FileLimits(msgspec.Struct):
-    """The ``limits`` of the configuration file: what the platform grants the process."""
+    """The ``limits`` of the configuration file: the resources that the platform grants the process."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -32,7 +35,7 @@
 
 
 class ConfigurationFile(msgspec.Struct):
-    """The configuration file."""
+    """The contents of the configuration file."""
 
     name: str
     listen: str
@@ -46,20 +49,20 @@
 
 @dataclass(frozen=True)
 class Config:
-    """All that a node needs to start."""
+    """Everything that a node needs to start."""
 
     name: str
     listen: tuple[str, int]
-    discovery: str  # the address, as text
+    discovery: str  # address of discovery, as ``host:port``
     seed: int
-    initial_list: messages.Listing  # the endpoint list until discovery has answered
+    initial_list: messages.Listing  # endpoint list that is used until discovery has answered
     settings: Settings
     limits: ResourceLimits
-    operator: Operator | None = None  # None: every optional component is off
-    admin: tuple[str, int] | None = None  # the address of the admin listener; None: there is none
+    operator: Operator | None = None  # None if every optional component is off
+    admin: tuple[str, int] | None = None  # address of the admin listener; None if there is none
 
     def identity(self) -> NodeIdentity:
-        """Return what optional components need to know of the node."""
+        """Return the data about the node that optional components need."""
         return NodeIdentity(self.name, self.listen, self.settings, self.limits)
 
 
@@ -80,7 +83,7 @@
     limits = replace(limits, accept_fd=read_accept_fd(environ.get("LB_ACCEPT_FD", "")))
     listen = parse_address(environ.get("LB_LISTEN", file.listen))
     discovery = environ.get("LB_DISCOVERY", file.discovery)
-    parse_address(discovery)  # raises where it is none
+    parse_address(discovery)  # raises an error if it is not an address
     operator = read_operator_file(environ.get("LB_OPERATOR", ""))
     if operator is not None and operator.drmaa.front:
         limits = _share_with_front(limits, operator.drmaa)
@@ -99,7 +102,7 @@
 
 
 def _limits_for(file: ConfigurationFile, settings: Settings) -> ResourceLimits:
-    """Return the resource limits that follow from the file."""
+    """Return the resource limits that result from the file."""
     extra = file.settings.get("limits", {})
     return limits_from(
         file.limits.sockets,
@@ -116,7 +119,7 @@
     limits = replace(limits, body_bytes=max(limits.body_bytes, drmaa.body_kib * 1024))
     if not drmaa.access.tls:
         return limits
-    return replace(  # two listeners share the descriptors
+    return replace(  # The two listeners share the descriptors.
         limits,
         client_connections=limits.client_connections // 2,
         max_open_requests=min(limits.max_open_requests, limits.client_connections * 3 // 8),
@@ -125,16 +128,16 @@
 
 
 def read_operator_file(path: str) -> Operator | None:
-    """Read the operator's file; None: no path is set. Raises ``ConfigurationError``."""
+    """Read the operator's file. Return None if no path is set. Raises ``ConfigurationError``."""
     if not path:
         return None
-    from merlinbay.operator_file import read  # Guards against a slow start where there is no such file.
+    from merlinbay.operator_file import read  # Imported only when needed: it slows down the start.
 
     return read(path)
 
 
 def read_accept_fd(text: str) -> int:
-    """Return the descriptor of the inherited listening socket, -1 for none. Raises ``ConfigurationError``."""
+    """Return the descriptor of the inherited listening socket, or -1. Raises ``ConfigurationError``."""
     if not text:
         return -1
     try:
@@ -142,12 +145,12 @@
         if not stat.S_ISSOCK(os.fstat(number).st_mode):
             raise OSError
     except (ValueError, OSError, OverflowError):
-        raise ConfigurationError(f"LB_ACCEPT_FD: no socket: {text!r}") from None
+        raise ConfigurationError(f"LB_ACCEPT_FD: expected the descriptor of a socket, got {text!r}") from None
     return number
 
 
 def reload(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration again; the file's ``discovery`` counts, and ``LB_DISCOVERY`` does not.
+    """Read the configuration again. The ``discovery`` of the file applies; ``LB_DISCOVERY`` is ignored.
 
     Raises ``ConfigurationError``, also for a change that needs a restart.
     """
@@ -156,6 +159,6 @@
         has_other_discovery = (new.operator.dnssd is None) != (old.operator.dnssd is None)
         if has_other_discovery or new.operator.drmaa != old.operator.drmaa:
             raise ConfigurationError(
-                "the operator's file: fronts and the kind of discovery change by a restart only"
+                "the operator's file: changing a front or the kind of discovery needs a restart"
             )
     return new
--- a/merlinbay/counters.py
+++ b/merlinbay/counters.py
@@ -1,4 +1,4 @@
-"""Counters by name of what the node receives, sends and answers."""
+"""Named counters of the messages and requests that the node handles."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Counters:
-    """Counts by name; printed at exit and on SIGUSR1."""
+    """Named counters, printed at exit and on SIGUSR1."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
--- a/merlinbay/event_log.py
+++ b/merlinbay/event_log.py
@@ -1,4 +1,4 @@
-"""Structured log events on standard error by structlog, as JSON or for a console."""
+"""Structured log events on standard error, written by structlog as JSON or for a console."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(slots=True)
 class EventRate:
-    """How often one event was written."""
+    """How often an event was written in the current second, and how often it was dropped."""
 
-    second: int  # that ``lines`` counts in
-    lines: int = 0  # written in that second
-    dropped: int = 0  # since the last one written
+    second: int  # the second to which ``lines`` applies
+    lines: int = 0  # events written in that second
+    dropped: int = 0  # events dropped since the last one that was written
 
 
 class EventLog(Log):
-    """Writes events; counts those beyond an event's limit and writes the count with its next one."""
+    """Writes events, each event name up to a rate. The next event of a name reports how many were dropped."""
 
     def __init__(self, lines_per_s: int, output: str, level: str, node: str) -> None:
         super().__init__(lines_per_s)
-        self.least_level = logging.getLevelNamesMapping()[level.upper()]
+        self.min_level = logging.getLevelNamesMapping()[level.upper()]
         self.writes_debug = level == "debug"
-        self.rates: dict[str, EventRate] = {}  # by event name
+        self.rates: dict[str, EventRate] = {}  # rates by event name
         renderer = (
             structlog.processors.JSONRenderer()
             if output == "json"
@@ -45,9 +45,9 @@
         ).bind(node=node)
 
     def event(self, name: str, **values: object) -> None:
-        """Write an event; ``level`` among its values is its level."""
+        """Write an event. The value ``level``, if given, sets its level."""
         level = str(values.pop("level", "info"))
-        if logging.getLevelNamesMapping()[level.upper()] < self.least_level:
+        if logging.getLevelNamesMapping()[level.upper()] < self.min_level:
             return
         second = int(time.monotonic())
         rate = self.rates.setdefault(name, EventRate(second))
@@ -62,5 +62,5 @@
         getattr(self.logger, level)(name, **values)
 
     def line(self, text: str) -> None:
-        """Write a line that has no event name of its own."""
+        """Write a line that has no event name, as an event ``note``."""
         self.event("note", text=text)
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -1,4 +1,8 @@
-"""One node: builds its components from the configuration and runs them until SIGTERM."""
+"""One node: builds its components from the configuration and runs them until it is told to stop.
+
+It owns the listener, the dispatcher, discovery and the optional components. A configuration that cannot be
+used ends the process with status 2.
+"""
 
 from __future__ import annotations
 
@@ -37,13 +41,13 @@
 
 
 class Node:
-    """One node's components. Made inside a trio run. Raises ``ConfigurationError``."""
+    """The components of one node. Created inside a trio run. Raises ``ConfigurationError``."""
 
     def __init__(self, config: Config, counters: Counters) -> None:
         limits = config.limits
         self.config, self.counters, self.clock = config, counters, Clock()
         self.log: Log = open_log(config)
-        self.inbox: trio.MemorySendChannel[Message]  # to the dispatcher
+        self.inbox: trio.MemorySendChannel[Message]  # the sending end of the dispatcher's inbox
         self.inbox, self.received = trio.open_memory_channel[Message](limits.inbox_messages)
         classes = config.settings.classes
         by_key = frozenset(spec.name for spec in classes if spec.effect == "by_key")
@@ -57,7 +61,7 @@
         self.listener = Listener(handler, limits, counters, self.log)
         self.steering = ClientSteering(self.listener, limits)
         self.admin = AdminListener(self.inbox, self.steering, limits, counters, self.log)
-        if config.settings.balancers == 1:  # with more nodes, a new connection leads to another one
+        if config.settings.balancers == 1:  # With more nodes, a new connection reaches another node.
             self.client_adapter.is_short_of_connections = self.listener.is_short_of_idle_connections
         self.client_adapter.accepts_clients = self.steering.accepts_clients
 
@@ -73,8 +77,8 @@
         async with trio.open_nursery() as nursery:
             dispatcher = self._start_dispatcher(nursery, discovery, inherited)
             if isinstance(discovery, Discovery) and discovery.is_pushed:
-                # Guards against dispatching by an outdated list: all that the machine's agent has counts as
-                # notified from the start.
+                # Waits for the list of the machine's agent before it serves. All that the agent has counts as
+                # notified from the start, so the node must not dispatch by an outdated list.
                 with trio.move_on_after(config.limits.pushed_start_timeout_s):
                     await discovery.has_list.wait()
             await self._start_serving(nursery, client_socket, admin_socket, discovery)
@@ -97,9 +101,9 @@
             nursery.cancel_scope.cancel()
 
     async def _inherit(self) -> Inherited | None:
-        """Ask a running process of the same node for its state; None: there is no predecessor."""
+        """Ask a running process of the same node for its state. Return None if there is no predecessor."""
         config = self.config
-        if config.limits.accept_fd < 0 or config.operator is not None:  # fronts' state is not handed over
+        if config.limits.accept_fd < 0 or config.operator is not None:  # Fronts do not hand their state over.
             return None
         from merlinbay.handover.wiring import wire as wire_handover
 
@@ -116,14 +120,14 @@
         )
         inherited = await self.optional.takeover.as_successor.inherit()
         if inherited is not None and inherited.clock_us:
-            # Guards against a wall clock stepped between the two starts: running timeouts would be off by it.
+            # Otherwise, a step of the wall clock between the two starts would shift the running timeouts.
             self.clock.continue_from(inherited.clock_us)
         return inherited
 
     def _start_dispatcher(
         self, nursery: trio.Nursery, discovery: Discovery | DnsSdDirectory, inherited: Inherited | None
     ) -> Dispatcher:
-        """Make the dispatcher with its pool and servers, start discovery, and give it the first list."""
+        """Create the dispatcher with its pool and servers, start discovery, and apply the first list."""
         config, drmaa = self.config, self.optional.drmaa
         pool = ConnectionPool(config.limits, self.counters, discovery.is_up)
         servers = self._make_servers(nursery, pool)
@@ -152,7 +156,7 @@
         return dispatcher
 
     def _make_servers(self, nursery: trio.Nursery, pool: ConnectionPool) -> ServerTransport:
-        """Return the DRMAA servers if the operator's file turns them on, else the platform's."""
+        """Return the DRMAA servers if the operator's file turns them on, else the platform's servers."""
         drmaa = self.optional.drmaa
         drmaa_servers = drmaa.start(nursery, pool) if drmaa is not None else None
         if drmaa_servers is not None:
@@ -199,7 +203,7 @@
 async def bind(
     binding: Awaitable[trio.socket.SocketType], listen_address: tuple[str, int]
 ) -> trio.socket.SocketType:
-    """Return the socket that listens. Raises ``ConfigurationError``."""
+    """Return the listening socket. Raises ``ConfigurationError`` if it cannot be bound."""
     try:
         return await binding
     except OSError as error:
@@ -214,18 +218,18 @@
 
 
 def serve() -> int:
-    """Run the process of one node; return its exit status, 2 for a configuration that cannot be used."""
+    """Run the process of one node. Return its exit status: 2 if the configuration cannot be used."""
     try:
         config = load()
     except ConfigurationError as error:
         print(f"merlinbay: {error}", file=sys.stderr)
         return 2
     counters = Counters()
-    # Guards against signals before trio's receiver opens and after it closes, when these handlers are active:
-    # SIGHUP never ends the process, and a graceful shutdown ends with status 0.
+    # These handlers apply before trio's receiver opens and after it closes. With them, SIGHUP never ends the
+    # process, and a graceful shutdown ends with status 0.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda number, frame: pending_sigterms.append(number))
-    # Guards against pauses: a full collection would traverse all imported objects, again and again.
+    # Avoids pauses, because each full collection would traverse all imported objects again.
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
     try:
--- a/merlinbay/node_components.py
+++ b/merlinbay/node_components.py
@@ -1,4 +1,8 @@
-"""The components of a node that depend on its configuration: optional ones, discovery, the log."""
+"""Creates the components of a node that depend on its configuration.
+
+These are the optional components, discovery and the log. The node calls the functions at the start; a
+configuration that cannot be used raises ``ConfigurationError``.
+"""
 
 from __future__ import annotations
 
@@ -26,15 +30,15 @@
 
 @dataclass
 class OptionalComponents:
-    """The components that only some configurations turn on; None where a component is off."""
+    """The components that only some configurations turn on. A component that is off is None."""
 
     drmaa: DrmaaParts | None = None
     fleet: FleetParts | None = None
     control: ConfigurationFollower | None = None
-    takeover: Takeover | None = None  # the handover to and from another process of the same node
+    takeover: Takeover | None = None  # handover to and from another process of the node
 
     def reload(self) -> None:
-        """Read keys and certificates again. Raises ``ConfigurationError``."""
+        """Reload keys and certificates. Raises ``ConfigurationError``."""
         for component in (self.drmaa, self.fleet, self.control):
             if component is not None:
                 component.reload()
@@ -53,14 +57,14 @@
 def make_optional_components(
     config: Config, inbox: trio.MemorySendChannel[Message], clock: Clock, counters: Counters, log: Log
 ) -> OptionalComponents:
-    """Make the components that the operator's file turns on. Raises ``ConfigurationError``.
+    """Create the components that the operator's file turns on. Raises ``ConfigurationError``.
 
-    The handover and the configuration follower need the listener and a nursery: the node adds them later.
+    The handover and the configuration follower need the listener or a nursery, so the node adds them later.
     """
     components, operator = OptionalComponents(), config.operator
     if operator is None:
         return components
-    # Guards against a slow start: without an operator's file, none of these modules is imported.
+    # These modules are imported only if there is an operator's file, because they slow down the start.
     from merlinbay.drmaa.wiring import wire as wire_drmaa
 
     components.drmaa = wire_drmaa(operator.drmaa, config.identity(), inbox, clock, counters, log)
@@ -79,7 +83,7 @@
     counters: Counters,
     log: Log,
 ) -> Discovery | DnsSdDirectory:
-    """Make the source of the endpoint list, which starts from the predecessor's list if there is one."""
+    """Create the source of the endpoint list. It starts with the predecessor's list if there is one."""
     limits, operator = config.limits, config.operator
     if operator is not None and operator.dnssd is not None:
         from merlinbay.dnssd.wiring import wire as wire_dnssd
@@ -103,7 +107,7 @@
 
 
 def open_log(config: Config) -> Log:
-    """Return the log in the format that the operator's file sets."""
+    """Create the log in the format that the operator's file sets."""
     section = config.operator.log if config.operator is not None else None
     if section is None or section.format == "plain":
         return Log(config.limits.log_lines_per_s)
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -1,4 +1,7 @@
-"""Signals of a node: reload on SIGHUP, counters on SIGUSR1, graceful shutdown on SIGTERM and SIGINT."""
+"""The signals of a node: SIGHUP reloads, SIGUSR1 prints counters, SIGTERM and SIGINT shut down gracefully.
+
+A reload that fails is logged and changes nothing. A shutdown that takes too long is ended at its deadline.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 if TYPE_CHECKING:
     from merlinbay.dnssd.directory import DnsSdDirectory
 
-pending_sigterms: list[int] = []  # SIGTERMs that arrived before trio's receiver opened, or after it closed
+pending_sigterms: list[int] = []  # SIGTERMs received while trio's receiver was not open
 
 
 @dataclass
@@ -31,7 +34,7 @@
     listener: Listener
     discovery: Discovery | DnsSdDirectory
     inbox: trio.MemorySendChannel[Message]
-    nursery: trio.Nursery  # the node's: its deadline is the latest end of the shutdown
+    nursery: trio.Nursery  # the node's nursery, whose deadline limits the shutdown
     counters: Counters
     log: Log
     optional: OptionalComponents
@@ -42,9 +45,7 @@
             signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1
         ) as received:
             is_stopping = bool(pending_sigterms)
-            if (
-                is_stopping
-            ):  # Guards against a SIGTERM during the start that is lost: the node would serve on.
+            if is_stopping:  # A SIGTERM during the start must not be lost, or the node would go on serving.
                 self.nursery.start_soon(self.shut_down)
             async for number in received:
                 if number == signal.SIGUSR1:
@@ -56,7 +57,7 @@
                     self.nursery.start_soon(self.shut_down)
 
     async def _reload(self) -> None:
-        """Read the configuration again; one that cannot be used is logged and changes nothing."""
+        """Reload the configuration. If it cannot be used, this is logged and nothing changes."""
         try:
             new = reload(self.config)
             self.optional.reload()
@@ -70,7 +71,7 @@
         await self.inbox.send(DiscoveryReloaded(self.config.limits.reload_notified_in_us, has_moved))
 
     def _move_discovery(self, new: Config) -> bool:
-        """Move the watch to the configured address; return whether the dispatcher has to subscribe there."""
+        """Move the watch to the configured address. Return whether the dispatcher has to subscribe there."""
         if isinstance(self.discovery, Discovery):
             return self.discovery.move(new.discovery)
         if new.operator is not None and new.operator.dnssd is not None:
@@ -78,7 +79,7 @@
         return False
 
     async def shut_down(self) -> None:
-        """Serve on while clients still arrive, then reject new requests and end with the last answer."""
+        """Serve while clients still arrive, then reject new requests and end with the last response."""
         limits = self.config.limits
         began = trio.current_time()
         self.nursery.cancel_scope.deadline = began + limits.stop_timeout_s
@@ -90,11 +91,11 @@
         await trio.sleep(limits.stop_arrivals_for_s)
         self.listener.is_draining = True
         if self.config.settings.balancers > 1:
-            # Guards against rejecting clients that another node could serve: their connections are closed
-            # before rejection begins, and their new connections reach another node.
+            # Closes client connections before rejection begins, so that the clients connect to another node
+            # that can serve them.
             await trio.sleep_until(began + limits.stop_serving_for_s - limits.stop_closing_for_s)
             self.listener.close_idle()
         await trio.sleep_until(began + limits.stop_serving_for_s)
-        self.optional.stop()  # before connections close: waiting calls are answered on their own connections
+        self.optional.stop()  # Before connections close, because waiting calls are answered on them.
         self.listener.close_idle()
         await self.inbox.send(ShutdownRequested())
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -1,4 +1,7 @@
-"""The operator's file: the optional components, a section each."""
+"""The operator's file, which configures the optional components in a section each.
+
+It is read at the start of a node and on a reload. An error names the file, the key and the cause.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.notify.targets import AllowedTargets
 
-# Names of section types in the printed schema, by the names of the types.
+# The name of each section type in the printed schema.
 SCHEMA_NAMES = {
     "AccessSettings": "Access",
     "ControlSection": "Section",
@@ -32,11 +35,11 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # of one event a second; those beyond are counted
+    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # maximum per event and second; further ones are counted
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The operator's file."""
+    """The contents of the operator's file."""
 
     drmaa: DrmaaSettings = msgspec.field(default_factory=DrmaaSettings)
     dnssd: DnsSd | None = None
@@ -46,7 +49,7 @@
 
 
 def read(path: str) -> Operator:
-    """Read an operator's file. Raises ``ConfigurationError`` with one line that names file, key and cause."""
+    """Read an operator's file. Raises ``ConfigurationError`` with a line that names file, key and cause."""
     try:
         operator = msgspec.convert(tomllib.loads(Path(path).read_text()), Operator)
     except OSError as error:
@@ -61,7 +64,7 @@
 
 
 def _check(operator: Operator) -> None:
-    """Check what types alone cannot. Raises ``ConfigurationError`` with key and cause."""
+    """Check the rules that types cannot express. Raises ``ConfigurationError`` with key and cause."""
     drmaa, fleet, control = operator.drmaa, operator.fleet, operator.control
     if operator.dnssd is not None:
         _check_address("dnssd.nameserver", operator.dnssd.nameserver)
@@ -82,7 +85,7 @@
         raise ConfigurationError(f"drmaa.events.to: {error}") from None
     names = [session.name for session in drmaa.session]
     if "default" in names or len(set(names)) < len(names):
-        raise ConfigurationError("drmaa.session: names must differ, and from 'default'")
+        raise ConfigurationError("drmaa.session: names must be unique and must not be 'default'")
 
 
 def _check_address(key: str, text: str) -> None:
@@ -93,9 +96,9 @@
 
 
 def schema() -> dict[str, object]:
-    """Return the file's JSON schema, with the names of sections that it has always had."""
+    """Return the JSON schema of the file, in which sections keep the names they have had from the start."""
     text = msgspec.json.encode(msgspec.json.schema(Operator)).decode()
-    for name, earlier in SCHEMA_NAMES.items():
-        text = text.replace(f'"{name}"', f'"{earlier}"').replace(f'/{name}"', f'/{earlier}"')
-    found: dict[str, object] = msgspec.json.decode(text)
-    return found
+    for name, schema_name in SCHEMA_NAMES.items():
+        text = text.replace(f'"{name}"', f'"{schema_name}"').replace(f'/{name}"', f'/{schema_name}"')
+    decoded: dict[str, object] = msgspec.json.decode(text)
+    return decoded
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: lines of JSON to events and from actions, with one balancer for each instance.
+"""The simulator's wire: decodes lines of JSON as events and encodes actions, with a balancer per instance.
 
-The names of the wire are mapped here, and nothing is decided. Unknown names and fields are skipped. A
-malformed setting or an exception becomes a fault of its instance. Input that is not a sequence of closed
-batches ends the process with status 2.
+This module maps the names of the wire and decides nothing. Unknown names and fields are ignored. A malformed
+setting or an exception becomes a fault of its instance. Input that is not a sequence of closed batches ends
+the process with status 2.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 )
 from merlinbay.site_settings import as_float, as_int, as_text, settings_from
 
-# Values of ``attrs`` and ``kind``.
+# Bits of ``attrs``, and values of ``kind``.
 ATTR_HAS_COST = 1
 ATTR_RETRIED = 2
 UPDATE_STARTED = 1
@@ -50,7 +50,7 @@
 
 
 class WireLine(msgspec.Struct, gc=False, rename="camel"):
-    """Any line of a batch: the fields of all events that are read, all of them optional."""
+    """Any line of a batch. It has the fields of all events, and all of them are optional."""
 
     what: str = ""
     wall_us: Any = None
@@ -98,7 +98,7 @@
                     ready_at_us=as_int(row.get("readyAtUs")),
                 )
             )
-    # This wire does not say how a poll has failed.
+    # The wire does not say how a poll has failed.
     return EndpointsChanged(as_text(line.scope), entries, failure=CallFailure.UNREACHABLE)
 
 
@@ -137,7 +137,7 @@
     return None
 
 
-# Messages between balancers, which are not used. Like events, they have the balancer called for their batch.
+# Messages between balancers. Their contents are not used, but the balancer is called for their batch.
 IGNORED = {"Mail"}
 
 DECODERS: dict[str, Callable[[WireLine], Event | None]] = {
@@ -156,91 +156,91 @@
     "Reminder": lambda line: TimerFired(as_text(line.ref)),
 }
 
-_dump = msgspec.json.encode
+_encode_json = msgspec.json.encode
 
 
 def encode(instance: str, action: Action) -> bytes:
-    """Write one action as a line."""
-    out: dict[str, object] = {"what": "", "scheduler": instance}
+    """Return the line for an action."""
+    line: dict[str, object] = {"what": "", "scheduler": instance}
     match action:
         case Dispatch():
-            out |= {"what": "Place", "msgId": action.id, "worker": action.endpoint}
+            line |= {"what": "Place", "msgId": action.id, "worker": action.endpoint}
             if action.timeout_us:
-                out["capUs"] = action.timeout_us
+                line["capUs"] = action.timeout_us
         case Cancel():
-            out |= {"what": "CallOff", "msgId": action.id, "attempt": action.attempt}
+            line |= {"what": "CallOff", "msgId": action.id, "attempt": action.attempt}
         case Reject():
-            out |= {"what": "PushBack", "msgId": action.id, "retryAfterUs": action.retry_after_us}
+            line |= {"what": "PushBack", "msgId": action.id, "retryAfterUs": action.retry_after_us}
         case Fail():
-            out |= {"what": "EndFailed", "msgId": action.id}
+            line |= {"what": "EndFailed", "msgId": action.id}
         case SetTimer():
-            out |= {"what": "Schedule", "inUs": action.in_us, "ref": action.token}
+            line |= {"what": "Schedule", "inUs": action.in_us, "ref": action.token}
         case CheckHealth():
-            out |= {"what": "Inspect", "worker": action.endpoint}
+            line |= {"what": "Inspect", "worker": action.endpoint}
         case WatchEndpoints():
-            out |= {"what": "StreamChanges", "enable": True}
+            line |= {"what": "StreamChanges", "enable": True}
         case LogNotice():
-            out |= {"what": "WriteLog", "reasonText": action.text}
-    return _dump(out)
+            line |= {"what": "WriteLog", "reasonText": action.text}
+    return _encode_json(line)
 
 
 class InstanceHost:
-    """Holds the balancer of each instance and answers batches."""
+    """Holds the balancer of each instance and replies to batches."""
 
     def __init__(self) -> None:
-        self.balancers: dict[str, Balancer | None] = {}  # by instance; None after a fault
+        self.balancers: dict[str, Balancer | None] = {}  # balancers by instance; None after a fault
 
     def reply(self, now_us: int, batch: list[WireLine]) -> bytes:
-        """Return the answer to one batch: the actions of all instances that it names."""
-        out: list[bytes] = []
+        """Return the reply to a batch: the actions of all instances that it names."""
+        lines: list[bytes] = []
         pending: dict[str, list[Event]] = {}
         for line in batch:
             instance = line.scheduler
             if not isinstance(instance, str):
                 continue
             if line.what == "PowerOff":
-                self._decide(now_us, instance, pending.pop(instance, None), out)
+                self._decide(now_us, instance, pending.pop(instance, None), lines)
                 self.balancers.pop(instance, None)
             elif line.what == "Create":
-                self._create(now_us, instance, line, out)
+                self._create(now_us, instance, line, lines)
             elif line.what in IGNORED and self.balancers.get(instance) is not None:
                 pending.setdefault(instance, [])
             elif line.what in DECODERS and self.balancers.get(instance) is not None:
                 try:
                     event = DECODERS[line.what](line)
-                except (TypeError, ValueError):  # malformed: skipped, like an event of an unknown request
+                except (TypeError, ValueError):  # A malformed event is skipped, as for an unknown request.
                     continue
                 if event is not None:
                     pending.setdefault(instance, []).append(event)
         for instance, events in pending.items():
-            self._decide(now_us, instance, events, out)
-        out.append(b'{"what":"Eor"}\n')
-        return b"\n".join(out)
+            self._decide(now_us, instance, events, lines)
+        lines.append(b'{"what":"Eor"}\n')
+        return b"\n".join(lines)
 
-    def _create(self, now_us: int, instance: str, line: WireLine, out: list[bytes]) -> None:
+    def _create(self, now_us: int, instance: str, line: WireLine, lines: list[bytes]) -> None:
         try:
             self.balancers[instance] = Balancer(settings_from(line.conf), as_int(line.salt), now_us)
         except Exception as error:
-            self._fault(instance, error, out)
+            self._fault(instance, error, lines)
 
-    def _decide(self, now_us: int, instance: str, events: list[Event] | None, out: list[bytes]) -> None:
+    def _decide(self, now_us: int, instance: str, events: list[Event] | None, lines: list[bytes]) -> None:
         balancer = self.balancers.get(instance)
         if balancer is None or events is None:
             return
         try:
-            out.extend([encode(instance, action) for action in balancer.handle(now_us, events)])
+            lines.extend([encode(instance, action) for action in balancer.handle(now_us, events)])
         except Exception as error:
-            self._fault(instance, error, out)
+            self._fault(instance, error, lines)
 
-    def _fault(self, instance: str, error: Exception, out: list[bytes]) -> None:
+    def _fault(self, instance: str, error: Exception, lines: list[bytes]) -> None:
         traceback.print_exception(error, file=sys.stderr)
         self.balancers[instance] = None
         reason = f"{type(error).__name__}: {error}".splitlines()[0]
-        out.append(_dump({"what": "Fault", "scheduler": instance, "reasonText": reason}))
+        lines.append(_encode_json({"what": "Fault", "scheduler": instance, "reasonText": reason}))
 
 
 def batches(source: BinaryIO) -> Iterator[tuple[int, list[WireLine]]]:
-    """Read closed batches from a stream of lines."""
+    """Read closed batches from a stream of lines, each with the time of its opening line."""
     decode = msgspec.json.Decoder(WireLine).decode
     number, now_us = 0, 0
     batch: list[WireLine] | None = None
@@ -268,7 +268,7 @@
 
 
 def main() -> int:
-    """Answer batches on standard output until the input ends."""
+    """Reply to batches on standard output until the input ends. Return the exit status."""
     host = InstanceHost()
     try:
         for now_us, batch in batches(sys.stdin.buffer):
--- a/merlinbay/site_settings.py
+++ b/merlinbay/site_settings.py
@@ -1,6 +1,7 @@
-"""The one place that maps the names of the site's settings to those of the program.
+"""The only module that maps the names of the site's settings to the names used in the program.
 
-The ``conf`` of the simulator's wire and the ``settings`` of the configuration file have the same names.
+The ``conf`` on the simulator's wire and the ``settings`` of the
+configuration file use the same ones. A missing or malformed setting raises ``ValueError`` with its key.
 """
 
 from __future__ import annotations
@@ -24,33 +25,33 @@
 
 
 def as_int(value: object, default: int = 0) -> int:
-    """Return a finite number as an integer; the default for any other value."""
+    """Return a finite number as an integer, or the default for any other value."""
     return int(value) if isinstance(value, NUMBER) and math.isfinite(value) else default
 
 
 def as_float(value: object, default: float = 0.0) -> float:
-    """Return a finite number; the default for any other value."""
+    """Return a finite number, or the default for any other value."""
     return float(value) if isinstance(value, NUMBER) and math.isfinite(value) else default
 
 
 def as_text(value: object) -> str:
-    """Return a string; the empty one for any other value."""
+    """Return a string, or the empty string for any other value."""
     return value if isinstance(value, str) else ""
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
+class SettingsTable:
     """One table of the settings.
 
-    Each method reads one key. It raises ``ValueError`` with the key's path where the key is missing and has
-    no default, or has a value of another type.
+    Most methods read one key. They raise ``ValueError`` with the path of the key if it is missing and has no
+    default, or if its value has the wrong type.
     """
 
     values: object
-    path: str = ""  # of the table; empty: the settings themselves
+    path: str = ""  # path of the table; empty for the top level of the settings
 
     def read(self, key: str, kind: type | tuple[type, ...], default: Any = _REQUIRED) -> Any:
-        """Return the value of a key."""
+        """Return the value of a key, checked for its type."""
         value = self.value(key)
         if value is None and default is not _REQUIRED:
             return default
@@ -60,15 +61,15 @@
         return value
 
     def value(self, key: str) -> object:
-        """Return the value of a key, of any type; None where it is missing."""
+        """Return the value of a key, of any type, or None if it is missing."""
         return self.values.get(key) if isinstance(self.values, dict) else None
 
     def path_of(self, key: str) -> str:
-        """Return the path of a key, for errors."""
+        """Return the path of a key for error messages."""
         return f"{self.path}.{key}" if self.path else key
 
     def flag(self, key: str) -> bool:
-        """Return a boolean; False where it is missing."""
+        """Return a boolean, or False if it is missing."""
         return bool(self.read(key, bool, False))
 
     def integer(self, key: str) -> int:
@@ -80,7 +81,7 @@
         return float(self.read(key, NUMBER, default))
 
     def microseconds(self, key: str, default: int = _REQUIRED) -> int:
-        """Return a duration; the settings may write it with a fraction."""
+        """Return a duration as an integer; the settings may contain a fraction."""
         return int(self.read(key, NUMBER, default))
 
     def text(self, key: str, default: str = _REQUIRED) -> str:
@@ -92,40 +93,40 @@
         return list(self.read(key, list, default))
 
     def texts(self, key: str) -> list[str]:
-        """Return an array of strings, empty where it is missing; an element of another type is empty."""
+        """Return an array of strings, empty if it is missing. An element of another type becomes empty."""
         return [as_text(value) for value in self.rows(key, [])]
 
-    def table(self, key: str, default: dict[str, object] = _REQUIRED) -> Table:
+    def table(self, key: str, default: dict[str, object] = _REQUIRED) -> SettingsTable:
         """Return a table within this one."""
-        return Table(self.read(key, dict, default), self.path_of(key))
+        return SettingsTable(self.read(key, dict, default), self.path_of(key))
 
     def element(self, key: str, index: int, default: float) -> float:
-        """Return a number of an array by its index; the default where the array is shorter or missing."""
+        """Return a number of an array by its index, or the default if the array is shorter or missing."""
         values = self.rows(key, [])
         return as_float(values[index], default) if index < len(values) else default
 
 
 def settings_from(conf: object) -> Settings:
-    """Read the site's settings. Raises ``ValueError`` with the key's path and the cause."""
-    top = Table(conf)
+    """Read the site's settings. Raises ``ValueError`` with the path of the key and the cause."""
+    top = SettingsTable(conf)
     extra = top.table("extra", {})
     limits, safety = top.table("limits"), top.table("safety")
     report, prices = top.table("report", {}), top.table("prices", {})
     doubts: list[str] = []
     classes = [
-        _request_class(Table(row, f"classes[{index}]"), index, extra, doubts)
+        _request_class(SettingsTable(row, f"classes[{index}]"), index, extra, doubts)
         for index, row in enumerate(top.rows("classes"))
     ]
     fields = report.texts("fields")
     return Settings(
         classes=classes,
-        balancers=max(top.integer("balancers"), 1),  # Guards against a count of 0: quotas are divided by it
+        balancers=max(top.integer("balancers"), 1),  # at least 1, because quotas are divided by it
         me=top.integer("me"),
         zone=top.text("az", ""),
         limits=_dispatch_limits(limits),
         safety=_safety_margins(safety),
         kinds=top.texts("kinds"),
-        tenants=[_tenant(Table(row, "tenants[]")) for row in top.rows("tenants", [])],
+        tenants=[_tenant(SettingsTable(row, "tenants[]")) for row in top.rows("tenants", [])],
         over_share_worth=top.number("overShareWorth", 1.0),
         report_fields=fields if report.value("how") != "off" else [],
         errors_field="err_rps" if "err_rps" in fields else "",
@@ -146,8 +147,8 @@
     )
 
 
-def _request_class(row: Table, index: int, extra: Table, doubts: list[str]) -> RequestClass:
-    """Read a row of ``classes``; some of its settings stand in arrays of ``extra``, by the row's index."""
+def _request_class(row: SettingsTable, index: int, extra: SettingsTable, doubts: list[str]) -> RequestClass:
+    """Read a row of ``classes``. Some of its settings are in arrays of ``extra``, at the index of the row."""
     effect, group = idempotency_of(row, doubts)
     return RequestClass(
         name=row.text("name"),
@@ -165,8 +166,11 @@
     )
 
 
-def idempotency_of(row: Table, doubts: list[str]) -> tuple[str, str]:
-    """Read a class's effect and group. An unknown value counts as not idempotent and adds to ``doubts``."""
+def idempotency_of(row: SettingsTable, doubts: list[str]) -> tuple[str, str]:
+    """Read the effect and group of a class.
+
+    An unknown value that matters counts as effect ``once`` (not idempotent) and is added to ``doubts``.
+    """
     effect, group = row.text("effect"), row.text("group", "all")
     if effect not in EFFECTS:
         doubts.append(f"{row.path}.effect: unknown value {effect!r}, taken for 'once'")
@@ -177,11 +181,11 @@
                 f"{row.path}.group: unknown value {group!r}, the class is taken for one of effect 'once'"
             )
             effect = "once"
-        group = "all"  # which counts for classes of effect by_key only
+        group = "all"  # The group matters only for classes with effect by_key.
     return effect, group
 
 
-def _dispatch_limits(limits: Table) -> DispatchLimits:
+def _dispatch_limits(limits: SettingsTable) -> DispatchLimits:
     return DispatchLimits(
         cancelling=limits.flag("cancelling"),
         probes=limits.flag("probes"),
@@ -193,7 +197,7 @@
     )
 
 
-def _safety_margins(safety: Table) -> SafetyMargins:
+def _safety_margins(safety: SettingsTable) -> SafetyMargins:
     return SafetyMargins(
         drain_grace_us=safety.microseconds("drainGraceUs"),
         cold_from=safety.number("coldFrom"),
@@ -205,11 +209,11 @@
     )
 
 
-def _tenant(row: Table) -> Tenant:
+def _tenant(row: SettingsTable) -> Tenant:
     return Tenant(row.text("name"), row.number("quotaPerS"), row.number("share", 1.0))
 
 
-def _field_that_means(meaning: str, fields: list[str], extra: Table) -> str:
-    """Return the custom report field, ``x0`` or ``x1``, with a meaning by ``extra``; empty: none."""
+def _field_that_means(meaning: str, fields: list[str], extra: SettingsTable) -> str:
+    """Return the custom report field, ``x0`` or ``x1``, that has a meaning by ``extra``, or an empty string."""
     names = {"x0": "reportX0", "x1": "reportX1"}
     return next((field for field in names if field in fields and extra.value(names[field]) == meaning), "")
