--- a/merlinbay/site_settings.py
+++ b/merlinbay/site_settings.py
@@ -214,6 +214,6 @@
 
 
 def _field_that_means(meaning: str, fields: list[str], extra: SettingsTable) -> str:
-    """Return the custom report field, ``x0`` or ``x1``, that has a meaning by ``extra``, or an empty string."""
+    """Return the custom report field, ``x0`` or ``x1``, that means this by ``extra``, or an empty string."""
     names = {"x0": "reportX0", "x1": "reportX1"}
     return next((field for field in names if field in fields and extra.value(names[field]) == meaning), "")
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""The one helper of the network tests: a node among stand-ins, all on loopback sockets."""
+"""Helpers of the network tests: a node with fake servers and a fake discovery on loopback sockets."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def bind_loopback() -> socket.socket:
-    """Return a socket on a port of its own. No client's port is ever taken from 127.0.0.2."""
+    """Return a socket bound to a free port of 127.0.0.2, where no client port is ever allocated."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.2", 0))
@@ -74,9 +74,9 @@
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on, on the addresses that nodes of tests use.
+    """Return a free port of the addresses that test nodes use.
 
-    Guards against one that an outgoing connection takes meanwhile: those come from 32768 up.
+    The port is below 32768, so that no outgoing connection takes it before the node listens.
     """
     while True:
         port = random.SystemRandom().randrange(12_000, 32_000)
@@ -94,7 +94,7 @@
 
 @dataclass
 class FakeServer:
-    """A stand-in server: notes what comes and does what its play says; None breaks the connection."""
+    """A fake server that records requests and responds by its behaviour; None breaks the connection."""
 
     fixture: NodeFixture
     name: str
@@ -106,15 +106,15 @@
 
     @property
     def addr(self) -> str:
-        """Return where it listens."""
+        """Return the address on which it listens."""
         return f"127.0.0.2:{self.sock.getsockname()[1]}"
 
     def targets(self, method: str = "POST") -> list[str]:
-        """Return the targets asked for by a method."""
+        """Return the targets of the received requests with a method."""
         return [request.target for _, request in self.received if request.method == method]
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Note it and play."""
+        """Record the request and respond as the behaviour says."""
         self.received.append((trio.current_time(), request))
         self.connections.add(id(connection))
         self.last_connection = connection
@@ -124,17 +124,17 @@
         return response
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Pass over it."""
+        """Ignore the disconnect."""
 
     async def listen(self) -> None:
-        """Serve for ever."""
+        """Serve until cancelled."""
         self.sock.listen(LIMITS.accept_backlog)
         listener = Listener(self, LIMITS, Counters(), Log(100))
         await listener.serve(trio.socket.from_stdlib_socket(self.sock))
 
     async def send_notification(self, job: str, state: str, **info: object) -> int:
-        """Make a DRMAA notification; return its status."""
-        note = {
+        """Send a DRMAA notification. Return the status of the response."""
+        notification = {
             "event": "NEW_STATE",
             "sessionName": self.name,
             "jobId": f"id-{job}",
@@ -142,16 +142,16 @@
             "jobState": state,
             "jobInfo": {"jobId": f"id-{job}", "jobState": state, **info},
         }
-        return (await self.fixture.call_json("POST", "/drmaa2/notifications", note))[0]
+        return (await self.fixture.call_json("POST", "/drmaa2/notifications", notification))[0]
 
-    async def send_event(self, job: str, state: str, **more: object) -> int:
-        """Make a call-back; return its status."""
-        event = {"id": job, "from": self.name, "state": state, **more}
+    async def send_event(self, job: str, state: str, **fields: object) -> int:
+        """Send a call-back. Return the status of the response."""
+        event = {"id": job, "from": self.name, "state": state, **fields}
         return (await self.fixture.call("POST", "/v1/job-events", body=json.dumps(event).encode())).status
 
 
 async def completes_job(server: FakeServer, request: Request) -> Response | None:
-    """Take a job, start it and be done soon."""
+    """Accept a job, report its start and, soon after, its end."""
     job = request.headers.get("x-request-id", "")
 
     async def work() -> None:
@@ -166,7 +166,7 @@
 
 @dataclass
 class NodeFixture:
-    """A node and its stand-ins."""
+    """A node with its fake servers and its fake discovery."""
 
     nursery: trio.Nursery
     folder: Path
@@ -179,13 +179,13 @@
     process: trio.Process | None = None
     sockets: int = 256
     settings: dict[str, Any] = field(default_factory=dict)
-    operator: str = ""  # the text of the operator's file; none by default
-    admin_port: int = 0  # the port where operators call; none by default
+    operator: str = ""  # text of the operator's file; none by default
+    admin_port: int = 0  # port for operators' calls; none by default
 
     def add_server(
         self, name: str, behaviour: ServerBehaviour = completes_job, cell: int = 0, **row: object
     ) -> FakeServer:
-        """Add a real server to the list, before the node starts or while it runs."""
+        """Add a server to the endpoint list, before the node starts or while it runs."""
         server = FakeServer(self, name, behaviour)
         self.servers.append(server)
         self.nursery.start_soon(server.listen)
@@ -205,20 +205,20 @@
         return server
 
     def server(self, name: str) -> FakeServer:
-        """Return a real server by its name."""
+        """Return a server by its name."""
         return next(server for server in self.servers if server.name == name)
 
     def update_server(self, name: str, **row: object) -> None:
-        """Change a line of the list and tell the watch."""
-        for line in self.endpoint_rows:
-            if line["id"] == name:
-                line.update(row)
+        """Change a row of the endpoint list and notify the watch."""
+        for endpoint_row in self.endpoint_rows:
+            if endpoint_row["id"] == name:
+                endpoint_row.update(row)
         self.version += 1
         self.changed.set()
         self.changed = trio.Event()
 
     async def discovery(self, server: FakeServer, request: Request) -> Response | None:
-        """Play discovery: every answer is the whole list."""
+        """Respond as discovery: each response has the whole endpoint list."""
         if f"after={self.version}&" in request.target:
             with trio.move_on_after(0.5):
                 await self.changed.wait()
@@ -227,16 +227,16 @@
         )
 
     def configure(self, **conf: object) -> dict[str, str]:
-        """Write the node's configuration; return its environment."""
-        asked = FakeServer(self, "discovery", self.discovery)
-        self.nursery.start_soon(asked.listen)
+        """Write the node's configuration. Return its environment."""
+        discovery_server = FakeServer(self, "discovery", self.discovery)
+        self.nursery.start_soon(discovery_server.listen)
         self.settings = {**CONF, **conf}
-        return self.write_configuration(asked.addr)
+        return self.write_configuration(discovery_server.addr)
 
     def write_configuration(self, discovery: str) -> dict[str, str]:
-        """Write the configuration file, again where there is one; return the node's environment."""
-        path, operator = self.folder / "config.json", self.folder / "operator.toml"
-        operator.write_text(self.operator)
+        """Write or replace the configuration file. Return the node's environment."""
+        path, operator_path = self.folder / "config.json", self.folder / "operator.toml"
+        operator_path.write_text(self.operator)
         path.write_text(
             json.dumps(
                 {
@@ -252,7 +252,7 @@
         )
         return {
             "LB_CONFIG": str(path),
-            "LB_OPERATOR": str(operator) if self.operator else "",
+            "LB_OPERATOR": str(operator_path) if self.operator else "",
             "LB_ADMIN_ADDR": f"127.0.0.2:{self.admin_port}" if self.admin_port else "",
         }
 
@@ -276,7 +276,7 @@
     async def call(
         self, method: str, target: str, headers: list[tuple[str, str]] | None = None, body: bytes = b""
     ) -> Reply:
-        """Have one exchange with the node on a new connection."""
+        """Send one request to the node on a new connection."""
         connection = await ClientConnection.connect(f"127.0.0.2:{self.port}", LIMITS)
         try:
             return await connection.exchange(method, target, headers or [], body)
@@ -284,25 +284,25 @@
             connection.close()
 
     async def admin_call(self, line: str, port: int = 0) -> str:
-        """Make one operator's call; return the line that answers it."""
+        """Make an operator's call. Return the line of the response."""
         stream = await trio.open_tcp_stream("127.0.0.2", port or self.admin_port)
         async with stream:
             await stream.send_all(line.encode() + b"\n")
             return b"".join([part async for part in stream]).decode()
 
     async def admit(self, job: str, timeout_ms: int = 2000) -> Reply:
-        """Hand in one job and return its answer."""
+        """Submit a job and return the response."""
         return await self.call("POST", "/admit?x=1", admission_headers(job, timeout_ms), b"seat")
 
     async def call_json(self, method: str, target: str, value: object = None) -> tuple[int, Any]:
-        """Have one exchange in JSON; return status and answer."""
+        """Send one request with a JSON body. Return the status and the decoded response."""
         body = b"" if value is None else json.dumps(value).encode()
         reply = await self.call(method, target, body=body)
         return reply.status, json.loads(reply.body) if reply.body else None
 
 
 def admission_headers(job: str, timeout_ms: int = 2000) -> list[tuple[str, str]]:
-    """Return a job's headers."""
+    """Return the headers of a job's request."""
     return [
         ("X-Request-ID", job),
         ("X-Priority-Class", "admit"),
@@ -313,18 +313,18 @@
 
 @asynccontextmanager
 async def node_fixture(folder: Path) -> AsyncIterator[NodeFixture]:
-    """Open a stage, and close all of it at the end."""
+    """Create a node fixture, and end all its tasks and processes at the end."""
     with trio.fail_after(30):
         async with trio.open_nursery() as nursery:
-            scene = NodeFixture(nursery, folder)
+            fixture = NodeFixture(nursery, folder)
             try:
-                yield scene
+                yield fixture
             finally:
-                if scene.process is not None and scene.process.poll() is None:
-                    scene.process.kill()
+                if fixture.process is not None and fixture.process.poll() is None:
+                    fixture.process.kill()
                 nursery.cancel_scope.cancel()
 
 
-def run_scenario(scene: Callable[..., Awaitable[None]], *args: object) -> None:
-    """Run a test's scene."""
-    trio.run(scene, *args)
+def run_scenario(scenario: Callable[..., Awaitable[None]], *args: object) -> None:
+    """Run the scenario of a test in a new trio loop."""
+    trio.run(scenario, *args)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: frames, bad input, restarts, equal actions under other hash seeds."""
+"""The simulator's adapter as a process: batches, bad input, restarts, and repeatable actions."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def create(name: str = "scheduler_0", conf: object = None) -> list[dict[str, object]]:
-    """Return the events of an instance's start."""
+    """Return the lines that start an instance."""
     return [
         {"what": "Create", "scheduler": name, "salt": 5, "conf": CONF if conf is None else conf},
         {"what": "View", "scheduler": name, "rev": 1, "scope": "remembered", "rows": ROWS},
@@ -56,7 +56,7 @@
 
 
 def request(number: int, name: str = "scheduler_0") -> dict[str, object]:
-    """Return a request."""
+    """Return the line of a request."""
     return {
         "what": "Req",
         "scheduler": name,
@@ -74,13 +74,13 @@
 
 
 def batch(at: int, events: list[dict[str, object]]) -> str:
-    """Return one closed batch."""
+    """Return the lines of one closed batch."""
     lines = [{"what": "Mark", "wallUs": at}, *events, {"what": "Commit"}]
     return "".join(json.dumps(line) + "\n" for line in lines)
 
 
 def run(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """Run the adapter over a text."""
+    """Run the adapter with a text as its input."""
     return subprocess.run(
         [sys.executable, "-B", "-m", "merlinbay.simhost"],
         input=text,
@@ -92,35 +92,35 @@
 
 
 def replies(text: str, seed: str = "0") -> list[list[dict[str, Any]]]:
-    """Return the replies to a text, each a list of actions."""
+    """Return the replies to a text, each as a list of actions."""
     done = run(text, seed)
     assert done.returncode == 0, done.stderr
-    out: list[list[dict[str, Any]]] = [[]]
+    decoded: list[list[dict[str, Any]]] = [[]]
     for line in done.stdout.splitlines():
         action = json.loads(line)
-        out.append([]) if action["what"] == "Eor" else out[-1].append(action)
-    return out[:-1]
+        decoded.append([]) if action["what"] == "Eor" else decoded[-1].append(action)
+    return decoded[:-1]
 
 
-def test_a_day_in_small() -> None:
-    """Empty batches, a start, requests, all event names, an unknown one, a restart in one batch."""
-    one = "scheduler_0"
+def test_all_events_and_a_restart_are_accepted() -> None:
+    """An empty batch, a start, requests, all event names, an unknown name and a restart in one batch."""
+    instance = "scheduler_0"
     text = (
         batch(1, [])
         + batch(2, create())
-        + batch(3, [request(1), {"what": "Novel", "scheduler": one}])
+        + batch(3, [request(1), {"what": "Novel", "scheduler": instance}])
         + batch(
             4,
             [
-                {"what": "UpdateOf", "scheduler": one, "msgId": 1, "attempt": 0, "kind": 1},
-                {"what": "PingResult", "scheduler": one, "worker": "w0", "status": 1, "gauge": ["?"]},
-                {"what": "Mail", "scheduler": one, "sender": 1, "body": "zz"},
-                {"what": "Flowing", "scheduler": one, "msgId": 9, "attempt": 0},
-                {"what": "Reminder", "scheduler": one, "ref": "none"},
-                {"what": "Withdrawn", "scheduler": one, "msgId": 77},
+                {"what": "UpdateOf", "scheduler": instance, "msgId": 1, "attempt": 0, "kind": 1},
+                {"what": "PingResult", "scheduler": instance, "worker": "w0", "status": 1, "gauge": ["?"]},
+                {"what": "Mail", "scheduler": instance, "sender": 1, "body": "zz"},
+                {"what": "Flowing", "scheduler": instance, "msgId": 9, "attempt": 0},
+                {"what": "Reminder", "scheduler": instance, "ref": "none"},
+                {"what": "Withdrawn", "scheduler": instance, "msgId": 77},
                 {
                     "what": "Ended",
-                    "scheduler": one,
+                    "scheduler": instance,
                     "msgId": 1,
                     "attempt": 0,
                     "worker": "w0",
@@ -131,7 +131,7 @@
                 },
             ],
         )
-        + batch(5, [{"what": "PowerOff", "scheduler": one}, *create(), request(2)])
+        + batch(5, [{"what": "PowerOff", "scheduler": instance}, *create(), request(2)])
     )
     got = replies(text)
     assert len(got) == 5
@@ -139,8 +139,8 @@
     assert got[4][0]["msgId"] == 2
 
 
-def test_same_actions_under_any_hash_seed_and_apart() -> None:
-    """Hash order and the company of other instances change nothing."""
+def test_actions_depend_on_no_hash_seed_and_no_other_instance() -> None:
+    """Neither the hash order nor other instances in the same process change the actions."""
     names = ["scheduler_0", "scheduler_1"]
 
     def day(which: list[str]) -> str:
@@ -165,7 +165,7 @@
     ],
 )
 def test_bad_input_ends_with_status_2(text: str, line: str) -> None:
-    """One plain message with the line number, and no half reply."""
+    """There is one message with the line number, and no partial reply."""
     done = run(text)
     assert done.returncode == 2
     assert line in done.stderr and len(done.stderr.splitlines()) == 1
@@ -184,8 +184,8 @@
         ("limits.sendCap", 0),
     ],
 )
-def test_malformed_settings_fault_with_the_key(path: str, value: object) -> None:
-    """The fault names the setting, and the other instances go on."""
+def test_malformed_setting_is_a_fault_that_names_the_key(path: str, value: object) -> None:
+    """The fault names the setting, and other instances go on."""
     conf = json.loads(json.dumps(CONF))
     *parents, last = path.split(".")
     table = conf
@@ -199,8 +199,8 @@
     assert any(a["what"] == "Place" for a in got[0])
 
 
-def test_report_meaning_is_read_from_the_settings() -> None:
-    """The field that holds free slots is found by its described meaning."""
+def test_meaning_of_report_fields_is_read_from_the_settings() -> None:
+    """The field with the free slots is found by the meaning that the settings give it."""
     assert settings_from(CONF).free_slots_field == "x0"
     assert settings_from({**CONF, "report": {"fields": ["x0"], "how": "off"}}).report_fields == []
 
@@ -208,7 +208,7 @@
 def test_exception_becomes_a_fault(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """No silent default: the traceback goes to standard error, the fault has one line."""
+    """An exception is not hidden: its traceback goes to standard error, and the fault has one line."""
     lines = [msgspec.convert(line, WireLine) for line in [*create(), request(1)]]
     host = InstanceHost()
     host.reply(1, lines[:2])
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents, and a wall clock that is stepped."""
+"""System calls that fail with the errors that Linux documents, and steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def failing(call: Callable[..., Any], numbers: list[int]) -> Callable[..., Any]:
-    """Return an asynchronous call that fails with these errors before it works."""
+    """Return an asynchronous call that fails with these errors, one after the other, before it works."""
 
     async def shim(*args: Any) -> Any:
         if numbers:
@@ -48,8 +48,8 @@
     return shim
 
 
-def test_the_listener_outlives_every_way_in_which_accept_fails(tmp_path: Path) -> None:
-    """Each of them once, then a request is served; those that last do not make it spin."""
+def test_listener_survives_every_accept_error(tmp_path: Path) -> None:
+    """The listener goes on after each of these errors, and does not spin while an error persists."""
     numbers = [
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -61,58 +61,58 @@
         errno.ENETUNREACH,
     ]
 
-    async def scene() -> None:
-        async with node_fixture(tmp_path) as at:
-            at.add_server("s")
-            await at.start()
-            left = list(numbers)
-            with patch.object(TRIO_SOCKET, "accept", failing(TRIO_SOCKET.accept, left)):
-                await at.call("GET", "/-/ready")  # ends the accept that waits
-                assert (await at.admit("j")).status == 200
-            assert not left and at.counters.counts["accepts_failed"] == len(numbers)
+    async def scenario() -> None:
+        async with node_fixture(tmp_path) as node:
+            node.add_server("s")
+            await node.start()
+            remaining = list(numbers)
+            with patch.object(TRIO_SOCKET, "accept", failing(TRIO_SOCKET.accept, remaining)):
+                await node.call("GET", "/-/ready")  # ends the accept that is waiting
+                assert (await node.admit("j")).status == 200
+            assert not remaining and node.counters.counts["accepts_failed"] == len(numbers)
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_a_connection_that_has_ended_by_its_accept_ends_no_listener(tmp_path: Path) -> None:
-    """Options cannot be set on it any more; the next client is served."""
+def test_connection_that_ended_before_its_accept_does_not_end_the_listener(tmp_path: Path) -> None:
+    """No option can be set on a connection that has ended. The next client must still be served."""
 
-    async def scene() -> None:
-        async with node_fixture(tmp_path) as at:
-            at.add_server("s")
-            await at.start()
+    async def scenario() -> None:
+        async with node_fixture(tmp_path) as node:
+            node.add_server("s")
+            await node.start()
             setsockopt = TRIO_SOCKET.setsockopt
             ended: list[Any] = []
 
             def shim(sock: Any, *args: Any) -> None:
-                if not ended and sock.getsockname()[1] == at.port:
+                if not ended and sock.getsockname()[1] == node.port:
                     ended.append(sock)
                     raise OSError(errno.EINVAL, "ended")
                 setsockopt(sock, *args)
 
             with patch.object(TRIO_SOCKET, "setsockopt", shim):
                 with pytest.raises(ConnectionBrokenError):
-                    await at.call("GET", "/-/ready")
-                assert ended and (await at.admit("j")).status == 200
+                    await node.call("GET", "/-/ready")
+                assert ended and (await node.admit("j")).status == 200
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
-def test_a_failed_accept_does_not_end_the_wait_for_a_successor() -> None:
-    """The connection after it is the successor's."""
+def test_failed_accept_does_not_end_the_wait_for_a_successor() -> None:
+    """Errors of ``accept`` are passed over, and the next connection is the successor's."""
     successor: Any = Mock()
 
     async def accept() -> tuple[Any, str]:
         return successor, ""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         inbox, listener, client_steering, clock = Mock(), Mock(), Mock(), Mock()
         takeover = Takeover(Path("x"), inbox, listener, client_steering, LIMITS, Counters(), Log(9), clock)
         listening = Mock(accept=failing(accept, [errno.ECONNABORTED, errno.EMFILE]))
         with trio.fail_after(5):
             assert await takeover.as_predecessor._accept(listening) is successor
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -128,12 +128,12 @@
         (errno.EACCES, RequestNotSentError, CallFailure.BROKEN),
     ],
 )
-def test_what_a_failed_connect_says(
+def test_connect_error_is_classified_by_errno(
     number: int, kind: type[RequestNotSentError], failure: CallFailure
 ) -> None:
-    """Only what lies with the other side, or the way to it, proves that it cannot be reached."""
+    """Only errors of the other side, or of the network on the way, prove that it cannot be reached."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with (
             patch.object(TRIO_SOCKET, "connect", failing(TRIO_SOCKET.connect, [number])),
             pytest.raises(RequestNotSentError) as raised,
@@ -141,81 +141,81 @@
             await ClientConnection.connect("127.0.0.2:9", LIMITS)
         assert type(raised.value) is kind and failure_of(raised.value) is failure
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
 @pytest.mark.parametrize(
     ("status", "failure"),
     [(503, CallFailure.UNAVAILABLE), (404, CallFailure.BROKEN), (500, CallFailure.BROKEN)],
 )
-def test_only_discovery_s_own_word_says_that_it_is_down(status: int, failure: CallFailure) -> None:
+def test_only_status_503_means_that_discovery_is_unavailable(status: int, failure: CallFailure) -> None:
     """Any other status may come from something else on the way."""
     assert failure_of(UnexpectedStatusError(status)) is failure
 
 
-def test_a_server_is_not_left_out_for_what_this_machine_lacks(tmp_path: Path) -> None:
-    """No local port for a while: jobs are refused, and the next one is served by the only server."""
+def test_local_resource_shortage_does_not_eject_a_server(tmp_path: Path) -> None:
+    """While there is no local port, jobs are rejected. The only server serves the next job."""
 
-    async def scene() -> None:
-        async with node_fixture(tmp_path) as at:
-            at.add_server("s")
-            await at.start()
+    async def scenario() -> None:
+        async with node_fixture(tmp_path) as node:
+            node.add_server("s")
+            await node.start()
             connect = TRIO_SOCKET.connect
 
             async def no_port(sock: Any, address: tuple[str, int]) -> None:
-                if address[1] == at.servers[0].sock.getsockname()[1]:
+                if address[1] == node.servers[0].sock.getsockname()[1]:
                     raise OSError(errno.EADDRNOTAVAIL, "no port")
                 await connect(sock, address)
 
             with patch.object(TRIO_SOCKET, "connect", no_port):
-                assert (await at.admit("j-1")).status == 503
-            assert (await at.admit("j-2")).status == 200
-            assert at.counters.counts["dials_short"] > 0
+                assert (await node.admit("j-1")).status == 503
+            assert (await node.admit("j-2")).status == 200
+            assert node.counters.counts["dials_short"] > 0
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("step_s", [3600.0, 5.0, -5.0, -3600.0])
 @pytest.mark.parametrize("stepped_first", [True, False])
-def test_a_stepped_wall_clock_makes_no_server_warmer_than_it_is(step_s: float, stepped_first: bool) -> None:
-    """A server that started three seconds ago, before or after the step, is never taken for older."""
-
-    async def scene() -> None:
-        made = Clock()
-        times = StartTimes(made, [])
-        started_us, wall_us = made.now_us() - 3 * SECOND, int(step_s * SECOND) * stepped_first
-        told = ServiceEntry("s", "a:1", started_at_us=started_us + wall_us)
-        with patch("merlinbay.clock.time.time", lambda: made.now_us() / 1e6 + step_s):
-            (first,) = times.translate([told])
+def test_wall_clock_step_makes_no_server_look_warmer(step_s: float, stepped_first: bool) -> None:
+    """A server that started three seconds ago, before or after the step, never counts as older."""
+
+    async def scenario() -> None:
+        clock = Clock()
+        times = StartTimes(clock, [])
+        started_us, wall_us = clock.now_us() - 3 * SECOND, int(step_s * SECOND) * stepped_first
+        listed = ServiceEntry("s", "a:1", started_at_us=started_us + wall_us)
+        with patch("merlinbay.clock.time.time", lambda: clock.now_us() / 1e6 + step_s):
+            (first,) = times.translate([listed])
             await trio.sleep(0.02)
-            (second,) = times.translate([told])
-        age_us = made.now_us() - first.started_at_us
+            (second,) = times.translate([listed])
+        age_us = clock.now_us() - first.started_at_us
         assert -SECOND // 10 <= age_us <= 3 * SECOND + SECOND // 10
-        assert second == first  # the same start is the same moment, or it would count as another start
-        (usual,) = times.translate([ServiceEntry("t", "a:1", started_at_us=0)])
-        assert usual.started_at_us == 0
+        assert second == first  # The same start must stay the same time, or it would count as another start.
+        (long_started,) = times.translate([ServiceEntry("t", "a:1", started_at_us=0)])
+        assert long_started.started_at_us == 0
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
-def test_a_step_makes_no_warm_server_start_anew() -> None:
-    """It was listed before, an hour ago by its start: a step of an hour back would make that just now."""
+def test_wall_clock_step_does_not_restart_the_slow_start() -> None:
+    """A listed server started an hour ago. A step back by an hour must not make that a recent start."""
 
-    async def scene() -> None:
-        made = Clock()
-        times = StartTimes(made, [])
-        warm = ServiceEntry("s", "a:1", started_at_us=made.now_us() - 3602 * SECOND)
+    async def scenario() -> None:
+        clock = Clock()
+        times = StartTimes(clock, [])
+        warm = ServiceEntry("s", "a:1", started_at_us=clock.now_us() - 3602 * SECOND)
         assert times.translate([warm]) == [warm]
-        with patch("merlinbay.clock.time.time", lambda: made.now_us() / 1e6 - 3600):
+        with patch("merlinbay.clock.time.time", lambda: clock.now_us() / 1e6 - 3600):
             assert times.translate([warm]) == [warm]
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
-def test_a_process_carries_on_the_clock_of_the_one_before() -> None:
-    """The wall clock was stepped by an hour between their starts: spans that go on are not off by it."""
+def test_process_continues_the_clock_of_its_predecessor() -> None:
+    """A step of the wall clock by an hour between the two starts does not change running timeouts."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         before = Clock()
         with patch("merlinbay.clock.time.time", lambda: before.unix_start_s + 3600):
             after = Clock()
@@ -223,23 +223,27 @@
         after.continue_from(before.now_us())
         assert abs(after.now_us() - before.now_us()) < SECOND // 10
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
 @pytest.mark.parametrize(
     ("failure", "placed"),
     [(CallFailure.BROKEN, False), (CallFailure.SILENT, True), (CallFailure.UNREACHABLE, True)],
 )
-def test_a_pushed_list_is_overdue_only_while_its_agent_answers_what_cannot_be_read(
+def test_pushed_list_is_overdue_only_while_its_agent_sends_unreadable_responses(
     failure: CallFailure, placed: bool
 ) -> None:
-    """An agent that is silent has learned nothing; one that answers may have news."""
-    made = Balancer(settings(must_subscribe=False, safety=SafetyMargins(drain_grace_us=SECOND // 2)), 1, 0)
-    made.handle(0, [EndpointsChanged("all", [entry(0)])])
+    """A silent agent has not heard of changes, but one that responds unreadably may have."""
+    balancer = Balancer(
+        settings(must_subscribe=False, safety=SafetyMargins(drain_grace_us=SECOND // 2)), 1, 0
+    )
+    balancer.handle(0, [EndpointsChanged("all", [entry(0)])])
     for now in range(10 * SECOND, 18 * SECOND, SECOND // 2):
-        made.handle(now, [EndpointsChanged("refused", [], 9 * SECOND if now == 10 * SECOND else -1, failure)])
-    actions = made.handle(18 * SECOND, [RequestReceived(1, "safe", 10 * SECOND)])
+        balancer.handle(
+            now, [EndpointsChanged("refused", [], 9 * SECOND if now == 10 * SECOND else -1, failure)]
+        )
+    actions = balancer.handle(18 * SECOND, [RequestReceived(1, "safe", 10 * SECOND)])
     assert any(isinstance(action, Dispatch) for action in actions) == placed
-    made.handle(18 * SECOND, [EndpointsChanged("changes", [])])
-    actions = made.handle(18 * SECOND, [RequestReceived(2, "safe", 10 * SECOND)])
+    balancer.handle(18 * SECOND, [EndpointsChanged("changes", [])])
+    actions = balancer.handle(18 * SECOND, [RequestReceived(2, "safe", 10 * SECOND)])
     assert any(isinstance(action, Dispatch) for action in actions)
--- a/tests/test_wire_and_configuration.py
+++ b/tests/test_wire_and_configuration.py
@@ -1,4 +1,4 @@
-"""What is read from the platform's wire, the configuration, the operator's file and the resource limits."""
+"""Decoding of the platform's wire, the operator's file and the resource limits."""
 
 from __future__ import annotations
 
@@ -70,8 +70,10 @@
 
 
 @pytest.mark.parametrize(("target", "more", "expected"), JOBS)
-def test_a_request_becomes_a_job(target: str, more: dict[str, str], expected: dict[str, Any] | None) -> None:
-    """None: it is answered 400."""
+def test_request_headers_become_a_request_spec(
+    target: str, more: dict[str, str], expected: dict[str, Any] | None
+) -> None:
+    """Headers are decoded to a request spec. Those without an expectation are a bad request."""
     if expected is None:
         with pytest.raises(messages.BadRequestError):
             messages.request_spec(target, {**HEADERS, **more}, b"", 7)
@@ -98,10 +100,10 @@
         (429, {}, JobReply.REJECTED, Outcome.ERROR),
     ],
 )
-def test_an_answer_becomes_an_outcome(
+def test_server_response_becomes_an_outcome(
     status: int, headers: dict[str, str], expected: JobReply, outcome: Outcome | None
 ) -> None:
-    """Only 503 and 504 with the header prove that it never ran; what is not named leaves that open."""
+    """Only 503 and 504 with the header prove that a job never ran. Unlisted statuses leave it unknown."""
     reply = Reply(status, headers, b"")
     assert classify(reply) is expected and OUTCOMES.get(expected) is outcome
     assert is_conclusive(reply) == (expected not in (JobReply.UNKNOWN, JobReply.REJECTED))
@@ -111,8 +113,8 @@
     ("state", "expected"),
     [("SERVING", "up"), ("DRAINING", "draining"), ("DELETED", "removed"), ("NEW", "draining")],
 )
-def test_a_listing_becomes_entries(state: str, expected: str) -> None:
-    """Id and address stay apart; an unknown state gets nothing new."""
+def test_listing_becomes_entries(state: str, expected: str) -> None:
+    """Id and address are separate fields. A server with an unknown state counts as draining."""
     listing = messages.read_listing(
         msgspec.json.encode(
             {
@@ -149,8 +151,8 @@
         ({}, "up", []),
     ],
 )
-def test_a_malformed_entry_is_named(row: dict[str, str], state: str, named: list[str]) -> None:
-    """An unknown state or a missing address costs the one entry, not the list; what is gone needs none."""
+def test_malformed_entry_is_reported_by_name(row: dict[str, str], state: str, named: list[str]) -> None:
+    """An unknown state or missing address affects only its entry. A deleted server needs no address."""
     listing = messages.read_listing(
         msgspec.json.encode(
             {
@@ -168,14 +170,14 @@
 
 
 @pytest.mark.parametrize(("result", "expected"), [("é", "é".encode()), ("", b""), ({"a": 1}, b'{"a":1}')])
-def test_a_result_becomes_a_body(result: Any, expected: bytes) -> None:
-    """Text is the body itself."""
+def test_result_becomes_a_response_body(result: Any, expected: bytes) -> None:
+    """A text result is the body itself; other results are encoded as JSON."""
     assert messages.result_bytes(result) == expected
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024, 65536])
 def test_descriptors_are_divided(sockets: int) -> None:
-    """Edge and servers leave some to the rest, and requests leave room for call-backs."""
+    """Clients and servers leave descriptors to the rest, and requests leave connections to call-backs."""
     settings = Settings(
         [RequestClass("admit", 1, 5_000_000)], safety=SafetyMargins(must_ask_in_us=10_000_000)
     )
@@ -188,7 +190,7 @@
         True,
         3.65,
     )
-    # Each step of the end has its time before the cut-off, and that comes before SIGKILL.
+    # All steps of the shutdown fit before its timeout, which ends before SIGKILL.
     steps = (
         limits.stop_serving_for_s
         + limits.stop_responses_for_us / 1e6
@@ -199,8 +201,8 @@
     assert limits.watch_wait_s + limits.watch_slack_s < 10
 
 
-def test_the_operators_file_turns_the_second_front_on() -> None:
-    """As it stands under deploy/; without one, all of it is off."""
+def test_operator_file_turns_the_drmaa_front_on() -> None:
+    """The file in deploy/ turns the front on; without a file, everything is off."""
     operator = read_operator_file(str(ROOT / "deploy" / "drmaa.toml"))
     assert operator is not None
     assert operator.drmaa == DrmaaSettings(front=True, servers=True, access=AccessSettings(open=True))
@@ -222,8 +224,8 @@
         None,
     ],
 )
-def test_a_bad_operators_file_is_one_plain_line(tmp_path: Path, text: str | None) -> None:
-    """It names the file or the value."""
+def test_bad_operator_file_gives_a_one_line_error(tmp_path: Path, text: str | None) -> None:
+    """The error is a single line that is not empty."""
     path = tmp_path / "operator.toml"
     if text is not None:
         path.write_text(text)
