--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -149,7 +149,7 @@
                     nursery.start_soon(node.admit, f"a{number}")
             assert node.counters.counts["answers_served"] == 6
             assert all(
-                any(request.headers.get("x-request-id", "").startswith("a") for _, request in server.received)
+                any(sent.headers.get("x-request-id", "").startswith("a") for _, sent in server.received)
                 for server in servers
             )
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -133,26 +133,27 @@
         )
         + batch(5, [{"what": "PowerOff", "scheduler": instance}, *create(), request(2)])
     )
-    got = replies(text)
-    assert len(got) == 5
-    assert next(a["what"] for a in got[2]) == "Place"
-    assert got[4][0]["msgId"] == 2
+    batch_replies = replies(text)
+    assert len(batch_replies) == 5
+    assert next(action["what"] for action in batch_replies[2]) == "Place"
+    assert batch_replies[4][0]["msgId"] == 2
 
 
 def test_actions_depend_on_no_hash_seed_and_no_other_instance() -> None:
     """Neither the hash order nor other instances in the same process change the actions."""
     names = ["scheduler_0", "scheduler_1"]
 
-    def day(which: list[str]) -> str:
-        return batch(1, [e for n in which for e in create(n)]) + "".join(
-            batch(10 + i * 1000, [request(i, n) for n in which]) for i in range(60)
+    def input_for(instances: list[str]) -> str:
+        return batch(1, [line for instance in instances for line in create(instance)]) + "".join(
+            batch(10 + number * 1000, [request(number, instance) for instance in instances])
+            for number in range(60)
         )
 
-    together = replies(day(names))
-    assert together == replies(day(names), "77")
+    together = replies(input_for(names))
+    assert together == replies(input_for(names), "77")
     for name in names:
-        alone = replies(day([name]))
-        assert alone == [[a for a in part if a["scheduler"] == name] for part in together]
+        alone = replies(input_for([name]))
+        assert alone == [[action for action in reply if action["scheduler"] == name] for reply in together]
 
 
 @pytest.mark.parametrize(
@@ -192,11 +193,13 @@
     for parent in parents:
         table = table[parent]
     table[last] = value
-    got = replies(batch(1, [*create("scheduler_0", conf), *create("scheduler_1"), request(1, "scheduler_1")]))
-    faults = [a for a in got[0] if a["what"] == "Fault"]
-    assert [a["scheduler"] for a in faults] == ["scheduler_0"]
+    result = replies(
+        batch(1, [*create("scheduler_0", conf), *create("scheduler_1"), request(1, "scheduler_1")])
+    )
+    faults = [action for action in result[0] if action["what"] == "Fault"]
+    assert [fault["scheduler"] for fault in faults] == ["scheduler_0"]
     assert last.replace("sendCap", "send").lower()[:4] in faults[0]["reasonText"].lower()
-    assert any(a["what"] == "Place" for a in got[0])
+    assert any(action["what"] == "Place" for action in result[0])
 
 
 def test_meaning_of_report_fields_is_read_from_the_settings() -> None:
@@ -217,6 +220,6 @@
         raise RuntimeError("first line\nsecond line")
 
     monkeypatch.setattr(Balancer, "handle", fail)
-    got = host.reply(2, lines[2:]).decode()
-    assert '"what":"Fault"' in got and "RuntimeError: first line" in got and "second" not in got
+    reply = host.reply(2, lines[2:]).decode()
+    assert '"what":"Fault"' in reply and "RuntimeError: first line" in reply and "second" not in reply
     assert "Traceback" in capsys.readouterr().err
--- a/tests/test_wire_and_configuration.py
+++ b/tests/test_wire_and_configuration.py
@@ -69,16 +69,16 @@
 ]
 
 
-@pytest.mark.parametrize(("target", "more", "expected"), JOBS)
+@pytest.mark.parametrize(("target", "changes", "expected"), JOBS)
 def test_request_headers_become_a_request_spec(
-    target: str, more: dict[str, str], expected: dict[str, Any] | None
+    target: str, changes: dict[str, str], expected: dict[str, Any] | None
 ) -> None:
-    """Headers are decoded to a request spec. Those without an expectation are a bad request."""
+    """Headers become a request spec. Where none is expected, the request is answered with 400."""
     if expected is None:
         with pytest.raises(messages.BadRequestError):
-            messages.request_spec(target, {**HEADERS, **more}, b"", 7)
+            messages.request_spec(target, {**HEADERS, **changes}, b"", 7)
     else:
-        spec = messages.request_spec(target, {**HEADERS, **more}, b"", 7)
+        spec = messages.request_spec(target, {**HEADERS, **changes}, b"", 7)
         assert {name: getattr(spec, name) for name in expected} == expected
         assert spec.arrived_at_us == 7
 
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ("row", "state", "named"),
+    ("row", "state", "reported_names"),
     [
         ({"state": "NEW"}, "draining", ["s-1"]),
         ({"addr": ""}, "draining", ["s-1"]),
@@ -151,7 +151,9 @@
         ({}, "up", []),
     ],
 )
-def test_malformed_entry_is_reported_by_name(row: dict[str, str], state: str, named: list[str]) -> None:
+def test_malformed_entry_is_reported_by_name(
+    row: dict[str, str], state: str, reported_names: list[str]
+) -> None:
     """An unknown state or missing address affects only its entry. A deleted server needs no address."""
     listing = messages.read_listing(
         msgspec.json.encode(
@@ -165,7 +167,7 @@
             }
         )
     )
-    assert [text.partition(":")[0] for text in messages.malformed_entries(listing)] == named
+    assert [text.partition(":")[0] for text in messages.malformed_entries(listing)] == reported_names
     assert [entry.state for entry in messages.entries(listing)] == [state, "up"]
 
 
