--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -1,7 +1,7 @@
 """The client side of HTTP/1.1: a connection that carries one exchange at a time.
 
-The connection pool and the discovery clients use it. Failures raise the errors defined here, which separate
-requests that were not sent from those that the server may have processed. Nothing is retried here.
+The connection pool, discovery and other clients use it. Failures raise the errors defined here, which
+separate requests that were not sent from those that the server may have processed. Nothing is retried here.
 """
 
 from __future__ import annotations
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -1,6 +1,6 @@
 """Directs clients to other nodes while this node is in standby, without losing requests.
 
-The operator's call and the handover set the state. Draining cannot fail: it goes on until it is revoked.
+The operator's call and the handover set the state; draining goes on until it is revoked.
 """
 
 from __future__ import annotations
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -62,7 +62,7 @@
         # These attributes are set by fronts.
         self.context: object = None  # state that the handler keeps for the request in progress
         self.carries_callbacks = False  # whether a server uses it; servers are never sent to another node
-        self.has_served_request = False  # whether it served a request with success; it is kept longer then
+        self.has_served_request = False  # whether it has served a request; it is kept longer then
         # These attributes are set by the listener.
         self.closes_after_response = False
         # Called as soon as no request is in progress.
--- a/merlinbay/http/messages.py
+++ b/merlinbay/http/messages.py
@@ -6,7 +6,7 @@
 
 import h11
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
     204: b"No Content",
@@ -58,7 +58,7 @@
     headers = [*response.headers, (b"content-length", str(len(response.body)).encode())]
     if close:
         headers.append((b"connection", b"close"))
-    reason = REASONS.get(response.status, b"")
+    reason = REASON_PHRASES.get(response.status, b"")
     head = h11.Response(status_code=response.status, headers=headers, reason=reason)
     data = state.send(head) or b""
     if response.body and not head_only:
