--- a/tests/test_threshold.py
+++ b/tests/test_threshold.py
@@ -81,8 +81,8 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.floats(0, 1e15), st.floats(0, 1e6))
-def test_threshold_is_a_count_and_a_probability(r: float, k: float) -> None:
-    """Any load and any worth give a whole or infinite number and a probability, never NaN."""
+def test_never_nan(r: float, k: float) -> None:
+    """Any load and any worth give a count that is finite or infinite, and a probability."""
     n, q = threshold(r, k)
     assert n >= 0 and 0 <= q <= 1
     assert n == math.inf or n == math.floor(n)
