--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -18,7 +18,7 @@
 from merlinbay.decision.run_times import RunTimes
 
 CANCELLED_WORK_SHARE = 0.5  # share of its work that an attempt cancelled before its start is assumed to cost
-UNSEEN_RUN_SHARE = 0.5  # bound of the run time of a class without completed runs, in latency objectives
+UNSEEN_RUN_SHARE = 0.5  # upper bound of the run time of a class without completed runs, in latency objectives
 MIN_HEALTH_CHECK_RUNS = 0.25  # minimum time between two health checks of an endpoint, in mean run times
 DURATION_WEIGHT = 0.03  # weight of one health check in the mean duration
 
--- a/merlinbay/decision/threshold.py
+++ b/merlinbay/decision/threshold.py
@@ -10,7 +10,7 @@
 
 from merlinbay.decision.lambert import lambertw
 
-MAX_SUMMED_JOBS = 10_000  # the largest N that is returned; beyond it the probability q has no effect
+MAX_SUMMED_JOBS = 10_000  # N is not computed beyond this, where the probability q has no effect
 
 
 @lru_cache(maxsize=65536)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -573,14 +573,14 @@
     cluster = Cluster(CASES["28 requests"], 6, Offer())
     step_us = SLOW_START.overload_for_us // 20
     for me in range(6):
-        former = cluster.start_node(me, 1)
-        used = next(
+        predecessor = cluster.start_node(me, 1)
+        used_at_us = next(
             now_us
             for now_us in range(step_us, SLOW_START.cold_us, step_us)
-            if former.parts.slow_start.may_admit(endpoint_at(former, now_us))
+            if predecessor.parts.slow_start.may_admit(endpoint_at(predecessor, now_us))
         )
-        assert not (anew := cluster.start_node(me, used + 1)).parts.slow_start.may_admit(
-            endpoint_at(anew, used + 1)
+        assert not (restarted := cluster.start_node(me, used_at_us + 1)).parts.slow_start.may_admit(
+            endpoint_at(restarted, used_at_us + 1)
         )
 
 
