--- a/tests/decision_streams.py
+++ b/tests/decision_streams.py
@@ -172,11 +172,11 @@
 class Request:
     """A request of a drawn stream, as its client and servers know it."""
 
-    sent: list[str] = field(default_factory=list)
-    open: set[int] = field(default_factory=set)
+    sent: list[str] = field(default_factory=list)  # endpoint of each attempt
+    open: set[int] = field(default_factory=set)  # numbers of the attempts that have not ended
     started: set[int] = field(default_factory=set)
     paused: set[int] = field(default_factory=set)
-    done: bool = False
+    done: bool = False  # whether it has its final answer or its client has disconnected
 
 
 class StreamGenerator:
@@ -185,10 +185,10 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng, self.now = settings, Random(seed), 1_000_000
         self.requests: dict[int, Request] = {}
-        self.probes: list[str] = []
-        self.timers: list[tuple[int, str]] = []
-        self.rows: dict[str, Row] = {}
-        self.count = 0
+        self.probes: list[str] = []  # endpoints whose health check is not answered yet
+        self.timers: list[tuple[int, str]] = []  # due time and token
+        self.rows: dict[str, Row] = {}  # list entries by endpoint
+        self.count = 0  # requests that have arrived
         kinds = settings.kinds or [""]
         size = self.rng.choice((1, 2, 5, 9, 24))
         for number in range(size):
@@ -361,20 +361,20 @@
 def draw(seed: int) -> Stream:
     """Draw a stream, and record the actions of the module."""
     settings = drawn_settings(seed)
-    world = StreamGenerator(settings, seed)
-    balancer = Balancer(settings, seed, world.now)
+    generator = StreamGenerator(settings, seed)
+    balancer = Balancer(settings, seed, generator.now)
     row = plain(dataclasses.astuple(settings))
-    stream = Stream(f"drawn-{seed}", row, seed, world.now, [], {})
-    events = world.first_events()
+    stream = Stream(f"drawn-{seed}", row, seed, generator.now, [], {})
+    events = generator.first_events()
     for _ in range(STEPS_PER_STREAM):
         actions = [
-            row_of_action(action) for action in balancer.handle(world.now, [event_of(e) for e in events])
+            row_of_action(action) for action in balancer.handle(generator.now, [event_of(e) for e in events])
         ]
-        world.apply_actions(actions)
-        asked = [(n, a) for n, request in world.requests.items() for a in sorted(request.open)][:3]
-        answers = [(n, a, balancer.may_begin(n, a, world.now + 40_000)) for n, a in asked]
-        stream.steps.append(Step(world.now, events, actions, answers))
-        events = world.ends_of_cancelled(actions) or world.next_events()
+        generator.apply_actions(actions)
+        asked = [(n, a) for n, request in generator.requests.items() for a in sorted(request.open)][:3]
+        answers = [(n, a, balancer.may_begin(n, a, generator.now + 40_000)) for n, a in asked]
+        stream.steps.append(Step(generator.now, events, actions, answers))
+        events = generator.ends_of_cancelled(actions) or generator.next_events()
     stream.learned = learned_by(balancer)
     return stream
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -117,15 +117,16 @@
 
     conf: Settings
     balancer: DecisionModule
-    now: int = 1_000_000
+    now: int = 1_000_000  # present time, in microseconds
     broken: list[str] = field(default_factory=list)
     requests: dict[int, ObservedRequest] = field(default_factory=dict)
-    drain_notified_at: dict[str, int] = field(default_factory=dict)
-    ready: dict[str, int] = field(default_factory=dict)
-    cell: dict[str, tuple[int, str]] = field(default_factory=dict)
+    drain_notified_at: dict[str, int] = field(default_factory=dict)  # by endpoint
+    ready: dict[str, int] = field(default_factory=dict)  # time of the latest start by endpoint; 0: long ago
+    cell: dict[str, tuple[int, str]] = field(default_factory=dict)  # cell and zone by endpoint
+    # Time and slots of each dispatch to an endpoint that warmed up, by endpoint.
     slow_start_dispatches: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
-    timers: list[tuple[int, str]] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)
+    timers: list[tuple[int, str]] = field(default_factory=list)  # due time and token
+    notes: list[str] = field(default_factory=list)  # texts of log lines
 
     def deliver(self, *events: Event) -> list[Action]:
         """Pass a batch of events to the balancer and check the actions that it returns."""
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -324,7 +324,7 @@
     assert allowed(balancer, request, endpoints) == expected
 
 
-def job_of(
+def request_with_attempts(
     balancer: Balancer, job_class: str, *sent: tuple[Endpoint, int], keyless: bool = False
 ) -> TrackedRequest:
     """Return a request whose attempts were sent to these endpoints at these times, and are open."""
@@ -354,7 +354,7 @@
     and is listed again with a new record.
     """
     balancer, endpoints = eight_endpoints(keyed_settings(group))
-    request = job_of(balancer, "keyed", (endpoints[0], balancer.parts.context.now_us))
+    request = request_with_attempts(balancer, "keyed", (endpoints[0], balancer.parts.context.now_us))
     if how != "relisted":
         balancer.handle(balancer.parts.context.now_us, [EndpointsChanged("changes", [entry(0, "removed")])])
         endpoints[0].in_flight.in_flight_slots = 0.0
@@ -375,7 +375,7 @@
     Its record is a new one, but the endpoint may still hold the first attempt.
     """
     balancer, endpoints = eight_endpoints(settings())
-    request = job_of(balancer, "safe", (endpoints[0], balancer.parts.context.now_us))
+    request = request_with_attempts(balancer, "safe", (endpoints[0], balancer.parts.context.now_us))
     balancer.parts.endpoints.by_name["w0"] = Endpoint("w0", endpoints[0].kind, "a")
     assert allowed(balancer, request, list(balancer.parts.endpoints.by_name.values())) == "1234567"
 
@@ -401,7 +401,7 @@
     """A second attempt whose dial lasts until a rule forbids it must not begin. The first one is open."""
     balancer, endpoints = eight_endpoints(keyed_settings(group, second_copies=second_copies))
     at = balancer.parts.context.now_us
-    job_of(balancer, job_class, (endpoints[0], at), (endpoints[2], at), keyless=keyless)
+    request_with_attempts(balancer, job_class, (endpoints[0], at), (endpoints[2], at), keyless=keyless)
     assert balancer.may_begin(1, 1, at + after_us) == expected
 
 
@@ -409,7 +409,7 @@
     """A first attempt must not begin after the window of a hedge that was sent during its dial."""
     balancer, endpoints = eight_endpoints(keyed_settings("zone"))
     at = balancer.parts.context.now_us
-    request = job_of(balancer, "keyed", (endpoints[0], at), (endpoints[2], at + 40_000))
+    request = request_with_attempts(balancer, "keyed", (endpoints[0], at), (endpoints[2], at + 40_000))
     assert balancer.may_begin(1, 0, at + 3_039_999)
     assert not balancer.may_begin(1, 0, at + 3_040_000)
     request.attempts[1].is_open = False  # It has ended and never ran.
@@ -437,7 +437,9 @@
 ) -> None:
     """A request that may have run must not be rejected if a repeat after Retry-After has a second effect."""
     balancer, endpoints = eight_endpoints(keyed_settings(group))
-    request = job_of(balancer, job_class, (endpoints[0], balancer.parts.context.now_us), keyless=keyless)
+    request = request_with_attempts(
+        balancer, job_class, (endpoints[0], balancer.parts.context.now_us), keyless=keyless
+    )
     balancer.parts.context.now_us += after_us
     assert balancer.parts.eligibility.may_reject(request, wait_us) == expected
     request.attempts[0].is_open = False
--- a/tests/test_endpoint_lease.py
+++ b/tests/test_endpoint_lease.py
@@ -26,7 +26,7 @@
 
 SECOND = 1_000_000  # in microseconds
 GRACE_US = 500_000
-SPARE_US = GRACE_US - SEND_DELAY_US - FIRST_BYTE_DELAY_US
+SPARE_US = GRACE_US - SEND_DELAY_US - FIRST_BYTE_DELAY_US  # how long after its expiry a list may be used
 SAFETY = SafetyMargins(must_ask_in_us=10 * SECOND, drain_grace_us=GRACE_US)
 
 
--- a/tests/test_endpoint_lease_incident.py
+++ b/tests/test_endpoint_lease_incident.py
@@ -31,24 +31,24 @@
 POLL_S = 0.4  # time that discovery takes for a poll
 RUN_S = 0.25  # run time of a request
 
-Answer = Callable[["Directory", int], Awaitable[Response | None]]
+Answer = Callable[["FakeDiscovery", int], Awaitable[Response | None]]
 
 
 @dataclass
-class Directory:
+class FakeDiscovery:
     """A simulated discovery at one address; the test sets the answer to each poll."""
 
-    scene: NodeFixture
+    fixture: NodeFixture
     answer: Answer
     polls: int = 0
-    stand_in: FakeServer = field(init=False)
+    fake_server: FakeServer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.stand_in = FakeServer(self.scene, "discovery", self.play)
-        self.stand_in.sock.listen(16)
-        self.scene.nursery.start_soon(self.stand_in.listen)
+        self.fake_server = FakeServer(self.fixture, "discovery", self.answer_poll)
+        self.fake_server.sock.listen(16)
+        self.fixture.nursery.start_soon(self.fake_server.listen)
 
-    async def play(self, server: FakeServer, request: Request) -> Response | None:
+    async def answer_poll(self, server: FakeServer, request: Request) -> Response | None:
         """Answer one poll as the test sets it."""
         self.polls += 1
         return await self.answer(self, self.polls)
@@ -56,36 +56,38 @@
     async def listing(self) -> Response:
         """Return the present complete list, after the time that a poll takes."""
         await trio.sleep(POLL_S)
-        body = json.dumps({"version": self.scene.version, "full": True, "servers": self.scene.endpoint_rows})
+        body = json.dumps(
+            {"version": self.fixture.version, "full": True, "servers": self.fixture.endpoint_rows}
+        )
         return Response(200, body.encode())
 
 
-async def without_changes(directory: Directory, poll: int) -> Response | None:
+async def without_changes(discovery: FakeDiscovery, poll: int) -> Response | None:
     """Answer the first poll with the list as it is, and never answer the next ones."""
     if poll > 1:
         await trio.sleep_forever()
-    return await directory.listing()
+    return await discovery.listing()
 
 
-async def silent(directory: Directory, poll: int) -> Response | None:
+async def silent(discovery: FakeDiscovery, poll: int) -> Response | None:
     """Accept every poll, and never answer."""
     await trio.sleep_forever()
     return None
 
 
-async def first_answer_lost(directory: Directory, poll: int) -> Response | None:
+async def first_answer_lost(discovery: FakeDiscovery, poll: int) -> Response | None:
     """Never answer the first poll; its connection stays open."""
     if poll == 1:
         await trio.sleep_forever()
-    return await directory.listing()
+    return await discovery.listing()
 
 
-async def first_poll_fails_late(directory: Directory, poll: int) -> Response | None:
+async def first_poll_fails_late(discovery: FakeDiscovery, poll: int) -> Response | None:
     """Answer the first poll with 503, after it has queued for 1.5 s."""
     if poll == 1:
         await trio.sleep(1.5)
         return Response(503)
-    return await directory.listing()
+    return await discovery.listing()
 
 
 async def run_request(server: FakeServer, request: Request) -> Response | None:
@@ -107,26 +109,26 @@
     return request.method == "POST" and server.name != "s-stays"
 
 
-async def send_requests(scene: NodeFixture, answers: list[int]) -> None:
+async def send_requests(fixture: NodeFixture, answers: list[int]) -> None:
     """Send a request every 50 ms."""
     number = 0
     while True:
         number += 1
-        scene.nursery.start_soon(send_request, scene, f"job-{number}", answers)
+        fixture.nursery.start_soon(send_request, fixture, f"job-{number}", answers)
         await trio.sleep(0.05)
 
 
-async def send_request(scene: NodeFixture, name: str, answers: list[int]) -> None:
+async def send_request(fixture: NodeFixture, name: str, answers: list[int]) -> None:
     """Send one request, and record the status of its answer."""
-    answers.append((await scene.admit(name, 3000)).status)
+    answers.append((await fixture.admit(name, 3000)).status)
 
 
-async def move_discovery(scene: NodeFixture, directory: Directory) -> float:
+async def move_discovery(fixture: NodeFixture, discovery: FakeDiscovery) -> float:
     """Give the node a new configuration that names another discovery; return when."""
-    assert scene.process is not None
-    scene.write_configuration(directory.stand_in.addr)
+    assert fixture.process is not None
+    fixture.write_configuration(discovery.fake_server.addr)
     moved_at = trio.current_time()
-    scene.process.send_signal(signal.SIGHUP)
+    fixture.process.send_signal(signal.SIGHUP)
     return moved_at
 
 
@@ -143,22 +145,22 @@
     The polls of the new discovery get no answer, lose the first one, or fail late.
     """
 
-    async def scene() -> None:
-        async with node_fixture(tmp_path) as at:
-            servers = [at.add_server(name, run_request) for name in ("s-1", "s-2", "s-3", "s-stays")]
-            await at.start(program=True, balancers=NODES, me=ME)
+    async def scenario() -> None:
+        async with node_fixture(tmp_path) as fixture:
+            servers = [fixture.add_server(name, run_request) for name in ("s-1", "s-2", "s-3", "s-stays")]
+            await fixture.start(program=True, balancers=NODES, me=ME)
             answers: list[int] = []
-            at.nursery.start_soon(send_requests, at, answers)
+            fixture.nursery.start_soon(send_requests, fixture, answers)
             await trio.sleep(0.3)
             for answer in former:
-                await move_discovery(at, Directory(at, answer))
+                await move_discovery(fixture, FakeDiscovery(fixture, answer))
                 await trio.sleep(0.9)
-            moved_at = await move_discovery(at, directory := Directory(at, new))
+            moved_at = await move_discovery(fixture, discovery := FakeDiscovery(fixture, new))
             await trio.sleep(0.5)
             for name in ("s-1", "s-2", "s-3"):
-                at.update_server(name, state="DRAINING")
+                fixture.update_server(name, state="DRAINING")
             await trio.sleep_until(moved_at + 9.0)
-            assert directory.polls > 0
+            assert discovery.polls > 0
             allowed_until = moved_at + NOTIFIED_S + GRACE_S + RECORD_DELAY_S
             late = [
                 (server.name, round(seen_at - moved_at, 2))
@@ -170,4 +172,4 @@
             if new is not silent:
                 assert answers[-20:].count(200) >= 2, answers[-20:]
 
-    run_scenario(scene)
+    run_scenario(scenario)
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -16,8 +16,19 @@
 FILES = sorted(DECISION.glob("*.py"))
 STATE_FILES = ("endpoint_state.py", "request_state.py")
 MAX_FILE_LINES, MAX_FUNCTION_LINES, MAX_LINE = 300, 40, 110
-CHANGING = {"append", "appendleft", "extend", "insert", "pop", "popleft", "clear", "remove", "update", "add"}
-FOREIGN = [
+MUTATING_METHODS = {
+    "append",
+    "appendleft",
+    "extend",
+    "insert",
+    "pop",
+    "popleft",
+    "clear",
+    "remove",
+    "update",
+    "add",
+}
+FOREIGN_NAMES = [  # names of deployments, classes, places and wire messages
     "jedalnicek",
     "teorica",
     "derwent",
@@ -68,7 +79,7 @@
 def test_names_no_deployment_and_no_wire_message(path: Path) -> None:
     """The module must not depend on a deployment: no name of one, of a class, place or message occurs."""
     text = path.read_text().lower()
-    assert [word for word in FOREIGN if word.lower() in text] == []
+    assert [word for word in FOREIGN_NAMES if word.lower() in text] == []
     assert "msgspec" not in text and "simhost" not in text
 
 
@@ -102,7 +113,11 @@
         yield from node.targets
     elif isinstance(node, (ast.For, ast.comprehension)):
         yield node.target
-    elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr in CHANGING:
+    elif (
+        isinstance(node, ast.Call)
+        and isinstance(node.func, ast.Attribute)
+        and node.func.attr in MUTATING_METHODS
+    ):
         yield node.func.value
     elif isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "setattr":
         yield ast.Attribute(value=node.args[0], attr="*", ctx=ast.Store())
