--- a/merlinbay/decision/events.py
+++ b/merlinbay/decision/events.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class DiscoveryChanged:
-    """A new configuration has come. After ``notified_after_us``, all that its discovery has is notified."""
+    """A new configuration. After ``notified_after_us``, all that its discovery has counts as notified."""
 
     notified_after_us: int
     moved: bool = True  # whether it names another discovery, which must be polled
--- a/merlinbay/decision/settings.py
+++ b/merlinbay/decision/settings.py
@@ -122,14 +122,14 @@
 
     classes: list[RequestClass]
     balancers: int = 1
-    me: int = 0
+    me: int = 0  # number of this balancer, from 0
     zone: str = ""
     limits: DispatchLimits = field(default_factory=DispatchLimits)
     safety: SafetyMargins = field(default_factory=SafetyMargins)
     kinds: list[str] = field(default_factory=list)
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    report_fields: list[str] = field(default_factory=list)
+    over_share_worth: float = 1.0  # factor of the worth of requests beyond their tenant's quota
+    report_fields: list[str] = field(default_factory=list)  # field names of a load report, in its order
     # Names of load report fields; empty where endpoints do not report the value.
     free_slots_field: str = ""  # free slots
     errors_field: str = ""  # errors a second
