--- a/merlinbay/fleet/__init__.py
+++ b/merlinbay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A view of the fleet that the nodes keep themselves: membership by gossip, and epochs by majority."""
+"""The view of the fleet that each node keeps: membership by gossip, and epochs agreed by a majority."""
--- a/merlinbay/fleet/broadcast_queue.py
+++ b/merlinbay/fleet/broadcast_queue.py
@@ -1,4 +1,7 @@
-"""Member states to be gossiped: each a limited number of times, the least sent first."""
+"""The queue of member states to gossip: each is sent a limited number of times, the least sent first.
+
+``GossipSender`` takes from it as many states as fit into each datagram that it sends. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class BroadcastQueue:
-    """At most one state of each member: a newer one replaces the older."""
+    """Holds at most one state for each member: a newer one replaces the older."""
 
     def __init__(self) -> None:
         self._broadcasts: dict[str, Broadcast] = {}
@@ -31,16 +34,19 @@
         return len(self._broadcasts)
 
     def add(self, state: MemberState) -> None:
-        """Queue a state."""
+        """Queue a state for gossip, in place of an older one of the same member."""
         encoded = pack(encode_state(state))
         self._broadcasts[state.name] = Broadcast(msgspec.Raw(encoded), len(encoded))
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Drop all queued states."""
         self._broadcasts.clear()
 
     def take(self, room_bytes: int, max_transmissions: int) -> list[msgspec.Raw]:
-        """Return what fits; a state that was sent ``max_transmissions`` times is dropped."""
+        """Return the states that fit into ``room_bytes``, the least sent first, then the shortest.
+
+        A state that has now been sent ``max_transmissions`` times is dropped.
+        """
         taken = []
         by_priority = sorted(self._broadcasts.items(), key=lambda item: (item[1].transmissions, item[1].size))
         for name, broadcast in by_priority:
--- a/merlinbay/fleet/control.py
+++ b/merlinbay/fleet/control.py
@@ -1,4 +1,7 @@
-"""The operators' calls: members, events, causes of a member's health, join, leave. HTTP, JSON."""
+"""The operators' HTTP calls below ``/fleet``, with answers in JSON.
+
+They list members and events, explain a member's health, and order a join, a leave, or a forced epoch.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from merlinbay.http.connection import Connection, Request, Response
 
 JSON = (b"content-type", b"application/json")
-EVENTS_TIMEOUT_S = 30.0  # of a call that waits for the next event
+EVENTS_TIMEOUT_S = 30.0  # longest wait of a call for the next event
 
 
 def _json(value: object, status: int = 200) -> Response:
@@ -26,7 +29,7 @@
 
 
 def member_row(member: Member, now_s: float) -> dict[str, object]:
-    """Return a member as the calls show it."""
+    """Return a member as the operators' calls show it."""
     state = member.state
     return {
         "name": state.name,
@@ -43,16 +46,16 @@
 
 
 class FleetControl:
-    """Handles the paths below ``/fleet``."""
+    """Handles the operators' calls below ``/fleet``."""
 
     def __init__(self, net: FleetNet) -> None:
         self._net = net
-        self._events_added = trio.Event()  # replaced whenever it is set
+        self._events_added = trio.Event()  # set for new events, and then replaced
         self._event_count = 0
         net.on_change.append(self._notify)
 
     def _notify(self) -> None:
-        """Wake the callers that wait for events."""
+        """Wake the calls that wait for events if there are new ones."""
         event_count = self._net.first_event_number + len(self._net.events)
         if event_count != self._event_count:
             self._event_count = event_count
@@ -60,7 +63,7 @@
             self._events_added = trio.Event()
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
-        """Answer a call."""
+        """Return the response to a call."""
         path, _, query = request.target.partition("?")
         parts = [unquote(part) for part in path.strip("/").split("/")[1:]]
         parameters = {key: values[0] for key, values in parse_qs(query).items()}
@@ -122,14 +125,14 @@
         return _json(_epoch_row(epoch))
 
     async def _events(self, after: str) -> Response:
-        """Return the events from a number on; wait for one if there is none."""
+        """Return the events from a number on; if there are none, wait for the next one."""
         if not after.isdigit():
-            return _json({"error": "after is a number"}, 400)
-        net, wanted = self._net, int(after)
+            return _json({"error": "after must be the number of an event"}, 400)
+        net, requested = self._net, int(after)
         with trio.move_on_after(EVENTS_TIMEOUT_S):
-            while wanted >= net.first_event_number + len(net.events):
+            while requested >= net.first_event_number + len(net.events):
                 await self._events_added.wait()
-        first, now_s = max(wanted, net.first_event_number), trio.current_time()
+        first, now_s = max(requested, net.first_event_number), trio.current_time()
         events = [
             {
                 "ago_s": round(now_s - event.at_s, 2),
@@ -139,7 +142,7 @@
             }
             for event in net.events[first - net.first_event_number :]
         ]
-        return _json({"next": first + len(events), "missed": max(first - wanted, 0), "events": events})
+        return _json({"next": first + len(events), "missed": max(first - requested, 0), "events": events})
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Do nothing: no state is held for a caller."""
+        """Do nothing, because no state is kept for a connection."""
--- a/merlinbay/fleet/effects.py
+++ b/merlinbay/fleet/effects.py
@@ -1,4 +1,4 @@
-"""What the view wants done, and the events that it reports."""
+"""The effects that the view asks its caller to carry out, and the events that it reports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """A frame to send on a stream; its answer comes back with ``token``."""
+    """A frame to send on a stream. Its answer is passed to ``View.handle_answer`` with ``token``."""
 
     addr: str
     data: bytes
@@ -27,7 +27,7 @@
 
 
 class MembershipEventKind(StrEnum):
-    """Kinds of events, as the operators' calls and the counters name them."""
+    """The kinds of events. The values are their names in the operators' calls, the log and the counters."""
 
     JOINED = "joined"
     CHANGED = "changed"
@@ -47,9 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A change that operators, and what is built on the view, are informed of."""
+    """A change of the fleet that is reported to operators and to the users of the view."""
 
     at_s: float
     kind: MembershipEventKind
-    subject: str  # the member, or the source of a packet
+    subject: str  # name of the member, or source address of a packet
     text: str = ""
--- a/merlinbay/fleet/epoch_agreement.py
+++ b/merlinbay/fleet/epoch_agreement.py
@@ -1,4 +1,9 @@
-"""Carries the agreement on epochs: voters by the member table, votes over streams. No I/O."""
+"""Runs the agreement on epochs for a node: finds voters in the member table and exchanges votes. No I/O.
+
+It checks periodically whether the members have changed, sends the requests of ``EpochConsensus``, passes the
+answers back, and reports chosen, forced and conflicting epochs as events. A voter that does not answer is
+missing in the count of the round. A vote that cannot be stored is not given.
+"""
 
 from __future__ import annotations
 
@@ -25,15 +30,17 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.timers import ViewTimers
 
-CHECK_INTERVAL_S = 0.5  # between two looks at the member table, times 0.5 to 1.5 at random
+CHECK_INTERVAL_S = (
+    0.5  # between two checks of the member table, multiplied by a random factor from 0.5 to 1.5
+)
 
 
 class VoteNotStoredError(Exception):
-    """A vote could not be stored, so it was not given."""
+    """A vote could not be stored and was therefore not given. The text is the operating system's error."""
 
 
 class EpochAgreement:
-    """Connects ``EpochConsensus`` with the member table and the network."""
+    """Connects ``EpochConsensus`` to the member table and the outbox."""
 
     def __init__(
         self,
@@ -48,10 +55,10 @@
     ) -> None:
         self._settings, self.consensus, self._local, self._table = settings, consensus, local, table
         self._outbox, self._timers, self._events, self._rng = outbox, timers, events, rng
-        self._requests: dict[int, str] = {}  # the voter that was asked, by token
+        self._requests: dict[int, str] = {}  # voters of the requests under way by token
 
     def start(self) -> None:
-        """Start to look for changes of the members."""
+        """Start the periodic check for changes of the members."""
         self._timers.schedule(CHECK_INTERVAL_S, self._check)
 
     def _check(self) -> None:
@@ -64,7 +71,7 @@
         self._flush()
 
     def _present(self) -> dict[str, bool]:
-        """Return the voters that are alive, and whether each is to be a member."""
+        """Return the voters that are alive, and whether each is eligible, which a draining node is not."""
         return {
             voter_id(member.name, member.state.disk_id): not member.state.is_draining
             for member in self._table.active()
@@ -72,9 +79,9 @@
         }
 
     def force(self, lost: tuple[str, ...]) -> Epoch:
-        """Form the next epoch of the present voters, on an operator's order.
+        """Form the next epoch from the present voters, as an operator requests.
 
-        Raises as ``EpochConsensus.force``.
+        Raises ``ValueError`` and ``OSError`` as ``EpochConsensus.force`` does.
         """
         eligible = tuple(voter for voter, is_eligible in self._present().items() if is_eligible)
         epoch = self.consensus.force(eligible, lost)
@@ -84,7 +91,7 @@
         return epoch
 
     def _flush(self) -> None:
-        """Send the requests of the consensus, and report what was chosen."""
+        """Send the requests of the consensus, and report chosen and conflicting epochs."""
         consensus = self.consensus
         requests, consensus.outbox = consensus.outbox, []
         for voter, request in requests:
@@ -99,11 +106,11 @@
             self._events.record(MembershipEventKind.EPOCH, self._local.name, text)
         conflicting, consensus.conflicting = consensus.conflicting, None
         if conflicting is not None:
-            text = f"{conflicting.number} is also {', '.join(conflicting.members)}"
+            text = f"another epoch {conflicting.number} has the members {', '.join(conflicting.members)}"
             self._events.record(MembershipEventKind.EPOCH_CLASH, self._local.name, text)
 
     def handle_request(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a proposer. Raises ``VoteNotStoredError``."""
+        """Answer a proposer. Raises ``VoteNotStoredError`` if the vote cannot be stored."""
         try:
             answer = self.consensus.handle_request(decode_request(message))
         except OSError as error:
@@ -112,19 +119,19 @@
         return encode_answer(answer)
 
     def take_request(self, token: int) -> str | None:
-        """Return the voter that a request went to, once it has ended; None if it was no such request."""
+        """Remove a request that has ended and return its voter; None if the token is of no such request."""
         return self._requests.pop(token, None)
 
     def handle_answer(self, voter: str, message: dict[str, Any] | None) -> None:
-        """Take a voter's answer; None: there was none."""
+        """Handle a voter's answer; None means that there was none."""
         self.consensus.handle_answer(voter, None if message is None else decode_answer(message))
         self._flush()
 
     def learn_from(self, message: dict[str, Any]) -> None:
-        """Take the epoch that came with a push/pull."""
+        """Learn the epoch that a push/pull carries."""
         self.consensus.learn(decode_epoch(message.get(EPOCH)))
         self._flush()
 
     def epoch_field(self) -> dict[str, Any]:
-        """Return the field that carries the epoch with a push/pull."""
+        """Return the field by which a push/pull carries the epoch."""
         return {EPOCH: encode_epoch(self.consensus.epoch)}
--- a/merlinbay/fleet/epoch_messages.py
+++ b/merlinbay/fleet/epoch_messages.py
@@ -1,4 +1,7 @@
-"""Messages of the agreement on epochs, and their short keys on the wire."""
+"""Messages of the agreement on epochs, and their short keys on the wire.
+
+A malformed epoch or ballot is decoded as None or as the lowest ballot, which no acceptor accepts.
+"""
 
 from __future__ import annotations
 
@@ -16,26 +19,26 @@
 PROMISED_BALLOT: Final = "h"
 MAX_MEMBERS = 10_000
 
-Ballot = tuple[int, str]  # round, proposer
+Ballot = tuple[int, str]  # number of the round, and voter id of the proposer
 NO_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
-    """A configuration of the fleet. The fields' names are stored."""
+    """A numbered configuration of the fleet, stored under these field names. Number 0: no epoch yet."""
 
     number: int = 0
-    members: tuple[str, ...] = ()  # voter ids
+    members: tuple[str, ...] = ()  # voter ids of the members
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
     """Phase 1 of a proposal."""
 
-    number: Any  # of the epoch that is proposed; as received, it is only compared
+    number: Any  # number of the proposed epoch; it is not validated, because it is only compared
     ballot: Ballot
     proposer: str
-    known: Epoch | None  # the proposer's epoch
+    known: Epoch | None  # the proposer's current epoch
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Learn:
-    """A chosen epoch, sent to its voters and members."""
+    """A chosen epoch, sent to its voters and its members."""
 
     proposer: str
     epoch: Epoch | None
@@ -59,18 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The answer to a prepare: no lower ballot will be accepted."""
+    """The answer to a ``Prepare``: the voter will accept no lower ballot."""
 
     number: Any
     ballot: Ballot
     voter: str
-    accepted: Ballot
-    value: tuple[str, ...]  # accepted with that ballot
+    accepted: Ballot  # the highest ballot in which the voter has accepted a value
+    value: tuple[str, ...]  # the value accepted with that ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The answer to an accept: the value was accepted."""
+    """The answer to an ``Accept``: the voter has accepted the value."""
 
     number: Any
     ballot: Ballot
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The answer of an acceptor that has promised a higher ballot, or has no vote."""
+    """The answer of an acceptor that has promised a higher ballot or has no vote."""
 
     number: Any
     ballot: Ballot
@@ -89,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherEpoch:
-    """The answer of an acceptor that is at another epoch than the proposer."""
+    """The answer of an acceptor whose current epoch is not the proposer's."""
 
     known: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """The answer to a learn."""
+    """The answer to a ``Learn``."""
 
 
 EpochRequest = Prepare | Accept | Learn
@@ -104,12 +107,12 @@
 
 
 def encode_epoch(epoch: Epoch) -> list[Any]:
-    """Return an epoch as it is sent."""
+    """Return an epoch in its encoded form."""
     return [epoch.number, list(epoch.members)]
 
 
 def decode_epoch(raw: object) -> Epoch | None:
-    """Read an epoch; None if it is malformed or has no members."""
+    """Decode an epoch; None if it is malformed or has no members."""
     if not isinstance(raw, list) or len(raw) != 2 or not isinstance(raw[0], int):
         return None
     members = _decode_members(raw[1])
@@ -117,7 +120,7 @@
 
 
 def _decode_ballot(raw: object) -> Ballot:
-    """Read a ballot; a malformed one is the lowest."""
+    """Decode a ballot; a malformed one becomes the lowest."""
     match raw:
         case [int(number), str(proposer)]:
             return number, proposer
@@ -125,14 +128,14 @@
 
 
 def _decode_members(raw: object) -> tuple[str, ...]:
-    """Read the members of an epoch; malformed ones are none."""
+    """Decode the members of an epoch; a malformed list becomes an empty one."""
     if not isinstance(raw, (list, tuple)) or len(raw) > MAX_MEMBERS:
         return ()
-    return tuple(raw) if all(isinstance(one, str) for one in raw) else ()
+    return tuple(raw) if all(isinstance(member, str) for member in raw) else ()
 
 
 def encode_request(request: EpochRequest) -> dict[str, Any]:
-    """Return the body of a request. Older programs' order of keys is kept."""
+    """Return the body of a request, with its keys in the order in which older versions send them."""
     if isinstance(request, Learn):
         epoch = encode_epoch(request.epoch or Epoch())
         return {KIND: REQUEST_KIND_EPOCH, PHASE: "learn", SENDER: request.proposer, EPOCH: epoch}
@@ -149,7 +152,7 @@
 
 
 def decode_request(message: dict[str, Any]) -> EpochRequest:
-    """Read a request; a phase that is not known is an accept, as older programs have it."""
+    """Decode a request; an unknown phase is read as an ``Accept``, as older versions do."""
     sender, known = str(message.get(SENDER)), decode_epoch(message.get(EPOCH))
     number, ballot = message.get(NUMBER), _decode_ballot(message.get(BALLOT))
     match message.get(PHASE):
@@ -183,7 +186,7 @@
 
 
 def decode_answer(message: dict[str, Any]) -> EpochAnswer | None:
-    """Read an answer; None if it is of no known kind."""
+    """Decode an answer; None if its phase is unknown, or has no content for the proposer."""
     number, ballot = message.get(NUMBER), _decode_ballot(message.get(BALLOT))
     voter = str(message.get(SENDER))
     match message.get(PHASE):
--- a/merlinbay/fleet/epochs.py
+++ b/merlinbay/fleet/epochs.py
@@ -1,9 +1,10 @@
-"""Epochs: numbered configurations of the fleet, each agreed by a majority of the one before. No I/O.
+"""Epochs: numbered configurations of the fleet, each agreed by a majority of the previous one. No I/O.
 
-For decisions that must not be taken on both sides of a partition; the view answers all others. Epoch e+1 is
-chosen by one round of Paxos (Lamport 2001) among the members of epoch e; epoch 1 by all that every
-operator's file expects. Where a majority is lost for good, operators force the next one. An acceptor stores
-what it promises before it answers. Members are named by node and disk (``voter_id``). Times are in seconds.
+Decisions that must not be made on both sides of a partition depend on the epoch; for all others the member
+table is enough. Epoch e+1 is chosen by one round of Paxos (Lamport 2001) among the members of epoch e, and
+epoch 1 by all nodes that every operator's file expects. Where a majority is lost for good, operators force
+the next epoch. An acceptor stores its vote before it answers, and gives none if that fails. Members are
+identified by node and disk (``voter_id``). Times are in seconds.
 """
 
 from __future__ import annotations
@@ -28,37 +29,41 @@
 )
 
 PHASE_TIMEOUT_S = 2.0
-RETRY_BACKOFF_S = 3.0  # after a round that failed, times 0.5 to 1.5 at random
-FORCED_NUMBER_STEP = 1000  # a forced epoch has the next multiple: above all that others agree on meanwhile
+RETRY_BACKOFF_S = 3.0  # pause after a failed round, multiplied by a random factor from 0.5 to 1.5
+# A forced epoch gets the next multiple of this number, so it is above all that others agree on meanwhile.
+FORCED_NUMBER_STEP = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What an acceptor must not forget. The fields' names are stored."""
+    """The durable state of an acceptor, stored under these field names.
 
-    epoch: Epoch = Epoch()
-    promised: Ballot = NO_BALLOT  # for the epoch after that,
-    accepted: Ballot = NO_BALLOT
-    value: tuple[str, ...] = ()
+    The ballots and the value belong to the epoch after ``epoch``.
+    """
+
+    epoch: Epoch = Epoch()  # the last epoch that is known to be chosen
+    promised: Ballot = NO_BALLOT  # the highest ballot promised
+    accepted: Ballot = NO_BALLOT  # the ballot of the accepted value
+    value: tuple[str, ...] = ()  # the accepted members
 
 
 @dataclass(slots=True)
 class Proposal:
     """A round of Paxos that this node leads."""
 
-    number: int  # of the epoch that is proposed
+    number: int  # number of the proposed epoch
     ballot: Ballot
     voters: tuple[str, ...]
     majority: int
     value: tuple[str, ...]
     ends_at_s: float
-    is_accepting: bool = False  # in the second phase
-    highest_accepted: Ballot = NO_BALLOT  # that a voter has told of
-    votes: set[str] = field(default_factory=set)
+    is_accepting: bool = False  # whether the round is in its second phase
+    highest_accepted: Ballot = NO_BALLOT  # the highest ballot in which a voter has accepted a value
+    votes: set[str] = field(default_factory=set)  # voters that agreed in this phase
 
 
 class EpochConsensus:
-    """One node's part: acceptor always, proposer while it is the first of the present voters."""
+    """One node's part in the agreement: always acceptor, and proposer while it is the first present voter."""
 
     def __init__(
         self,
@@ -71,23 +76,24 @@
         self.own_voter_id, self._expected, self._store, self._random = own_voter_id, expected, store, random
         self.state = state or AcceptorState()
         self.proposal: Proposal | None = None
-        self.outbox: list[tuple[str, EpochRequest]] = []  # voter and request, to be sent
-        self.chosen: list[Epoch] = []  # to be reported
-        self.conflicting: Epoch | None = None  # another one of our number, to be reported: two were forced
+        self.outbox: list[tuple[str, EpochRequest]] = []  # voters, and the requests to send to them
+        self.chosen: list[Epoch] = []  # new epochs that are still to be reported
+        # Another epoch with the number of this one, still to be reported. It exists where two were forced.
+        self.conflicting: Epoch | None = None
         self._highest_ballot: Ballot = self.state.promised
-        self._candidate: tuple[str, ...] = ()  # the members that the next epoch would have,
-        self._stable_since_s = 0.0  # unchanged since then
-        self._retry_at_s = 0.0
+        self._candidate: tuple[str, ...] = ()  # the members that the next epoch would have
+        self._stable_since_s = 0.0  # time of the last change of the candidate
+        self._retry_at_s = 0.0  # earliest time of the next proposal
 
     @property
     def epoch(self) -> Epoch:
-        """Return the last epoch that is known."""
+        """Return the last known epoch."""
         return self.state.epoch
 
     def majority(self) -> int:
-        """Return how many must agree on the next epoch: a majority; on the first one, all expected."""
-        # Guards against a fleet that forms its first epoch anew where a majority of disks was lost: one node
-        # that remembers an epoch prevents it.
+        """Return how many voters must agree on the next epoch: a majority, or all expected for the first."""
+        # A fleet that lost a majority of its disks must not form its first epoch anew. Since the first epoch
+        # needs all expected nodes, a single node that remembers an epoch prevents this.
         return len(self.epoch.members) // 2 + 1 if self.epoch.number else max(self._expected, 1)
 
     # Proposer.
@@ -95,7 +101,7 @@
     def tick(self, now_s: float, present: dict[str, bool], settle_s: float) -> None:
         """Propose the next epoch once its members have not changed for ``settle_s``.
 
-        ``present`` has the voters that are there, and whether each is to be a member.
+        ``present`` maps each present voter to whether it is eligible as a member.
         """
         candidate = tuple(sorted(voter for voter, is_eligible in present.items() if is_eligible))
         if candidate != self._candidate:
@@ -129,7 +135,7 @@
                 return
 
     def handle_answer(self, voter: str, answer: EpochAnswer | None) -> None:
-        """Take a voter's answer; None: there was none, or a malformed one."""
+        """Handle a voter's answer; None stands for a missing or malformed one."""
         if isinstance(answer, OtherEpoch):
             self.learn(answer.known)
             return
@@ -144,7 +150,7 @@
         if isinstance(answer, Accepted) is not proposal.is_accepting or voter not in proposal.voters:
             return
         if isinstance(answer, Promise) and answer.accepted > proposal.highest_accepted:
-            # Guards against another value than one that may have been chosen already.
+            # This value may already have been chosen, so the proposal continues with it.
             proposal.highest_accepted, proposal.value = answer.accepted, answer.value
         proposal.votes.add(voter)
         if len(proposal.votes) >= proposal.majority:
@@ -168,7 +174,7 @@
     # Acceptor.
 
     def handle_request(self, request: EpochRequest) -> EpochAnswer:
-        """Answer a proposer; a promise is stored before. Raises ``OSError`` where it cannot be."""
+        """Answer a proposer. A vote is stored before the answer; raises ``OSError`` if that fails."""
         if isinstance(request, Learn):
             self.learn(request.epoch)
             return Learned()
@@ -176,7 +182,8 @@
         number, ballot = request.number, request.ballot
         if number != self.epoch.number + 1:
             return OtherEpoch(self.epoch)
-        # Guards against a second vote of a node that lost its disk: with another disk it is another voter.
+        # A node that lost its disk has forgotten its votes and must not vote again. With another disk it is
+        # another voter, which is not a member of this epoch.
         has_vote = not self.epoch.number or self.own_voter_id in self.epoch.members
         if not has_vote or ballot < self.state.promised or ballot == NO_BALLOT:
             return Rejected(number, ballot, self.own_voter_id, self.state.promised)
@@ -191,7 +198,7 @@
         self.state = state
 
     def learn(self, epoch: Epoch | None) -> None:
-        """Take an epoch that was chosen, if it is later than the one known."""
+        """Adopt a chosen epoch if it is later than the known one; note a conflict of equal numbers."""
         if epoch is None:
             return
         if epoch.number > self.epoch.number:
@@ -200,18 +207,18 @@
             self.conflicting = epoch
 
     def force(self, present: tuple[str, ...], lost: tuple[str, ...]) -> Epoch:
-        """Make the present voters the next epoch, on an operator's order that names all lost nodes.
+        """Make the present voters the next epoch, as an operator requests, who names all lost nodes.
 
-        Raises ``ValueError`` where that is not allowed, and ``OSError`` where it cannot be stored.
+        Raises ``ValueError`` if that is not allowed, and ``OSError`` if it cannot be stored.
         """
         before, members = self.epoch, tuple(sorted(present))
         if not before.number:
-            raise ValueError("there is no epoch yet: the first one is formed by all that are expected")
+            raise ValueError("there is no epoch yet: all expected nodes together form the first one")
         if sum(voter in members for voter in before.members) >= self.majority():
-            raise ValueError("a majority is there: the next epoch comes by itself")
+            raise ValueError("a majority is there: it agrees on the next epoch without force")
         missing = sorted(node_of(voter) for voter in before.members if voter not in members)
         if sorted(lost) != missing:
-            raise ValueError(f"not there are {', '.join(missing)}: name them all, and nobody else")
+            raise ValueError(f"the lost nodes are {', '.join(missing)}: name all of them and no others")
         self._adopt(Epoch((before.number // FORCED_NUMBER_STEP + 1) * FORCED_NUMBER_STEP, members))
         self._announce(self.epoch, set(members))
         return self.epoch
@@ -223,10 +230,10 @@
 
 
 def voter_id(node: str, disk_id: str) -> str:
-    """Return how a node with this disk is named in epochs."""
+    """Return the id of a node with this disk as a voter and member of epochs."""
     return f"{node}/{disk_id}"
 
 
 def node_of(voter: str) -> str:
-    """Return the node of a voter."""
+    """Return the name of a voter's node."""
     return voter.partition("/")[0]
--- a/merlinbay/fleet/failure_detector.py
+++ b/merlinbay/fleet/failure_detector.py
@@ -1,4 +1,8 @@
-"""SWIM's failure detector: direct probes, then indirect ones by other members. No I/O."""
+"""SWIM's failure detector: a direct probe, then indirect probes by other members. No I/O.
+
+Once a period it probes the next member of a shuffled round. A member that answers neither the direct probe
+nor one of the helpers becomes suspect in the member table.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,21 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.timers import ViewTimers
 
-PROBE_END_SHARE = 0.999  # of the period: a probe ends just before the next one begins
+PROBE_END_SHARE = 0.999  # share of the period after which a probe ends, just before the next one starts
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that has not been answered."""
+    """A probe that awaits its answer."""
 
     target: str
     sequence: int
-    helpers: list[str] = field(default_factory=list)  # were asked to probe
-    nacks: int = 0  # helpers that got no answer either
+    helpers: list[str] = field(default_factory=list)  # names of the members asked to probe the target
+    nacks: int = 0  # number of helpers that reported that the target did not answer
 
 
 class FailureDetector:
-    """Probes one member a period, in shuffled rounds."""
+    """Probes one member per period, in shuffled rounds."""
 
     def __init__(
         self,
@@ -44,16 +48,18 @@
     ) -> None:
         self._settings, self._local, self._table, self._gossip = settings, local, table, gossip
         self._outbox, self._timers, self._events, self._rng = outbox, timers, events, rng
-        self._probes: dict[int, Probe] = {}  # by sequence number
-        self._round: list[str] = []  # members still to be probed in this round, the next one last
+        self._probes: dict[int, Probe] = {}  # probes under way by sequence number
+        self._round: list[
+            str
+        ] = []  # names of the members still to be probed in this round, the next one last
         table.on_join.append(self._add_to_round)
 
     def start(self) -> None:
-        """Start to probe, at a random moment of the first period."""
+        """Start probing at a random time within the first period."""
         self._timers.schedule(self._settings.probe * self._rng.random(), self._probe_next)
 
     def abandon_probes(self) -> None:
-        """Drop the probes under way without a verdict."""
+        """Drop the probes under way without suspecting their targets."""
         self._probes.clear()
 
     def _add_to_round(self, name: str) -> None:
@@ -75,7 +81,10 @@
         self._timers.schedule(period_s * PROBE_END_SHARE, self._end, probe)
 
     def _next_target(self) -> Member | None:
-        """Return the next of a shuffled round: between two probes of a member lie two rounds at the most."""
+        """Return the next member of the shuffled round; None if there is no other active member.
+
+        Two probes of the same member are at most two rounds apart.
+        """
         for _ in range(2):
             while self._round:
                 member = self._table.members.get(self._round.pop())
@@ -89,8 +98,8 @@
         target = self._table.members.get(probe.target)
         if probe.sequence not in self._probes or target is None or not target.is_active:
             return
-        others = [member for member in self._table.active_peers() if member.name != probe.target]
-        for helper in self._rng.sample(others, min(self._settings.helpers, len(others))):
+        candidates = [member for member in self._table.active_peers() if member.name != probe.target]
+        for helper in self._rng.sample(candidates, min(self._settings.helpers, len(candidates))):
             probe.helpers.append(helper.name)
             self._gossip.send(
                 helper.state.addr, IndirectPing(probe.sequence, probe.target, target.state.addr)
@@ -102,20 +111,20 @@
             return
         self._events.count("probes_failed")
         if probe.helpers and probe.nacks < len(probe.helpers):
-            self._local.degrade()  # a silent helper is a sign that this node is slow, or cut off
+            self._local.degrade()  # A helper that sends no nack is a sign that this node is slow or cut off.
         member = self._table.members.get(probe.target)
         if member is not None and member.is_active:
-            helpers = ", ".join(probe.helpers) or "nobody else to ask"
-            text = f"probed by {self._local.name}, no answer; asked {helpers}; {probe.nacks} heard nothing"
+            helpers = ", ".join(probe.helpers) or "none"
+            text = f"no answer to {self._local.name}; helpers: {helpers}; {probe.nacks} of them got no answer"
             self._table.explain(member, text)
             self._table.suspect(member)
 
     def handle_ack(self, sequence: int) -> None:
-        """Take the answer of a probed member, direct or by a helper."""
+        """Handle the answer of a probed member, which came directly or through a helper."""
         if self._probes.pop(sequence, None) is not None:
             self._local.improve()
 
     def handle_nack(self, nack: Nack) -> None:
-        """Take the word of a helper that got no answer."""
+        """Handle the report of a helper that got no answer from the target."""
         if (probe := self._probes.get(nack.sequence)) is not None:
             probe.nacks += 1
--- a/merlinbay/fleet/gossip.py
+++ b/merlinbay/fleet/gossip.py
@@ -1,4 +1,8 @@
-"""Datagrams with piggybacked member states, and the periodic gossip. No I/O."""
+"""Datagrams with piggybacked member states, and the periodic gossip. No I/O.
+
+All datagrams of the view are sent by ``GossipSender``, so that each one carries queued member states. A node
+that is silenced after a name conflict sends datagrams without member states.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 from merlinbay.fleet.timers import ViewTimers
 from merlinbay.fleet.wire import MAX_DATAGRAM_BYTES
 
-OVERHEAD_BYTES = 90  # of a datagram beside its member states and the fleet's name
+OVERHEAD_BYTES = 90  # reserved in a datagram for all but its member states and the fleet's name
 
 
 class GossipSender:
@@ -42,20 +46,24 @@
         self.spread()
 
     def spread(self) -> None:
-        """Gossip to some members, if anything is queued."""
+        """Send queued member states to some random members; send nothing if none is queued."""
         peers = self._table.active_peers()
         for member in self._rng.sample(peers, min(self._settings.spread, len(peers))):
             if len(self._broadcasts):
                 self.send(member.state.addr, Gossip())
 
     def send(self, addr: str, datagram: Datagram, probed: str = "") -> None:
-        """Send a datagram; if it probes a suspect, it carries the suspicion first of all."""
+        """Send a datagram with queued member states.
+
+        ``probed`` is the name of the member that the datagram probes. If that is a suspect, the suspicion
+        moves to the head of the queue, so that the suspect learns of it and can refute it.
+        """
         if self._local.is_silenced:
             self._outbox.send(addr, encode_datagram(datagram, None))
             return
         member = self._table.members.get(probed)
         if member is not None and member.health is Health.SUSPECT:
-            self._broadcasts.add(member.state)  # Lifeguard's buddy system
+            self._broadcasts.add(member.state)  # This is the "buddy system" of Lifeguard.
         room_bytes = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - len(self._settings.name)
         limit = timing(self._settings, len(self._table.members)).max_transmissions
         self._outbox.send(addr, encode_datagram(datagram, self._broadcasts.take(room_bytes, limit)))
--- a/merlinbay/fleet/local_member.py
+++ b/merlinbay/fleet/local_member.py
@@ -1,4 +1,8 @@
-"""The node's own member state, its refutations, and its local health score (Lifeguard)."""
+"""The node's own member state, its refutations, and its local health score (Lifeguard). No I/O.
+
+It owns what this node announces about itself. The member table passes it each claim about this node, which it
+refutes by a higher incarnation where the claim is wrong.
+"""
 
 from __future__ import annotations
 
@@ -12,32 +16,30 @@
 
 
 class LocalMember:
-    """What this node announces about itself."""
+    """The member state of this node, and its local health score."""
 
     def __init__(
         self, state: MemberState, now_s: float, broadcasts: BroadcastQueue, events: MembershipEventLog
     ) -> None:
         self.state = state
-        self.member = Member(state, now_s)  # its row of the member table
+        self.member = Member(state, now_s)  # this node's row of the member table
         self._broadcasts, self._events = broadcasts, events
-        self.health_score = (
-            0  # 0: healthy; probes and their time-outs are slower by one period for each point
-        )
+        self.health_score = 0  # 0 is healthy; each point lengthens probes and their time-outs by one period
         self.is_leaving = False
-        self.is_silenced = False  # another process has the same name: this one announces nothing
+        self.is_silenced = False  # Another live process has the same name, so this one announces nothing.
 
     @property
     def name(self) -> str:
-        """Return the name."""
+        """Return this node's name."""
         return self.state.name
 
     def announce(self) -> None:
-        """Broadcast the own state."""
+        """Queue this node's state for gossip."""
         self.member.state = self.state
         self._broadcasts.add(self.state)
 
     def update(self, gauges: dict[str, float] | None, is_draining: bool | None) -> None:
-        """Change what is announced."""
+        """Change the announced gauges and draining flag; None leaves a value unchanged."""
         own = self.state
         self.state = replace(
             own,
@@ -54,7 +56,7 @@
         self.announce()
 
     def degrade(self) -> None:
-        """Raise the health score: this node has reason to doubt its own timeliness."""
+        """Raise the health score, because this node seems to be slow or badly connected."""
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
     def improve(self) -> None:
@@ -62,9 +64,9 @@
         self.health_score = max(0, self.health_score - 1)
 
     def refute(self, claimed: MemberState) -> bool:
-        """Refute what a member says of this node, by a higher incarnation.
+        """Refute a claim about this node by a higher incarnation, unless it is outdated or true.
 
-        Returns whether a live process at another address seems to have this name.
+        Returns whether the claim suggests that a live process at another address has the same name.
         """
         own = self.state
         is_other_process = claimed.instance not in (0, own.instance)
@@ -86,7 +88,8 @@
         return is_other_process and claimed.health is Health.ALIVE and claimed.addr != own.addr
 
     def _repeat_refutation(self) -> None:
-        # Guards against a death of a live member where every transmission of its refutation was lost.
+        # Every transmission of the refutation may have been lost. Without a repetition, this node would be
+        # declared dead.
         if not self.is_silenced and not self.is_leaving:
             self._events.count("refuted_again")
             self._broadcasts.add(self.state)
--- a/merlinbay/fleet/members.py
+++ b/merlinbay/fleet/members.py
@@ -1,4 +1,8 @@
-"""Member states, as members tell each other, and their precedence. No I/O, no clock."""
+"""Member states as members gossip them, their encoding, and their order of precedence.
+
+``supersedes`` decides which of two states of a member is kept; ``member_table`` calls it for each state that
+arrives. ``decode_state`` raises ``ValueError`` for a malformed state. No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,8 @@
 from enum import IntEnum
 from typing import Any
 
-MAX_INCARNATION = 1 << 62  # exclusive; guards against a refutation that no integer on the wire can hold
+# Exclusive limit. It leaves room for a refutation, which must fit a 64-bit integer on the wire.
+MAX_INCARNATION = 1 << 62
 MAX_TEXT_CHARS = 128
 MAX_TABLE_ITEMS = 32
 
@@ -20,7 +25,7 @@
     LEFT = 3
 
 
-# What may follow on what within one incarnation; a higher incarnation may follow on anything.
+# Health values that may follow each one within an incarnation. A higher incarnation may follow any of them.
 TRANSITIONS = {
     Health.ALIVE: {Health.SUSPECT, Health.DEAD, Health.LEFT},
     Health.SUSPECT: {Health.DEAD, Health.LEFT},
@@ -32,50 +37,50 @@
 
 @dataclass(slots=True)
 class MemberState:
-    """What one member says of another, or of itself: the unit of gossip."""
+    """A claim of one member about another or about itself. Gossip and push/pull exchange these."""
 
     name: str
     health: Health
-    incarnation: int  # raised by the member itself, at each start and each refutation
+    incarnation: int  # raised by the member itself at each start and each refutation
     instance: int = 0  # random number of the member's process
     addr: str = ""  # host:port
     zone: str = ""
-    versions: tuple[int, int] = (1, 1)  # oldest and newest version of the protocol that it speaks
-    revision: int = 0  # of the following fields, within an incarnation
+    versions: tuple[int, int] = (1, 1)  # oldest and newest protocol version that the member supports
+    revision: int = 0  # version of the fields below, counted within an incarnation
     is_draining: bool = False
     tags: dict[str, str] = field(default_factory=dict)
     gauges: dict[str, float] = field(default_factory=dict)
-    disk_id: str = ""  # of its data folder; a node with another one is another voter
-    accuser: str = ""  # the member that said first that it is suspect, or dead
-    unknown_fields: dict[str, Any] = field(default_factory=dict)  # of later versions, passed on unchanged
+    disk_id: str = ""  # id of the data folder; a node whose folder has another id is another voter
+    accuser: str = ""  # name of the member that first reported it as suspect or dead
+    unknown_fields: dict[str, Any] = field(default_factory=dict)  # from later versions, passed on unchanged
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """A member as this node knows it."""
+    """A row of this node's member table."""
 
     state: MemberState
-    health_since_s: float  # when its health changed
-    accusers: set[str] = field(default_factory=set)  # members that suspect it
-    history: list[tuple[float, str]] = field(default_factory=list)  # moments and causes of its health
+    health_since_s: float  # time of the last change of health
+    accusers: set[str] = field(default_factory=set)  # names of the members that suspect it
+    history: list[tuple[float, str]] = field(default_factory=list)  # times and causes of changes of health
 
     @property
     def name(self) -> str:
-        """Return its name."""
+        """Return the member's name."""
         return self.state.name
 
     @property
     def health(self) -> Health:
-        """Return its health."""
+        """Return the member's health."""
         return self.state.health
 
     @property
     def is_active(self) -> bool:
-        """Tell whether it is alive, or only suspected."""
+        """Return whether the member is alive or suspect."""
         return self.state.health in (Health.ALIVE, Health.SUSPECT)
 
 
-FIELDS = {  # by their keys on the wire
+FIELDS = {  # attributes of ``MemberState`` by their keys on the wire
     "n": "name",
     "h": "health",
     "i": "incarnation",
@@ -95,7 +100,7 @@
 
 
 def encode_state(state: MemberState) -> dict[str, Any]:
-    """Return a state's fields by their keys on the wire, without those of a default value."""
+    """Return a state's fields by their keys on the wire. Fields with their default value are left out."""
     encoded = dict(state.unknown_fields)
     for key, name in FIELDS.items():
         value = getattr(state, name)
@@ -105,11 +110,11 @@
 
 
 def decode_state(encoded: object) -> MemberState:
-    """Read a state; unknown fields are kept. Raises ``ValueError`` that names a malformed field."""
+    """Return the decoded state, which keeps unknown fields. Raises ``ValueError`` for a malformed field."""
     if not isinstance(encoded, dict):
-        raise ValueError("not a map")
-    known = {FIELDS[key]: value for key, value in encoded.items() if key in FIELDS}
-    state = MemberState(**{"name": "", "health": Health.ALIVE, "incarnation": 0, **known})
+        raise ValueError("a member state must be a map")
+    attributes = {FIELDS[key]: value for key, value in encoded.items() if key in FIELDS}
+    state = MemberState(**{"name": "", "health": Health.ALIVE, "incarnation": 0, **attributes})
     _check_identity(state)
     state.health = Health(state.health)
     _check_attributes(state)
@@ -117,38 +122,47 @@
     state.unknown_fields = {key: value for key, value in encoded.items() if key not in FIELDS}
     _require(
         len(state.unknown_fields) <= MAX_TABLE_ITEMS and all(_is_text(key) for key in state.unknown_fields),
-        "unknown fields",
+        "too many unknown fields, or an unknown field whose key is not a short text",
     )
     return state
 
 
 def _check_identity(state: MemberState) -> None:
-    _require(_is_text(state.name) and state.name != "", "name")
-    _require(_is_integer(state.health) and Health.ALIVE <= state.health <= Health.LEFT, "health")
-    _require(_is_integer(state.incarnation) and 0 <= state.incarnation < MAX_INCARNATION, "incarnation")
-    _require(_is_integer(state.instance) and _is_integer(state.revision), "instance")
+    _require(_is_text(state.name) and state.name != "", "name must be a short text that is not empty")
+    _require(
+        _is_integer(state.health) and Health.ALIVE <= state.health <= Health.LEFT,
+        "health must be the number of a known health value",
+    )
+    _require(
+        _is_integer(state.incarnation) and 0 <= state.incarnation < MAX_INCARNATION,
+        "incarnation must be an integer below the maximum",
+    )
+    _require(
+        _is_integer(state.instance) and _is_integer(state.revision),
+        "instance and revision must be integers within the range of the encoding",
+    )
 
 
 def _check_attributes(state: MemberState) -> None:
     texts = (state.addr, state.zone, state.accuser, state.disk_id)
-    _require(all(map(_is_text, texts)), "addr, zone, by, disk")
+    _require(all(map(_is_text, texts)), "address, zone, accuser and disk id must be short texts")
     versions: object = state.versions
     _require(
         isinstance(versions, (list, tuple)) and len(versions) == 2 and all(map(_is_integer, versions)),
-        "versions",
+        "versions must be two integers",
     )
-    _require(isinstance(state.is_draining, bool), "draining")
+    _require(isinstance(state.is_draining, bool), "the draining flag must be a boolean")
     _require(
         isinstance(state.tags, dict)
         and len(state.tags) <= MAX_TABLE_ITEMS
         and all(_is_text(text) for item in state.tags.items() for text in item),
-        "tags",
+        "tags must be a small map of short texts",
     )
     _require(
         isinstance(state.gauges, dict)
         and len(state.gauges) <= MAX_TABLE_ITEMS
         and all(_is_text(name) and isinstance(value, (int, float)) for name, value in state.gauges.items()),
-        "gauges",
+        "gauges must be a small map of numbers by short texts",
     )
 
 
@@ -157,7 +171,7 @@
 
 
 def _is_integer(value: object) -> bool:
-    """Tell whether a value is an integer that the wire can carry again."""
+    """Return whether a value is an integer that can be encoded again."""
     return (
         isinstance(value, int)
         and not isinstance(value, bool)
@@ -165,16 +179,16 @@
     )
 
 
-def _require(is_valid: bool, name: str) -> None:
+def _require(is_valid: bool, requirement: str) -> None:
     if not is_valid:
-        raise ValueError(name)
+        raise ValueError(requirement)
 
 
 def supersedes(new: MemberState, old: MemberState) -> bool:
-    """Tell whether a new state replaces the old one of the same member."""
+    """Return whether a new state replaces the old one of the same member."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
     if new.health != old.health:
         return new.health in TRANSITIONS[old.health]
-    # Two processes of one name and incarnation: all nodes prefer the higher instance.
+    # Where two processes have the same name and incarnation, all nodes prefer the higher instance.
     return (new.revision, new.instance) > (old.revision, old.instance)
--- a/merlinbay/fleet/messages.py
+++ b/merlinbay/fleet/messages.py
@@ -1,4 +1,7 @@
-"""Typed messages of the membership protocol, and the short keys that they have on the wire."""
+"""Typed messages of the membership protocol, and their short keys on the wire.
+
+A malformed message is decoded as None. Member states that a message carries are decoded by ``members``.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +23,12 @@
 EPOCH: Final = "e"
 REASON: Final = "why"
 
-REQUEST_KIND_EPOCH: Final = "epoch"  # of requests of the agreement on epochs: `epoch_messages`
+REQUEST_KIND_EPOCH: Final = "epoch"  # the kind of all messages in ``epoch_messages``
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A direct probe; answered by an ``Ack`` if the receiver has the target's name."""
+    """A direct probe. The receiver answers with an ``Ack`` if it has the target's name."""
 
     sequence: int
     target: str
@@ -36,7 +39,7 @@
     """The answer to a ping."""
 
     sequence: int
-    instance: int  # of the process that answered
+    instance: int  # instance of the process that answered
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """A helper's answer to an indirect ping whose target did not answer it in time."""
+    """A helper's answer to an indirect ping whose target did not answer the helper in time."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """A datagram that carries member states alone."""
+    """A datagram that carries only member states."""
 
 
 Datagram = Ping | Ack | IndirectPing | Nack | Gossip
@@ -65,25 +68,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FullState:
-    """A push/pull exchange, in both directions. The fields are as received, not checked."""
+    """The request and the answer of a push/pull exchange. The fields are not validated."""
 
     sender: str
     instance: object
     addr: object
     is_joining: bool
-    versions: object  # oldest and newest version of the protocol that the sender speaks
+    versions: object  # oldest and newest protocol version that the sender supports
     members: list[Any]  # encoded member states
 
 
 @dataclass(frozen=True, slots=True)
 class JoinRefused:
-    """The answer to a push/pull of a node that may not be a member."""
+    """The answer to the push/pull of a node that may not be a member."""
 
     reason: str
 
 
 def encode_datagram(datagram: Datagram, broadcasts: list[msgspec.Raw] | None) -> dict[str, Any]:
-    """Return a datagram's body; without ``broadcasts`` it carries no member states at all."""
+    """Return the body of a datagram. With ``broadcasts`` None it has no field for member states."""
     match datagram:
         case Ping(sequence, target):
             message: dict[str, Any] = {KIND: "ping", SEQUENCE: sequence, TARGET: target}
@@ -119,8 +122,8 @@
 
 def members_of(message: dict[str, Any]) -> list[Any]:
     """Return the encoded member states that a message carries."""
-    found = message.get(MEMBERS)
-    return found if isinstance(found, list) else []
+    members = message.get(MEMBERS)
+    return members if isinstance(members, list) else []
 
 
 def encode_full_state(state: FullState) -> dict[str, Any]:
@@ -142,7 +145,7 @@
 
 
 def decode_stream_message(message: dict[str, Any]) -> FullState | JoinRefused | None:
-    """Return a message of a push/pull; None if it is of another kind."""
+    """Return the message of a push/pull; None if it is of another kind."""
     if message[KIND] == "no":
         return JoinRefused(str(message.get(REASON)))
     if message[KIND] != "state":
--- a/merlinbay/fleet/name_conflicts.py
+++ b/merlinbay/fleet/name_conflicts.py
@@ -1,4 +1,8 @@
-"""Two live processes with one name: detected by a ping, and the lower instance falls silent. No I/O."""
+"""Detects a second live process with this node's name, and silences the one with the lower instance. No I/O.
+
+The member table reports a state under this node's name with another instance and address. It may be outdated,
+so the address is pinged. Only an answer from that instance proves a conflict, which is reported as an event.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +16,11 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.timers import ViewTimers
 
-ANSWER_PERIODS = 4  # probe periods that the other process has to answer
+ANSWER_PERIODS = 4  # probe periods within which the other process has to answer
 
 
 class NameConflicts:
-    """Tells a second process under this node's name from an outdated member state."""
+    """Distinguishes a second process with this node's name from an outdated member state."""
 
     def __init__(
         self,
@@ -29,10 +33,10 @@
     ) -> None:
         self._settings, self._local, self._gossip = settings, local, gossip
         self._outbox, self._timers, self._events = outbox, timers, events
-        self._pinged: dict[int, MemberState] = {}  # the other process's state by the ping's number
+        self._pinged: dict[int, MemberState] = {}  # claimed states by the sequence number of their ping
 
     def investigate(self, other: MemberState) -> None:
-        """Ping the other address, one at a time."""
+        """Ping the address of another process; do nothing while such a ping awaits its answer."""
         if self._pinged:
             return
         sequence = self._outbox.next_sequence()
@@ -41,12 +45,12 @@
         self._timers.schedule(self._settings.probe * ANSWER_PERIODS, self._pinged.clear)
 
     def handle_ack(self, ack: Ack) -> bool:
-        """Take an answer; return whether it was one to a ping of another process."""
+        """Handle an answer; return whether it belongs to a ping of ``investigate``."""
         if (other := self._pinged.pop(ack.sequence, None)) is None:
             return False
         if ack.instance == other.instance:
             self._local.is_silenced |= self._local.state.instance < other.instance
-            silenced = "; this one falls silent" if self._local.is_silenced else ""
+            silenced = "; this process stops announcing itself" if self._local.is_silenced else ""
             text = f"the name is also used at {other.addr}{silenced}"
             self._events.record(MembershipEventKind.CONFLICT, self._local.name, text)
         return True
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -1,4 +1,8 @@
-"""The sockets of the view: datagrams, and frames on streams. Decides nothing."""
+"""The sockets of the view: UDP datagrams, and frames on TCP streams.
+
+It passes what it receives to the view, carries out the view's effects, and reports its events. A datagram
+that cannot be sent is counted. A stream that fails counts as a request without an answer.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +20,9 @@
 from merlinbay.log import Log
 
 FRAME_LENGTH = struct.Struct("!I")
-EXCHANGE_TIMEOUT_S = 3.0  # for one frame and its answer
-MAX_STREAMS = 32  # at once, in each direction
-MAX_EVENTS = 1000  # kept for the operators' calls
+EXCHANGE_TIMEOUT_S = 3.0  # limit for one frame and its answer
+MAX_STREAMS = 32  # concurrent streams in each direction
+MAX_EVENTS = 1000  # events kept for the operators' calls
 LISTEN_BACKLOG = 64
 ACCEPT_RETRY_S = 0.05
 RECEIVE_BYTES = 65536
@@ -26,24 +30,24 @@
 
 
 class FleetNet:
-    """Carries the view's messages, and reports its events."""
+    """Runs a view on real sockets and keeps its last events."""
 
     def __init__(
         self, view: View, listen: str, seeds: Callable[[], list[str]], counters: Counters, log: Log
     ) -> None:
         self.view, self._listen_at, self._read_seeds = view, parse_address(listen), seeds
         self._counters, self._log = counters, log
-        self.on_change: list[Callable[[], None]] = []  # called after anything that may have changed the view
+        self.on_change: list[Callable[[], None]] = []  # callbacks for changes of the members
         self.events: list[MembershipEvent] = []
-        self.first_event_number = 0  # the number of the first event that is kept
-        self._sleep = trio.CancelScope()  # until the view's next tick
+        self.first_event_number = 0  # number of the first event in ``events``
+        self._sleep = trio.CancelScope()  # its deadline is the view's next tick
         self._streams = trio.Semaphore(MAX_STREAMS)
         self._udp = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         self._tcp = trio.socket.socket()
         self._nursery: trio.Nursery | None = None
 
     async def bind(self) -> None:
-        """Bind both sockets. Raises ``ConfigurationError``."""
+        """Bind both sockets. Raises ``ConfigurationError`` if the address cannot be used."""
         host, port = self._listen_at
         try:
             self._tcp.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
@@ -68,7 +72,10 @@
                 self.flush(notify=True)
 
     def flush(self, notify: bool = False) -> None:
-        """Carry out the view's effects, and report its events; ``notify``: call ``on_change`` without any."""
+        """Carry out the view's effects and report its events.
+
+        The callbacks of ``on_change`` are called if there are events, or if ``notify`` is set.
+        """
         view, nursery = self.view, self._nursery
         assert nursery is not None
         for effect in view.take_effects():
@@ -81,27 +88,30 @@
             self._counters.add(f"fleet_{event.kind}")
             self._log.event(f"fleet_{event.kind}", member=event.subject, text=repr(event.text))
             self.events.append(event)
-        for name, number in view.events.take_occurrences().items():
-            self._counters.add(f"fleet_{name}", number)
+        for name, count in view.events.take_occurrences().items():
+            self._counters.add(f"fleet_{name}", count)
         if len(self.events) > MAX_EVENTS:
             self.first_event_number += len(self.events) - MAX_EVENTS
             del self.events[:-MAX_EVENTS]
-        if notify or events:  # guards against a look at all members for every packet
-            for call in self.on_change:
-                call()
+        if notify or events:  # The callbacks read all members, which would be too much work for each packet.
+            for callback in self.on_change:
+                callback()
         self._sleep.deadline = view.next_at_s()
 
     async def _send_datagram(self, addr: str, data: bytes) -> None:
         try:
             await self._udp.sendto(data, parse_address(addr))
-        except (OSError, ConfigurationError):  # the network is down, or a member announced a bad address
+        except (
+            OSError,
+            ConfigurationError,
+        ):  # The network is down, or a member announced a malformed address.
             self._counters.add("fleet_sends_failed")
 
     async def _receive_datagrams(self) -> None:
         while True:
             try:
                 data, source = await self._udp.recvfrom(RECEIVE_BYTES)
-            except OSError:  # an ICMP error about an earlier datagram
+            except OSError:  # The kernel reports an ICMP error about an earlier datagram.
                 continue
             if len(data) > OVERSIZED_BYTES:
                 self._counters.add("fleet_oversized")
@@ -110,7 +120,7 @@
             self.flush()
 
     async def _request(self, effect: SendRequest) -> None:
-        """Send a frame and give the view its answer, or None."""
+        """Send a frame, and pass its answer, or None, to the view."""
         answer = None
         if not self.view.push_pull.has_joined:
             self.view.push_pull.seeds = self._read_seeds()
@@ -159,7 +169,7 @@
 
 
 async def read_frame(stream: trio.SocketStream) -> bytes | None:
-    """Read a frame; None: the stream ended before its end, or it is too long."""
+    """Return the next frame of a stream; None if the stream ends within it, or if it is too long."""
     received = bytearray()
     while len(received) < FRAME_LENGTH.size:
         if not (part := await stream.receive_some(RECEIVE_BYTES)):
--- a/merlinbay/fleet/push_pull.py
+++ b/merlinbay/fleet/push_pull.py
@@ -1,4 +1,8 @@
-"""Push/pull: the exchange of whole member tables over a stream, which also joins nodes. No I/O."""
+"""Push/pull: the exchange of whole member tables over a stream, by which nodes also join. No I/O.
+
+It exchanges periodically with a random member, and with seeds until the node has joined. An exchange that
+fails is not repeated at once; the next periodic one or the next attempt to join takes its place.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,8 @@
 from merlinbay.fleet.timers import ViewTimers
 from merlinbay.fleet.wire import NEWEST_VERSION, OLDEST_VERSION
 
-DEAD_OR_SEED_SHARE = 0.25  # of the exchanges: partitions heal by these
+# Share of the exchanges that go to a dead member or a seed, so that the sides of a partition find each other.
+DEAD_OR_SEED_SHARE = 0.25
 
 
 class PushPull:
@@ -35,13 +40,13 @@
     ) -> None:
         self._settings, self._local, self._table = settings, local, table
         self._outbox, self._timers, self._events, self._rng = outbox, timers, events, rng
-        self._requests: dict[int, str] = {}  # the address that was asked, by token
+        self._requests: dict[int, str] = {}  # addresses of the requests under way by token
         self.seeds: list[str] = list(settings.seeds)
-        self.has_joined = False  # an exchange has worked
-        self.extra_fields: Callable[[], dict[str, Any]] = dict  # sent along with the table
+        self.has_joined = False  # whether an exchange has succeeded
+        self.extra_fields: Callable[[], dict[str, Any]] = dict  # returns fields to send along with the table
 
     def start(self) -> None:
-        """Start to join, and to exchange periodically."""
+        """Start joining and the periodic exchanges."""
         self._timers.schedule(0.0, self._join)
         self._timers.schedule(self._interval_s(), self._exchange_periodically)
 
@@ -53,7 +58,7 @@
         self.exchange_with_any()
 
     def exchange_with_any(self) -> None:
-        """Exchange with a random member; now and then with one that is believed dead, or a seed."""
+        """Exchange with a random active member, or sometimes with a dead member or a seed."""
         active = [member.state.addr for member in self._table.active_peers()]
         others = [
             member.state.addr
@@ -67,7 +72,10 @@
             self.exchange_with(self._rng.choice(active))
 
     def _join(self) -> None:
-        """Ask seeds until one has answered, at random intervals: a whole fleet may start at once."""
+        """Exchange with random seeds until one has answered.
+
+        The intervals are random, because all nodes of a fleet may start at the same time.
+        """
         if self.has_joined:
             return
         seeds = [seed for seed in self.seeds if seed != self._local.state.addr]
@@ -76,7 +84,7 @@
         self._timers.schedule(self._settings.probe * self._rng.uniform(0.5, 1.5), self._join)
 
     def exchange_with(self, addr: str, is_joining: bool = False) -> None:
-        """Exchange with the node at an address."""
+        """Start an exchange with the node at an address."""
         token = self._outbox.next_sequence()
         self._requests[token] = addr
         self._outbox.request(addr, token, self.full_state(is_joining))
@@ -96,11 +104,11 @@
         return encode_full_state(state) | self.extra_fields()
 
     def take_request(self, token: int) -> str:
-        """Return the address that a request went to, once it has ended."""
+        """Remove a request that has ended and return its address; empty if the token is unknown."""
         return self._requests.pop(token, "")
 
     def handle_answer(self, addr: str, answer: FullState | JoinRefused | None) -> None:
-        """Take the answer of a node, beside its member table."""
+        """Handle the answer of a node, except for its member table, which the view merges."""
         if isinstance(answer, JoinRefused):
             text = f"by {addr}: {answer.reason[:200]}"
             self._events.record(MembershipEventKind.REFUSED, self._local.name, text)
@@ -108,7 +116,7 @@
             self.has_joined = True
 
     def refusal_of(self, state: FullState) -> str:
-        """Return why the sender may not be a member; empty: it may."""
+        """Return the reason why the sender may not be a member; empty if it may."""
         versions = state.versions
         if (
             not isinstance(versions, list)
@@ -118,13 +126,13 @@
             or versions[1] < OLDEST_VERSION
         ):
             return f"speaks versions {versions}, this fleet {OLDEST_VERSION} to {NEWEST_VERSION}"
-        known = self._table.members.get(state.sender)
+        member = self._table.members.get(state.sender)
         if (
             state.is_joining
-            and known is not None
-            and known.health is Health.ALIVE
-            and known.state.instance != state.instance
-            and known.state.addr != state.addr
+            and member is not None
+            and member.health is Health.ALIVE
+            and member.state.instance != state.instance
+            and member.state.addr != state.addr
         ):
-            return f"the name {known.name} is used at {known.state.addr}"
+            return f"the name {member.name} is used at {member.state.addr}"
         return ""
--- a/merlinbay/fleet/random_walk.py
+++ b/merlinbay/fleet/random_walk.py
@@ -1,6 +1,8 @@
-"""Random walks of the agreement on epochs: messages reordered, lost or doubled; restarts, lost disks.
+"""Random walks of the agreement on epochs, under faults of the network, restarts and lost disks.
 
-Harsher than a network: what ``simulation`` plays seldom, such as two proposers at once, is common here.
+Messages are reordered, lost or duplicated more often than in a network. Cases that are rare in
+``simulation``, such as two concurrent proposers, are common here. A violated agreement raises
+``EpochConflictError``.
 """
 
 from __future__ import annotations
@@ -28,14 +30,14 @@
 
 
 class RandomWalk:
-    """Some nodes, and the messages between them."""
+    """Some nodes without network or member table, and the messages in flight between them."""
 
     def __init__(self, seed: int, count: int = 0) -> None:
         self.rng = Random(f"{seed}/walk")
         self.names = [f"n{number}" for number in range(count or self.rng.randint(3, 5))]
         self.disks: dict[str, AcceptorState | None] = dict.fromkeys(self.names)
         self.lost_disk_counts = dict.fromkeys(self.names, 0)
-        self.disk_keeper = self.rng.choice(self.names)  # without any disk left, no epoch is known
+        self.disk_keeper = self.rng.choice(self.names)  # never loses its disk, so that an epoch is remembered
         self.nodes: dict[str, EpochConsensus] = {}
         self.in_flight: list[Delivery] = []
         self.epochs: dict[int, Epoch] = {}
@@ -47,8 +49,8 @@
         def store(state: AcceptorState) -> None:
             epoch = state.epoch
             if epoch.number and self.epochs.setdefault(epoch.number, epoch) != epoch:
-                known = self.epochs[epoch.number].members
-                raise EpochConflictError(f"{name} has epoch {epoch.number} as {epoch.members}, not {known}")
+                members = self.epochs[epoch.number].members
+                raise EpochConflictError(f"{name} has epoch {epoch.number} as {epoch.members}, not {members}")
             self.disks[name] = state
 
         own_voter_id = voter_id(name, str(self.lost_disk_counts[name]))
@@ -57,7 +59,7 @@
         )
 
     def step(self) -> None:
-        """Do one random thing."""
+        """Run a random step: a delivery, duplicate or loss, a restart, a lost disk, or a tick of a node."""
         rng, name = self.rng, self.rng.choice(self.names)
         node = self.nodes[name]
         self.now_s += rng.random() * 0.3
@@ -65,16 +67,16 @@
         if roll < 0.70 and self.in_flight:
             self._deliver(self.in_flight.pop(rng.randrange(len(self.in_flight))))
         elif roll < 0.76 and self.in_flight:
-            self._deliver(rng.choice(self.in_flight))  # it is delivered again later
+            self._deliver(rng.choice(self.in_flight))  # a duplicate, because the message stays in flight
         elif roll < 0.80 and self.in_flight:
             self.in_flight.pop(rng.randrange(len(self.in_flight)))
         elif roll < 0.84:
-            self._start(name)  # restarted with its disk
+            self._start(name)  # a restart with the node's disk
         elif roll < 0.843 and name != self.disk_keeper:
             self.disks[name], self.lost_disk_counts[name] = None, self.lost_disk_counts[name] + 1
             self._start(name)
         elif roll < 0.95:
-            # Each sees itself as the first of the present voters, so that many propose at once.
+            # Each node regards itself as the first of the present voters, so that many propose concurrently.
             present = {
                 voter_id(other, str(self.lost_disk_counts[other])): True
                 for other in self.names
@@ -87,7 +89,7 @@
         sender, receiver, message = delivery.sender, delivery.receiver, delivery.message
         node = self.nodes[node_of(receiver)]
         if node.own_voter_id != receiver:
-            return  # the receiver has lost its disk
+            return  # The receiver has lost its disk since, so it is another voter.
         if isinstance(message, EpochRequest):
             self.in_flight.append(Delivery(receiver, sender, node.handle_request(message)))
         else:
@@ -103,7 +105,7 @@
 
 
 def run_walk(seed: int, steps: int = 600) -> RandomWalk:
-    """Run a walk. Raises ``EpochConflictError``."""
+    """Run a random walk. Raises ``EpochConflictError`` if two nodes disagree on an epoch."""
     random_walk = RandomWalk(seed)
     for _ in range(steps):
         random_walk.step()
--- a/merlinbay/fleet/scenarios.py
+++ b/merlinbay/fleet/scenarios.py
@@ -1,8 +1,9 @@
-"""Random scenarios by seed: joins, crashes, partitions, loss, pauses, lost disks; and their invariants.
+"""Random fault scenarios by seed: joins, crashes, partitions, loss, pauses, lost disks; and their invariants.
 
-During the faults: no node is declared dead while it runs, the accuser can reach it, directly or by a third,
-and no fault affected either lately; without loss, none is even suspected; a death is known to all soon.
-Afterwards: all views are the same, and the last epoch has the members that run.
+During the faults, no node is declared dead while it runs, the accuser can reach it directly or through a
+third node, and no fault has affected either of them recently. Without loss, no such node is even suspected,
+and a death is soon known to all. After the faults, all views are the same, and the last epoch has the members
+that run.
 """
 
 from __future__ import annotations
@@ -16,36 +17,37 @@
 from merlinbay.fleet.simulated_node import SimulatedNode
 from merlinbay.fleet.simulation import FleetSimulation, InvariantViolationError
 
-FAULTS_END_S = 72.0  # all faults have ended by then
-CONVERGENCE_S = 75.0  # after that, all views of up to nine nodes are the same
-LOSSLESS_S = 35.0  # the last part of that, in which no packet is lost
-AFTERMATH_S = 40.0  # after a fault, nodes may still act on what it made them believe
-DISSEMINATION_S = 6.5  # in which a death is known to all, without loss: a push/pull, and rounds of gossip
-SINGLE_FAULT_SHARE = (
-    0.4  # of the scenarios: one fault that affects no other node; these are checked most closely
+FAULTS_END_S = 72.0  # time by which all faults have ended
+CONVERGENCE_S = 75.0  # time after the faults within which all views of up to nine nodes become the same
+LOSSLESS_S = 35.0  # last part of the convergence time, in which no packet is lost
+AFTERMATH_S = 40.0  # time after a fault for which nodes may still act on outdated states
+DISSEMINATION_S = (
+    6.5  # time of a push/pull and rounds of gossip, after which a death is known to all without loss
 )
+# Share of the scenarios with a single fault that affects no other node. These have the strictest checks.
+SINGLE_FAULT_SHARE = 0.4
 FOREVER_S = 1e9
 
 
 @dataclass
 class FaultWindow:
-    """A fault that affects a node, and what it excuses."""
+    """The time of a fault that affects a node, and which declarations of death it explains."""
 
     name: str
     since_s: float
     until_s: float
-    may_be_declared_dead: bool = True  # others may declare the node dead
-    may_declare_others_dead: bool = True  # the node may declare others dead
+    may_be_declared_dead: bool = True  # whether others may declare the node dead
+    may_declare_others_dead: bool = True  # whether the node may declare others dead
 
 
 @dataclass
 class DeathObserver:
-    """Checks every event of a scenario."""
+    """Checks each event of a scenario."""
 
     sim: FleetSimulation
-    is_lossless: bool  # the network loses and delays nothing
+    is_lossless: bool  # whether the network neither loses nor reorders packets
     windows: list[FaultWindow] = field(default_factory=list)
-    deaths: dict[str, list[float]] = field(default_factory=dict)  # when each node declared another dead
+    deaths: dict[str, list[float]] = field(default_factory=dict)  # times of the reports of each node's death
 
     def add_fault_windows(
         self,
@@ -55,14 +57,14 @@
         may_be_declared_dead: bool = True,
         may_declare_others_dead: bool = True,
     ) -> None:
-        """Note a fault that affects some nodes."""
+        """Add a fault that affects some nodes."""
         self.windows += [
             FaultWindow(name, since_s, until_s, may_be_declared_dead, may_declare_others_dead)
             for name in names
         ]
 
     def is_explained(self, accuser: str, name: str, at_s: float) -> bool:
-        """Tell whether a fault explains that one node declares another dead."""
+        """Return whether a fault explains that a node declares another one dead."""
         return any(
             window.since_s <= at_s <= window.until_s + AFTERMATH_S
             and (
@@ -78,18 +80,18 @@
             self.deaths.setdefault(event.subject, []).append(self.sim.now_s)
         elif event.kind is not MembershipEventKind.SUSPECTED or not self.is_lossless:
             return
-        other = self.sim.nodes[event.subject]
-        if other.view is None or other.is_stopped or other.view.local.is_leaving or node.view is None:
+        subject = self.sim.nodes[event.subject]
+        if subject.view is None or subject.is_stopped or subject.view.local.is_leaving or node.view is None:
             return
         accuser = node.view.table.members[event.subject].state.accuser or node.name
         if not self.is_explained(accuser, event.subject, self.sim.now_s):
             raise InvariantViolationError(
-                f"{self.sim.now_s:.3f}: {node.name} reports that {event.subject} {event.kind}, by {accuser}; "
-                f"no fault affected either"
+                f"{self.sim.now_s:.3f}: {node.name} reports that {event.subject} {event.kind}, by {accuser}, "
+                f"but no fault affected either of them"
             )
 
     def check_dissemination(self) -> None:
-        """Check how soon deaths were known to all. Raises ``InvariantViolationError``."""
+        """Check that each death was known to all soon. Raises ``InvariantViolationError``."""
         for name, times in self.deaths.items():
             if max(times) - min(times) > DISSEMINATION_S:
                 raise InvariantViolationError(
@@ -104,13 +106,13 @@
     sim: FleetSimulation
     observer: DeathObserver
     rng: Random
-    is_single: bool = False  # only one fault is scheduled
+    is_single: bool = False  # whether only one fault is scheduled
 
     def schedule(self, kinds: list[str], number: int) -> None:
-        """Schedule faults of random kinds. The order of the draws is part of a seed's meaning."""
+        """Schedule faults of random kinds. The order of the random draws determines a seed's scenario."""
         self.is_single = number == 1
         names = list(self.sim.nodes)
-        disk_keeper = self.rng.choice(names)  # without any disk left, no epoch is known
+        disk_keeper = self.rng.choice(names)  # never loses its disk, so that an epoch is remembered
         for _ in range(number):
             at_s, for_s = self.rng.uniform(8, 45), self.rng.uniform(1, 25)
             node = self.sim.nodes[self.rng.choice(names)]
@@ -119,12 +121,12 @@
                 FAULTS[kind](self, node, at_s, at_s + for_s)
 
     def crash(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """End a process for good."""
+        """End a process permanently."""
         self.sim.schedule(at_s, node.kill)
         self.observer.add_fault_windows([node.name], at_s, FOREVER_S, may_declare_others_dead=False)
 
     def crash_for_a_while(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """End a process, and start it later."""
+        """End a process, and start it again after the fault's duration."""
         self.sim.schedule(at_s, node.kill)
         self.sim.schedule(until_s, node.start_if_down)
         self.observer.add_fault_windows([node.name], at_s, until_s, may_declare_others_dead=False)
@@ -135,9 +137,9 @@
         self.observer.add_fault_windows([node.name], at_s, at_s, may_declare_others_dead=False)
 
     def restart_in_a_loop(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Restart a process again and again."""
-        for turn in range(8):
-            self.sim.schedule(at_s + turn * 1.5, node.restart)
+        """Restart a process eight times, at intervals of 1.5 s."""
+        for number in range(8):
+            self.sim.schedule(at_s + number * 1.5, node.restart)
         self.observer.add_fault_windows([node.name], at_s, at_s + 12, may_declare_others_dead=False)
 
     def lose_disk(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
@@ -146,13 +148,13 @@
         self.observer.add_fault_windows([node.name], at_s, at_s, may_declare_others_dead=False)
 
     def leave(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Have a node leave the fleet, and end."""
+        """Make a node leave the fleet, and end its process after 3 s."""
         self.sim.schedule(at_s, node.leave)
         self.sim.schedule(at_s + 3, node.kill)
         self.observer.add_fault_windows([node.name], at_s, FOREVER_S, may_declare_others_dead=False)
 
     def partition(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Cut the fleet in two."""
+        """Partition the fleet into two random sides."""
         names = list(self.sim.nodes)
         side = set(self.rng.sample(names, self.rng.randint(1, len(names) - 1)))
         links = [(a, b) for a in names for b in names if (a in side) != (b in side)]
@@ -160,21 +162,24 @@
         self.observer.add_fault_windows(names, at_s, until_s)
 
     def cut_outgoing(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Cut the links from a node to some others."""
+        """Cut the links from a node to some others, in this direction only."""
         names = list(self.sim.nodes)
-        links = [(node.name, other) for other in self.rng.sample(names, self.rng.randint(1, len(names)))]
+        links = [(node.name, peer) for peer in self.rng.sample(names, self.rng.randint(1, len(names)))]
         self.sim.schedule(at_s, self._cut, links, until_s)
         self.observer.add_fault_windows(names, at_s, until_s)
 
     def cut_pair(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Cut the link between two nodes; as a single fault it excuses nothing, both reach a third."""
-        other = self.rng.choice([name for name in self.sim.nodes if name != node.name])
-        self.sim.schedule(at_s, self._cut, [(node.name, other), (other, node.name)], until_s)
+        """Cut the link between two nodes.
+
+        As a single fault it explains no death, because both nodes can still reach a third one.
+        """
+        peer = self.rng.choice([name for name in self.sim.nodes if name != node.name])
+        self.sim.schedule(at_s, self._cut, [(node.name, peer), (peer, node.name)], until_s)
         if not self.is_single:
-            self.observer.add_fault_windows([node.name, other], at_s, until_s)
+            self.observer.add_fault_windows([node.name, peer], at_s, until_s)
 
     def stop(self, node: SimulatedNode, at_s: float, until_s: float) -> None:
-        """Stop a process by a signal, and have it go on."""
+        """Stop a process by a signal, and continue it after the fault's duration."""
         self.sim.schedule(at_s, setattr, node, "is_stopped", True)
         self.sim.schedule(until_s, node.resume)
         self.observer.add_fault_windows([node.name], at_s, until_s, may_declare_others_dead=False)
@@ -202,7 +207,10 @@
 
 
 def run_scenario(seed: int, check: bool = True) -> FleetSimulation:
-    """Run one seed: faults for a minute, then none. Raises ``InvariantViolationError``."""
+    """Run the scenario of a seed: faults for about a minute, then time to converge without faults.
+
+    Raises ``InvariantViolationError`` unless ``check`` is off.
+    """
     rng = Random(f"{seed}/story")
     count = rng.randint(3, 9)
     expect = rng.choice([0, count])
@@ -224,12 +232,13 @@
     _run(sim, FAULTS_END_S, 1.0, check)
     sim.net.loss_share = min(sim.net.loss_share, 0.05)
     _run(sim, FAULTS_END_S + CONVERGENCE_S - LOSSLESS_S, 5.0, check)
-    sim.net.loss_share = 0.0  # guards against a suspicion that a lost packet made just before the last check
+    # A packet lost just before the last check would leave a suspicion behind.
+    sim.net.loss_share = 0.0
     _run(sim, FAULTS_END_S + CONVERGENCE_S, 5.0, check)
     if check and is_single and observer.is_lossless:
         observer.check_dissemination()
     if check and (mismatch := sim.view_mismatch() or sim.epoch_mismatch()):
-        raise InvariantViolationError(f"seed {seed}: {CONVERGENCE_S:g} s after the last fault {mismatch}")
+        raise InvariantViolationError(f"seed {seed}: {CONVERGENCE_S:g} s after the last fault, {mismatch}")
     return sim
 
 
--- a/merlinbay/fleet/simulated_node.py
+++ b/merlinbay/fleet/simulated_node.py
@@ -1,4 +1,7 @@
-"""One node of the simulation: its process, while it runs, and its disk."""
+"""A node of the simulation: its process, while it runs, and its disk.
+
+``FleetSimulation`` calls it for packets, timers and faults, and carries out the effects of its view.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
 
 KEYS = Keys((b"k" * 32,))
 MAX_BACKLOG = 200  # packets that a stopped process reads when it goes on
-MAX_LOG = 4000  # events that a node keeps; the older half is dropped
+MAX_LOG = 4000  # events that a node keeps; above this, the older half is dropped
 
 
 class NodeEnvironment(Protocol):
-    """What a node needs of the simulation."""
+    """The part of the simulation that a node uses."""
 
     rng: Random
     now_s: float
@@ -30,32 +33,34 @@
     observe: Callable[[SimulatedNode, MembershipEvent], None]
 
     def schedule(self, at_s: float, call: Callable[..., None], *args: Any) -> None:
-        """Call a function at a moment."""
+        """Call a function at a given time."""
 
     def transmit(self, node: SimulatedNode, effect: Effect) -> None:
-        """Carry an effect of a node."""
+        """Carry out an effect of a node's view: deliver, delay or lose its message."""
 
     def check_epoch(self, node: str, epoch: Epoch) -> None:
-        """Note an epoch that a node has learned."""
+        """Check an epoch that a node has learned against the epochs of the others."""
 
 
 class SimulatedNode:
-    """One node: its process, while it runs, and its disk."""
+    """A node: its process, while it runs, and its disk."""
 
     def __init__(self, sim: NodeEnvironment, name: str, addr: str) -> None:
         self.sim, self.name, self.addr = sim, name, addr
         self.start_count = 0
-        self.view: View | None = None  # None: the process does not run
-        self.acceptor: AcceptorState | None = None  # on its disk
-        self.disk_number = 0  # raised with each lost disk
-        self.is_stopped = False  # by a signal
+        self.view: View | None = None  # None while the process does not run
+        self.acceptor: AcceptorState | None = None  # acceptor state on the node's disk
+        self.disk_number = 0  # increased with each lost disk
+        self.is_stopped = False  # whether a signal has stopped the process
         self._wake_at_s = math.inf
-        self.backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # received while stopped
-        self.incarnations: dict[str, int] = {}  # the highest of each member that this process has known
+        self.backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # calls delayed while stopped
+        self.incarnations: dict[
+            str, int
+        ] = {}  # highest incarnation of each member that this process has seen
         self.log: list[MembershipEvent] = []
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a process, which joins by the first three nodes as seeds."""
         self.start_count += 1
         self.incarnations = {}
         sim = self.sim
@@ -72,7 +77,7 @@
 
     @property
     def voter_id(self) -> str:
-        """Return how this node is named in epochs."""
+        """Return the id of this node with its current disk in epochs."""
         return voter_id(self.name, str(self.disk_number))
 
     def _store(self, state: AcceptorState) -> None:
@@ -81,33 +86,33 @@
         self.acceptor = state
 
     def lose_disk(self) -> None:
-        """End, and start with an empty disk."""
+        """End the process, and start it with an empty disk."""
         self.kill()
         self.acceptor, self.start_count, self.disk_number = None, 0, self.disk_number + 1
         self.start()
 
     def kill(self) -> None:
-        """End at once."""
+        """End the process at once."""
         self.view, self.is_stopped, self.backlog = None, False, []
 
     def restart(self) -> None:
-        """End at once, and start again."""
+        """End the process at once, and start it again."""
         self.kill()
         self.start()
 
     def start_if_down(self) -> None:
-        """Start, if it does not run."""
+        """Start the process if it does not run."""
         if self.view is None:
             self.start()
 
     def leave(self) -> None:
-        """Leave on purpose."""
+        """Announce that the node leaves the fleet."""
         if self.view is not None:
             self.view.leave()
             self.flush()
 
     def resume(self) -> None:
-        """Go on after a stop, with the timers that are due, then what was received meanwhile."""
+        """Continue a stopped process: run the timers that are due, then the calls delayed meanwhile."""
         self.is_stopped, backlog, self.backlog = False, self.backlog, []
         if self.view is not None:
             self.view.tick(self.sim.now_s)
@@ -133,10 +138,10 @@
             self._wake_at_s = due_at_s
             sim.schedule(due_at_s, self._tick, self.start_count, due_at_s)
 
-    def _tick(self, starts: int, due_at_s: float) -> None:
+    def _tick(self, start_count: int, due_at_s: float) -> None:
         if self._wake_at_s == due_at_s:
             self._wake_at_s = math.inf
-        if self.view is None or starts != self.start_count or self.is_stopped:
+        if self.view is None or start_count != self.start_count or self.is_stopped:
             return
         self.view.tick(self.sim.now_s)
         self.flush()
--- a/merlinbay/fleet/view.py
+++ b/merlinbay/fleet/view.py
@@ -1,7 +1,9 @@
 """A node's view of its fleet: SWIM with Lifeguard's local health, push/pull and epochs. No I/O.
 
-Bytes and time go in, effects and events come out; ``next_at_s`` says when ``tick`` is due. Times are seconds
-of a clock that does not go back. Sources: Das, Gupta, Motivala 2002 (SWIM); Dadgar, Phillips, Currey 2018
+The caller passes in received bytes and the time. It carries out the effects and reports the events that the
+view collects; ``next_at_s`` returns when ``tick`` is due. Times are seconds of a clock that does not go back.
+A malformed message is counted or reported and otherwise ignored; a malformed frame raises
+``MessageRejectedError``. Sources: Das, Gupta, Motivala 2002 (SWIM); Dadgar, Phillips, Currey 2018
 (Lifeguard).
 """
 
@@ -44,7 +46,7 @@
 
 
 class View:
-    """Composes the parts, and hands each message to the one that it is for."""
+    """Composes the parts of the membership protocol, and passes each message to the part that handles it."""
 
     def __init__(
         self,
@@ -79,10 +81,10 @@
             )
             self.push_pull.extra_fields = self.epochs.epoch_field
 
-    # Running it.
+    # Start, time and changes of this node.
 
     def start(self) -> None:
-        """Begin; members are found by seeds, or come by themselves."""
+        """Start all parts. Other members are found through seeds, or contact this node themselves."""
         self.broadcasts.add(self.local.state)
         self._detector.start()
         self._gossip.start()
@@ -104,7 +106,7 @@
         return self.timers.next_at_s()
 
     def tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Advance the clock and run the timers that are due."""
         late_s = now_s - max(self.timers.now_s, self.timers.next_at_s())
         if late_s > self._settings.probe:
             self._handle_pause(late_s)
@@ -112,16 +114,19 @@
         self.timers.run_due()
 
     def _handle_pause(self, late_s: float) -> None:
-        # Guards against a process that was stopped, or starved, and would accuse all others at once.
+        # The process was stopped or starved, so answers of other members were not read in time. Probes are
+        # dropped and suspicions postponed, so that this node does not suspect all others at once.
         self.local.degrade()
         self._detector.abandon_probes()
         self._indirect.abandon()
         self.table.suspicions.postpone(late_s)
-        self.events.record(MembershipEventKind.PAUSED, self.local.name, f"stood still for {late_s:.1f} s")
+        self.events.record(
+            MembershipEventKind.PAUSED, self.local.name, f"the process was paused for {late_s:.1f} s"
+        )
         self.timers.schedule(0.0, self.push_pull.exchange_with_any)
 
     def replace_keys(self, keys: wire.Keys) -> None:
-        """Use other keys from now on."""
+        """Replace the keys for all further messages."""
         self._outbox.keys = keys
 
     def update(self, gauges: dict[str, float] | None = None, is_draining: bool | None = None) -> None:
@@ -129,18 +134,18 @@
         self.local.update(gauges, is_draining)
 
     def leave(self) -> None:
-        """Announce that this node leaves. It gossips for as long as it is run."""
+        """Announce that this node leaves. It goes on gossiping until its timers no longer run."""
         self.local.leave()
-        self._gossip.spread()  # guards against an end of the process before the next gossip
+        self._gossip.spread()  # The process may end before the next periodic gossip.
 
     def join(self, addr: str) -> None:
-        """Exchange the member tables with an address now, on an operator's order."""
+        """Exchange member tables with the node at an address now, as an operator requests."""
         self.push_pull.exchange_with(addr, is_joining=True)
 
     # Messages.
 
     def handle_datagram(self, now_s: float, source: str, data: bytes) -> None:
-        """Take a datagram."""
+        """Handle a datagram."""
         self.timers.advance(now_s)
         try:
             message = self._open(source, data)
@@ -160,7 +165,7 @@
                 self._detector.handle_nack(nack)
 
     def handle_frame(self, now_s: float, source: str, data: bytes) -> bytes:
-        """Take a frame of a stream; return the answer.
+        """Handle a frame of a stream and return the answer.
 
         Raises ``MessageRejectedError`` and ``VoteNotStoredError``.
         """
@@ -177,7 +182,7 @@
     def _answer_push_pull(self, message: dict[str, Any]) -> dict[str, Any]:
         state = decode_stream_message(message)
         if not isinstance(state, FullState):
-            raise wire.MessageRejectedError("no state")
+            raise wire.MessageRejectedError("the frame is not a push/pull")
         if reason := self.push_pull.refusal_of(state):
             self.events.record(MembershipEventKind.REFUSED, state.sender[:64], reason)
             return encode_join_refused(JoinRefused(reason))
@@ -185,7 +190,7 @@
         return self.push_pull.full_state()
 
     def handle_answer(self, now_s: float, token: int, data: bytes | None) -> None:
-        """Take the answer to a request; None: there was none."""
+        """Handle the answer to a request; None means that there was none."""
         self.timers.advance(now_s)
         if self.epochs is not None and (voter := self.epochs.take_request(token)) is not None:
             self.epochs.handle_answer(voter, self._read_vote(data))
@@ -212,20 +217,24 @@
             return None
 
     def _open(self, source: str, data: bytes) -> dict[str, Any]:
-        """Read a message. Raises ``MessageRejectedError``, once that is counted or reported."""
+        """Verify and decode a message.
+
+        Raises ``MessageRejectedError`` after the rejection has been counted or reported as an event.
+        """
         try:
             return self._outbox.open(data)
         except wire.MessageRejectedError as error:
             kind = MembershipEventKind.PACKETS_REFUSED
-            # Guards against a log full of lines on garbage: only the first one is an event.
-            if not self.events.counts[kind] or str(error) != "garbage":
+            # Only the first packet that is no message at all becomes an event, and the others are counted, so
+            # that stray packets do not fill the log.
+            if not self.events.counts[kind] or str(error) != "not a message of this protocol":
                 self.events.record(kind, source, str(error))
             else:
                 self.events.count(kind)
             raise
 
     def _merge(self, message: dict[str, Any], is_push_pull: bool = False) -> None:
-        """Take the member states that a message carries."""
+        """Merge the member states that a message carries, and count malformed ones."""
         for encoded in members_of(message):
             try:
                 state = decode_state(encoded)
--- a/merlinbay/fleet/wiring.py
+++ b/merlinbay/fleet/wiring.py
@@ -1,4 +1,8 @@
-"""Composes the view of the fleet from the operator's section, and notifies the core of its members."""
+"""Composes the view of the fleet from the operator's section, and sends the number of balancers to the core.
+
+The node makes it at its start if the section is on. A file or an address that cannot be used raises
+``ConfigurationError``; a file of seeds that cannot be read is logged, and the other seeds are used.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 from merlinbay.http.server import Listener
 from merlinbay.log import Log
 
-CLOCK_OFFSET = "MERLINBAY_CLOCK_OFFSET"  # seconds that a test adds to this process's wall clock
+CLOCK_OFFSET = "MERLINBAY_CLOCK_OFFSET"  # environment variable: seconds that tests add to the wall clock
 
 
 class FleetParts:
@@ -36,56 +40,56 @@
     def __init__(
         self,
         settings: FleetSettings,
-        facts: NodeIdentity,
+        identity: NodeIdentity,
         inbox: trio.MemorySendChannel[Message],
         counters: Counters,
         log: Log,
     ) -> None:
-        self._settings, self._facts, self._inbox = settings, facts, inbox
+        self._settings, self._identity, self._inbox = settings, identity, inbox
         self._counters, self._log = counters, log
-        self.view = _make_view(settings, facts.name)
+        self.view = _make_view(settings, identity.name)
         self.view.push_pull.seeds = self.seeds()
         self.net = FleetNet(self.view, settings.listen, self.seeds, counters, log)
         self.net.on_change.append(self._notify_core)
-        self._notified = (0, 0)  # number of balancers and our place among them, as the core knows them
-        self.gauges: Callable[[], dict[str, float]] = dict  # returns what is announced to the others
+        self._notified = (0, 0)  # number of balancers and index of this node, as last sent to the core
+        self.gauges: Callable[[], dict[str, float]] = dict  # returns the gauges to announce
 
     def seeds(self) -> list[str]:
-        """Return the addresses to join by: the section's, and those of its file, which is read again."""
-        found = list(self._settings.seeds)
+        """Return the addresses of the seeds from the section and from the file, which is read again."""
+        addresses = list(self._settings.seeds)
         if self._settings.seeds_file:
             try:
                 lines = Path(self._settings.seeds_file).read_text().splitlines()
             except OSError as error:
                 self._log.event("fleet_seeds_failed", level="warning", error=str(error.strerror))
                 lines = []
-            found += [line.strip() for line in lines if line.strip() and not line.startswith("#")]
-        return found
+            addresses += [line.strip() for line in lines if line.strip() and not line.startswith("#")]
+        return addresses
 
     def reload(self) -> None:
-        """Read the keys again. Raises ``ConfigurationError``, and keeps the old ones."""
+        """Read the keys again. Raises ``ConfigurationError`` and keeps the old keys if they are not valid."""
         self.view.replace_keys(_load_keys(self._settings))
 
     def _notify_core(self) -> None:
-        """Notify the core of the number of balancers, and our place among them, when these change."""
+        """Send the number of balancers and this node's index among them to the core when they change."""
         own_name = self.view.local.name
         names = sorted(member.name for member in self.view.table.active() if not member.state.is_draining)
-        # A draining node is not among them: it takes the first place, for the little that it still does.
-        place = names.index(own_name) if own_name in names else 0
-        current = max(len(names), 1), place
+        # A draining node is not counted. It uses index 0 for the few requests that it still handles.
+        index = names.index(own_name) if own_name in names else 0
+        current = max(len(names), 1), index
         if current != self._notified and not self.view.local.is_silenced:
             try:
                 self._inbox.send_nowait(BalancersChanged(*current))
                 self._notified = current
             except (trio.WouldBlock, trio.BrokenResourceError):
-                pass  # retried with the next change
+                pass  # The next change retries.
 
     async def listen(self, nursery: trio.Nursery) -> None:
-        """Bind the sockets and start the tasks. Raises ``ConfigurationError``."""
+        """Bind the sockets and start the tasks. Raises ``ConfigurationError`` if that fails."""
         await self.net.bind()
         if self._settings.control:
             listener = Listener(
-                Routes([("/fleet", FleetControl(self.net))]), self._facts.limits, self._counters, self._log
+                Routes([("/fleet", FleetControl(self.net))]), self._identity.limits, self._counters, self._log
             )
             host, port = parse_address(self._settings.control)
             try:
@@ -106,19 +110,19 @@
                 self.net.flush()
 
     def announce_draining(self) -> None:
-        """Announce that this node takes no new requests, while it still serves."""
+        """Announce that this node accepts no new requests, while it still serves the current ones."""
         self.view.update(is_draining=True)
         self.net.flush(notify=True)
 
     def leave(self) -> Callable[[], None]:
-        """Announce that this node leaves; returns the function that sends what is still to be gossiped."""
+        """Announce that this node leaves; return the function that sends the remaining datagrams."""
         self.view.leave()
         self.net.flush()
         return self.net.flush
 
 
 def _load_keys(settings: FleetSettings) -> Keys:
-    """Read the keys. Raises ``ConfigurationError``."""
+    """Read the file of keys. Raises ``ConfigurationError`` if it is not valid."""
     try:
         return Keys.load(settings.keys)
     except ValueError as error:
@@ -126,7 +130,10 @@
 
 
 def _make_view(settings: FleetSettings, name: str) -> View:
-    """Make the view; with a data folder, it takes part in epochs. Raises ``ConfigurationError``."""
+    """Make the view, which takes part in epochs if there is a data folder.
+
+    Raises ``ConfigurationError`` if the keys or the folder cannot be used.
+    """
     keys = _load_keys(settings)
     unix_s = time.time() + float(os.environ.get(CLOCK_OFFSET, "0"))
     try:
@@ -152,7 +159,7 @@
 
 
 def have_changed(old: dict[str, float], new: dict[str, float]) -> bool:
-    """Tell whether a gauge has changed by a tenth of the larger value, or was added or removed."""
+    """Return whether a gauge has changed by over a tenth of the larger value, or was added or removed."""
     return old.keys() != new.keys() or any(
         abs(value - old[name]) > 0.1 * max(abs(value), abs(old[name])) for name, value in new.items()
     )
@@ -160,10 +167,10 @@
 
 def wire(
     settings: FleetSettings,
-    facts: NodeIdentity,
+    identity: NodeIdentity,
     inbox: trio.MemorySendChannel[Message],
     counters: Counters,
     log: Log,
 ) -> FleetParts | None:
-    """Make the parts; None: the section is off. Raises ``ConfigurationError``."""
-    return FleetParts(settings, facts, inbox, counters, log) if settings.listen else None
+    """Return the parts, or None if the section is off. Raises ``ConfigurationError``."""
+    return FleetParts(settings, identity, inbox, counters, log) if settings.listen else None
