--- a/merlinbay/handover/__init__.py
+++ b/merlinbay/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacement of a node's process by the next one, which takes over clients, bans and what was learned."""
+"""Replacement of a node's process by another one, which takes over clients, bans and the learned state."""
--- a/merlinbay/handover/control_socket.py
+++ b/merlinbay/handover/control_socket.py
@@ -1,4 +1,8 @@
-"""The Unix socket between the two processes of a node: packets, some with a file descriptor."""
+"""The Unix socket between two processes of a node: packets, some of which carry a file descriptor.
+
+Messages are queued without waiting. If the connection ends, messages that were not sent are dropped, and
+their descriptors are closed.
+"""
 
 from __future__ import annotations
 
@@ -18,28 +22,28 @@
 from merlinbay.handover import messages
 from merlinbay.limits import ResourceLimits
 
-UCRED = struct.Struct("3i")  # struct ucred: process, user, group (unix(7))
+UCRED = struct.Struct("3i")  # struct ucred of unix(7): process, user and group
 NO_DESCRIPTOR = -1
 
 
 class Packet(NamedTuple):
-    """A message, and the descriptor that comes with it."""
+    """A message, and the file descriptor that it carries, if any."""
 
     message: messages.HandoverMessage
     descriptor: int = NO_DESCRIPTOR
 
 
 class ControlSocket:
-    """One connection between the processes."""
+    """One connection between two processes."""
 
     def __init__(self, sock: trio.socket.SocketType, limits: ResourceLimits) -> None:
         self.sock, self._limits = sock, limits
         self._queue, self._queued = trio.open_memory_channel[Packet](limits.inbox_messages)
 
     def post(self, message: messages.HandoverMessage, descriptor: int = NO_DESCRIPTOR) -> bool:
-        """Queue a message, without waiting; tell whether it was queued.
+        """Queue a message without waiting; return whether it was queued.
 
-        The descriptor is closed in this process once it is sent, or cannot be.
+        The descriptor is closed in this process once it is sent or cannot be sent.
         """
         try:
             self._queue.send_nowait(Packet(message, descriptor))
@@ -50,21 +54,21 @@
         return True
 
     async def send_queued(self) -> None:
-        """Send what is queued, until the connection ends."""
+        """Send queued messages until the connection ends."""
         with self._queued:
             try:
                 async for packet in self._queued:
                     try:
                         await self.send(packet)
                     except OSError as error:
-                        # Guards against one message that is too long for a packet, and would end all others.
+                        # Only a message that is too long for a packet is dropped; the others are still sent.
                         if error.errno != errno.EMSGSIZE:
                             break
             finally:
                 self._close_unsent()
 
     async def send(self, packet: Packet) -> None:
-        """Send one packet. Raises ``OSError``."""
+        """Send one packet, and close its descriptor. Raises ``OSError``."""
         data = messages.encode(packet.message)
         if packet.descriptor == NO_DESCRIPTOR:
             await self.sock.send(data)
@@ -76,7 +80,7 @@
             os.close(packet.descriptor)
 
     def _close_unsent(self) -> None:
-        """Close the descriptors that were never sent."""
+        """Close the descriptors of messages that were not sent."""
         while True:
             try:
                 descriptor = self._queued.receive_nowait().descriptor
@@ -86,7 +90,7 @@
                 os.close(descriptor)
 
     async def receive(self) -> Packet | None:
-        """Return the next packet; None: the connection ended, or a packet was malformed."""
+        """Return the next packet; None if the connection has ended or the packet is malformed."""
         try:
             data, extra, flags, _ = await self.sock.recvmsg(
                 self._limits.handover_packet_bytes, socket.CMSG_SPACE(4), socket.MSG_CMSG_CLOEXEC
@@ -107,7 +111,7 @@
 
 @contextmanager
 def short_path(path: Path) -> Iterator[str]:
-    """Yield a name of the path that is short enough for a socket address (108 bytes, unix(7))."""
+    """Yield an alias of the path that is short enough for a socket address (108 bytes, unix(7))."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -116,7 +120,7 @@
 
 
 async def connect(path: Path) -> trio.socket.SocketType | None:
-    """Connect to the process that listens at a path; None: there is none."""
+    """Connect to the process that listens at a path; return None if there is none."""
     sock = trio.socket.socket(trio.socket.AF_UNIX, trio.socket.SOCK_SEQPACKET)
     try:
         with short_path(path) as name:
@@ -131,7 +135,7 @@
 
 
 async def listen(path: Path) -> trio.socket.SocketType:
-    """Listen at a path, in place of any other process. Raises ``OSError``."""
+    """Listen at a path, in place of any process that listens there. Raises ``OSError``."""
     sock = trio.socket.socket(trio.socket.AF_UNIX, trio.socket.SOCK_SEQPACKET)
     try:
         temporary = path.with_name(f"{path.name}.{os.getpid()}")
@@ -140,7 +144,8 @@
             await sock.bind(name)
         temporary.chmod(0o600)
         sock.listen(1)
-        temporary.replace(path)  # atomic: who connects meets the listener before or this one
+        # The rename is atomic, so a process that connects reaches the earlier listener or this one.
+        temporary.replace(path)
     except BaseException:
         sock.close()
         raise
@@ -148,6 +153,6 @@
 
 
 def is_same_user(sock: trio.socket.SocketType) -> bool:
-    """Tell whether the other end is a process of the same user."""
+    """Return whether the process at the other end runs under the same user."""
     _, user, _ = UCRED.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size))
     return bool(user == os.getuid())
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the two processes of a node: one packet each, in msgpack.
+"""Messages between two processes of a node: one packet each, encoded as MessagePack.
 
-Tags and encoded names are those of earlier programs, which a new process may replace.
+Tags and encoded names are those of earlier versions, whose processes a new one may replace.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from merlinbay.handover.snapshot_codec import EncodedEndpoint, EncodedSnapshot, to_encoded
 
 PROTOCOL_VERSION = 1  # a process of another version is not replaced but stopped
-CHUNK_ITEMS = 200  # entries of the list, or endpoints of the snapshot, in one packet
+CHUNK_ITEMS = 200  # entries of the endpoint list, or endpoints of the snapshot, per packet
 
 
 class StateRequest(msgspec.Struct, tag="Hello", frozen=True):
-    """The successor's first message."""
+    """The successor's first message, which asks the predecessor for its state."""
 
     protocol_version: int = msgspec.field(name="speaks")
 
 
 class StateChunk(msgspec.Struct, tag="Part", frozen=True):
-    """Some of the endpoint list, or of what was learned of the endpoints."""
+    """A part of the endpoint list, or of the learned state of the endpoints."""
 
     entries: list[ServiceEntry] = []
     endpoints: list[EncodedEndpoint] = msgspec.field(name="workers", default_factory=list)
 
 
 class StateComplete(msgspec.Struct, tag="Whole", frozen=True):
-    """The rest of the state, after all chunks."""
+    """The rest of the state, sent after all chunks."""
 
-    list_version: int | None = msgspec.field(name="version")  # discovery's; None: it gave none
-    learned: EncodedSnapshot  # without the endpoints, which came in chunks
-    is_standby: bool = msgspec.field(name="away")  # clients are sent away
-    clock_us: int = 0  # of the predecessor, for all times in the state; 0: sent by an older program
+    list_version: int | None = msgspec.field(name="version")  # version of discovery's list, if it has one
+    learned: EncodedSnapshot  # the learned state without the endpoints, which are sent in chunks
+    is_standby: bool = msgspec.field(name="away")  # whether the node is on standby and sends clients away
+    clock_us: int = 0  # the predecessor's clock, to which all times refer; 0 if sent by an older version
 
 
 class SuccessorReady(msgspec.Struct, tag="Serves", frozen=True):
@@ -43,29 +43,29 @@
 
 
 class CallbackForward(msgspec.Struct, tag="Unclaimed", frozen=True):
-    """A call-back for a request that the sender does not know."""
+    """A call-back for a request that the sending process does not know."""
 
     message: AttemptStarted | AttemptProgress | AttemptFinished
 
 
 class MaintenanceForward(msgspec.Struct, tag="Banned", frozen=True):
-    """Operators disabled a server for maintenance, or enabled it again."""
+    """An operator's order that disables a server for maintenance or enables it again."""
 
     server: str
     is_disabled: bool = msgspec.field(name="on")
 
 
 class StandbyForward(msgspec.Struct, tag="Away", frozen=True):
-    """Operators send clients away, or take them back."""
+    """An operator's order that puts the node on standby or makes it active again."""
 
     is_standby: bool = msgspec.field(name="away")
 
 
 class ConnectionTransfer(msgspec.Struct, tag="EdgeGiven", frozen=True):
-    """A client connection without a request under way; its descriptor comes with the packet."""
+    """A client connection without a request under way, whose descriptor the packet carries."""
 
-    is_proven: bool = msgspec.field(name="proven")  # as ``http.server.Listener.adopt`` takes it
-    calls_back: bool
+    is_proven: bool = msgspec.field(name="proven")  # argument of ``http.server.Listener.adopt``
+    calls_back: bool  # argument of ``http.server.Listener.adopt``
 
 
 HandoverMessage = (
@@ -90,7 +90,7 @@
     is_standby: bool,
     clock_us: int = 0,
 ) -> list[HandoverMessage]:
-    """Return the messages that carry the whole state, in packets of a bounded size."""
+    """Return the messages that carry the whole state in packets of limited size."""
     learned = to_encoded(snapshot)
     endpoints, learned.endpoints = learned.endpoints, []
     chunks: list[HandoverMessage] = [
--- a/merlinbay/handover/predecessor.py
+++ b/merlinbay/handover/predecessor.py
@@ -1,4 +1,8 @@
-"""The predecessor's side of a hand-over: it awaits successors, sends its state and client connections."""
+"""The predecessor's side of a handover: waits for successors and sends them state and client connections.
+
+``node`` starts it after the process has started serving. If it cannot listen, or if a successor ends early,
+the process serves on as the only one of the node.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +26,11 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-EndpointList = Callable[[], tuple[int | None, list[ServiceEntry]]]  # version and entries
+EndpointList = Callable[[], tuple[int | None, list[ServiceEntry]]]  # returns version and entries of the list
 
 
 class PredecessorSide:
-    """The process as the predecessor of others, of one at a time."""
+    """The process in its role as the predecessor of other processes, one at a time."""
 
     def __init__(
         self,
@@ -44,14 +48,14 @@
         self._relayed, self._limits, self._counters = relayed, limits, counters
         self._log, self._clock = log, clock
         self.successor: ControlSocket | None = None
-        self._is_successor_ready = False  # it accepts clients
+        self._is_successor_ready = False  # whether the successor accepts clients
 
     async def await_successors(
         self, endpoint_list: EndpointList, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen for a successor, and again after one that came and ended.
+        """Listen for a successor, and again for the next one after each that has ended.
 
-        Started once it listens. Guards against a successor that comes at once and finds nobody.
+        Reports as started only once it listens, so that a successor that starts at once can connect.
         """
         has_listened = False
         while True:
@@ -71,9 +75,9 @@
                     await self._serve(ControlSocket(sock, self._limits), endpoint_list)
 
     async def _accept(self, listening: trio.socket.SocketType) -> trio.socket.SocketType:
-        """Return the successor's connection.
+        """Return the connection of a successor.
 
-        Guards against one failed accept after which no successor is ever heard.
+        A failed accept is repeated after a pause, because otherwise no successor could ever connect.
         """
         while True:
             try:
@@ -84,14 +88,14 @@
                 await trio.sleep(self._limits.accept_retry_pause_s)
 
     async def _serve(self, link: ControlSocket, endpoint_list: EndpointList) -> None:
-        """Send the state to a successor, and handle its messages to its end."""
+        """Send the state to a successor, and handle its messages until it ends."""
         packet = await link.receive()
         if packet is None or packet.message != messages.StateRequest(messages.PROTOCOL_VERSION):
             self._log.event("successor_refused", level="warning", said=ascii(packet)[:80])
             return
 
         def send_state(snapshot: HandoverSnapshot) -> None:
-            # Called by the core: bans from now on are relayed after the state.
+            # The core calls this function. Bans that are set from now on are relayed after the state.
             version, entries = endpoint_list()
             now_us = self._clock.now_us()
             for message in messages.state_messages(
@@ -111,18 +115,18 @@
         self._log.event("successor_gone")
 
     async def hand_over(self) -> bool:
-        """Give all client connections to the successor; tell whether there is one, until all were given."""
+        """Transfer all client connections to the successor; return whether it was ready throughout."""
         if not self._is_successor_ready:
             return False
         self._log.event("hands_over", connections=len(self._listener.connections))
-        self._listener.hand_over(self._give)
+        self._listener.hand_over(self._transfer)
         with trio.move_on_after(self._limits.stop_serving_for_s):
             while self._listener.connections and self._is_successor_ready:
                 await trio.sleep(self._limits.handover_check_interval_s)
         return self._is_successor_ready
 
-    def _give(self, connection: Connection) -> bool:
-        """Give one connection to the successor; tell whether it was sent."""
+    def _transfer(self, connection: Connection) -> bool:
+        """Transfer one connection to the successor; return whether it was queued for sending."""
         if self.successor is None:
             return False
         try:
--- a/merlinbay/handover/relayed_messages.py
+++ b/merlinbay/handover/relayed_messages.py
@@ -1,4 +1,4 @@
-"""Handles the messages that either process of a node sends to the other."""
+"""Handles the messages that both sides of a handover send: connections, call-backs and operators' orders."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RelayedMessages:
-    """Passes client connections to the listener, and everything else to the core."""
+    """Passes client connections to the listener, standby to the steering, and the rest to the core."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._inbox, self._listener, self._steering, self._counters = inbox, listener, steering, counters
 
     async def handle(self, packet: Packet) -> None:
-        """Handle a packet; messages of the state's transfer are ignored."""
+        """Handle a packet; messages that belong to the transfer of the state are ignored."""
         message, descriptor = packet
         if isinstance(message, messages.ConnectionTransfer) and descriptor != NO_DESCRIPTOR:
             self._adopt(message, descriptor)
--- a/merlinbay/handover/snapshot_codec.py
+++ b/merlinbay/handover/snapshot_codec.py
@@ -1,4 +1,4 @@
-"""The encoded form of a handover snapshot: the field names that processes of other versions know."""
+"""The encoded form of a handover snapshot, with the field names that processes of other versions use."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EncodedKind(msgspec.Struct):
-    """A machine kind."""
+    """The encoded form of ``KindSnapshot``."""
 
     slots: float
     pace: float
@@ -31,7 +31,7 @@
 
 
 class EncodedEndpoint(msgspec.Struct):
-    """An endpoint."""
+    """The encoded form of ``EndpointSnapshot``."""
 
     name: str
     ready_at_us: int = msgspec.field(name="ready_at")
@@ -48,14 +48,14 @@
 
 
 class EncodedClass(msgspec.Struct):
-    """A request class."""
+    """The encoded form of ``ClassSnapshot``."""
 
     run_time_us: float = msgspec.field(name="run")
     completed: int = msgspec.field(name="seen")
 
 
 class EncodedLoad(msgspec.Struct):
-    """The work offered."""
+    """The encoded form of ``LoadSnapshot``."""
 
     arrival_rate: float = msgspec.field(name="rate")
     arrival_rate_at_us: int = msgspec.field(name="rate_at")
@@ -70,7 +70,7 @@
 
 
 class EncodedSnapshot(msgspec.Struct):
-    """A whole snapshot."""
+    """The encoded form of ``HandoverSnapshot``."""
 
     load: EncodedLoad
     kinds: dict[str, EncodedKind]
@@ -80,7 +80,7 @@
 
 
 def translate(source: object, target: type[Record]) -> Record:
-    """Return a record of another type with the same fields."""
+    """Return a record of the target type with the same field values."""
     return target(*attrgetter(*target.__annotations__)(source))
 
 
@@ -96,7 +96,7 @@
 
 
 def from_encoded(encoded: EncodedSnapshot) -> HandoverSnapshot:
-    """Return the snapshot that an encoded form stands for."""
+    """Return the decoded snapshot."""
     return HandoverSnapshot(
         translate(encoded.load, LoadSnapshot),
         {name: translate(kind, KindSnapshot) for name, kind in encoded.kinds.items()},
--- a/merlinbay/handover/successor.py
+++ b/merlinbay/handover/successor.py
@@ -1,4 +1,8 @@
-"""The successor's side of a hand-over: it asks its predecessor for the state, and follows it to its end."""
+"""The successor's side of a handover: asks the predecessor for its state, and follows it until it ends.
+
+``inherit`` is called before the process serves, and ``follow`` afterwards. If there is no predecessor, or if
+it does not answer in time, the process starts without its state.
+"""
 
 from __future__ import annotations
 
@@ -19,24 +23,27 @@
 
 @dataclass
 class Inherited:
-    """The predecessor's state."""
+    """The state that the predecessor has sent."""
 
-    list_version: int | None  # discovery's
-    is_standby: bool  # clients are sent away
-    snapshot: HandoverSnapshot  # what its decisions had learned
-    clock_us: int  # the predecessor's clock when it sent the state; 0: sent by an older program
-    entries: list[ServiceEntry] = field(default_factory=list)
+    list_version: int | None  # version of discovery's list, if it has one
+    is_standby: bool  # whether the node is on standby and sends clients away
+    snapshot: HandoverSnapshot  # learned state of the decisions
+    clock_us: int  # the predecessor's clock when it sent the state; 0 if sent by an older version
+    entries: list[ServiceEntry] = field(default_factory=list)  # the endpoint list
 
 
 class SuccessorSide:
-    """The process as the successor of another."""
+    """The process in its role as the successor of another one."""
 
     def __init__(self, path: Path, relayed: RelayedMessages, limits: ResourceLimits, log: Log) -> None:
         self._path, self._relayed, self._limits, self._log = path, relayed, limits, log
         self.predecessor: ControlSocket | None = None
 
     async def inherit(self) -> Inherited | None:
-        """Ask the predecessor for its state; None: there is none, or none of our version of the protocol."""
+        """Ask the predecessor for its state.
+
+        Returns None if there is no predecessor, or if it does not answer in time or in this protocol version.
+        """
         sock = await control_socket.connect(self._path)
         if sock is None:
             return None
@@ -49,7 +56,7 @@
                 banned = len(inherited.snapshot.disabled_since_us)
                 self._log.event("inherited", entries=len(inherited.entries), banned=banned)
                 return inherited
-        # Guards against a start that hangs on an old process: without an answer the new one starts alone.
+        # A predecessor that hangs must not block the start, so without an answer this process starts alone.
         self._log.event("not_inherited", level="warning", path=self._path)
         sock.close()
         return None
@@ -73,7 +80,7 @@
         return None
 
     async def follow(self) -> None:
-        """Report to the predecessor that clients are accepted, and handle its messages to its end."""
+        """Tell the predecessor that this process accepts clients, and handle its messages until it ends."""
         link = self.predecessor
         if link is None:
             return
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -1,7 +1,7 @@
-"""A node's process between its predecessor and its successor.
+"""A node's process as the successor of one process and the predecessor of the next.
 
-A process listens for its successor, and at its start asks its predecessor for the state. Either may end at
-any moment: then the other one is the node alone, as without a hand-over.
+At its start, a process asks its predecessor for the state, and later it listens for its successor. Either of
+them may end at any time; the remaining process then runs the node alone, as without a handover.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Takeover:
-    """Both sides of this process, and what is relayed to the other processes (``PeerProcess``)."""
+    """Both sides of this process, and the relay of messages to the other processes (``PeerProcess``)."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         steering.on_operator_request = self._relay_standby
 
     def relay_callback(self, message: Callback) -> bool:
-        """Relay a call-back for an unknown request; tell whether there is another process."""
+        """Relay a call-back for an unknown request; return whether it was queued for another process."""
         return self._relay(messages.CallbackForward(message))
 
     def relay_maintenance(self, server: str, on: bool) -> None:
-        """Relay that a server was disabled for maintenance, or enabled again."""
+        """Relay that a server was disabled for maintenance or enabled again."""
         self._relay(messages.MaintenanceForward(server, on))
 
     def _relay_standby(self, is_standby: bool) -> None:
--- a/merlinbay/handover/wiring.py
+++ b/merlinbay/handover/wiring.py
@@ -1,4 +1,4 @@
-"""The path at which the processes of a node meet."""
+"""Composes the handover of a process, and chooses the socket path that all processes of a node share."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     log: Log,
     clock: Clock,
 ) -> Takeover:
-    """Return this process's sides. Nodes that share a ``$TMPDIR`` differ by name and address."""
+    """Return both sides of the handover. Nodes that share a ``$TMPDIR`` differ by name and address."""
     key = zlib.crc32(f"{name} {listen[0]}:{listen[1]}".encode())
     path = Path(tempfile.gettempdir()) / f"merlinbay-{key:08x}.sock"
     return Takeover(path, inbox, listener, steering, limits, counters, log, clock)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A process replaced by the next one: several processes of the program on one listening socket."""
+"""Handover between processes of the program that share one listening socket."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 @dataclass
-class House:
-    """The platform's part: the socket it keeps, and the processes it starts on it."""
+class ProcessGroup:
+    """The platform's listening socket, and the processes of the node that it starts on it."""
 
     stage: Stage
     environ: dict[str, str]
     sock: socket.socket
     processes: list[trio.Process] = field(default_factory=list)
-    desks: list[int] = field(default_factory=list)  # where operators call each
+    admin_ports: list[int] = field(default_factory=list)  # ports for operators' calls, one for each process
 
     async def start(self, wait: bool = True) -> tuple[trio.Process, int]:
-        """Start a further process; return it, and where operators call it, once it has said yes."""
+        """Start a further process; return it and its port for operators' calls, once it answers there."""
         port = free_port()
         environ = {
             **os.environ,
@@ -51,7 +51,7 @@
             [sys.executable, "-B", "-m", "merlinbay"], cwd=ROOT, env=environ, pass_fds=[self.sock.fileno()]
         )
         self.processes.append(process)
-        self.desks.append(port)
+        self.admin_ports.append(port)
         while wait:
             try:
                 if (await self.stage.operate("status", port)).startswith("SUCCESS"):
@@ -62,37 +62,39 @@
         return process, port
 
 
-Scene = Callable[[House], Awaitable[None]]
+Scenario = Callable[[ProcessGroup], Awaitable[None]]
 
 
-def by_house(folder: Path, scene: Scene, discovery: str = "subscribe", **servers: Play) -> None:
-    """Play a scene with a kept socket and these servers; processes are ended by their ids."""
+def run_with_processes(
+    folder: Path, scenario: Scenario, discovery: str = "subscribe", **servers: Play
+) -> None:
+    """Run a scenario with a listening socket and the given servers, and end its processes by their ids."""
 
     async def whole() -> None:
         async with stage(folder) as s:
-            for name, one in servers.items():
-                s.add(name, one)
+            for name, handler in servers.items():
+                s.add(name, handler)
             with socket.create_server(("127.0.0.2", s.port)) as sock:
-                found = House(s, s.configure(discovery=discovery), sock)
+                group = ProcessGroup(s, s.configure(discovery=discovery), sock)
                 try:
-                    await scene(found)
+                    await scenario(group)
                 finally:
-                    for process in found.processes:
+                    for process in group.processes:
                         if process.poll() is None:
                             process.kill()
 
     play(whole)
 
 
-async def job(connection: ClientConnection, name: str) -> int:
-    """Hand in a job on a kept connection; return the status of its answer."""
+async def send_request(connection: ClientConnection, name: str) -> int:
+    """Send a request on a kept connection; return the status of its answer."""
     return (await connection.exchange("POST", "/admit", admission(name, 3000), b"seat")).status
 
 
-async def at_once(s: Stage, name: str) -> None:
-    """Hand in jobs side by side, so that more than one server is used, until all are served."""
+async def send_concurrently(s: Stage, name: str) -> None:
+    """Send requests concurrently, so that more than one server is used, until all are served."""
 
-    async def one(number: int) -> None:
+    async def send_until_served(number: int) -> None:
         tries = 0
         while (await s.admit(f"{name}-{number}-{tries}", 3000)).status != 200:
             tries += 1
@@ -101,11 +103,11 @@
     for start in range(0, 20, 4):
         async with trio.open_nursery() as nursery:
             for number in range(start, start + 4):
-                nursery.start_soon(one, number)
+                nursery.start_soon(send_until_served, number)
 
 
-async def holds(server: StandIn, request: Request) -> Response | None:
-    """Serve all jobs but the one that is held: that one starts, and a test says when it is done."""
+async def hold_one_request(server: StandIn, request: Request) -> Response | None:
+    """Serve all requests except the one named ``held``, which starts and which the test completes."""
     name = request.headers.get("x-request-id", "")
     if request.method != "POST" or name != "held":
         return await serves(server, request)
@@ -113,21 +115,24 @@
     return Response(202)
 
 
-def test_clients_jobs_and_call_backs_outlive_the_process(tmp_path: Path) -> None:
-    """Kept connections go over unnoticed, also one whose job runs on; its call-backs reach either process."""
+def test_connections_requests_and_call_backs_survive_a_handover(tmp_path: Path) -> None:
+    """Client connections move to the new process without an error, also one with a running request.
 
-    async def scene(h: House) -> None:
-        s = h.stage
-        old, _ = await h.start()
+    Its call-backs may reach either process. No request is lost or rejected while the old process leaves.
+    """
+
+    async def scenario(group: ProcessGroup) -> None:
+        s = group.stage
+        old, _ = await group.start()
         kept, busy = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
-        assert await job(kept, "first") == 200
+        assert await send_request(kept, "first") == 200
         ends: list[int] = []
 
-        async def held() -> None:
-            ends.append(await job(busy, "held"))
+        async def send_held_request() -> None:
+            ends.append(await send_request(busy, "held"))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(held)
+            nursery.start_soon(send_held_request)
             while not (
                 holders := [
                     server
@@ -136,197 +141,217 @@
                 ]
             ):
                 await trio.sleep(0.01)
-            await h.start()
+            await group.start()
             old.send_signal(signal.SIGTERM)
-            for number in range(30):  # while one process leaves: no request lost, none refused
-                assert await job(kept, f"kept-{number}") == 200
+            for number in range(30):  # While the old process leaves, no request is lost or rejected.
+                assert await send_request(kept, f"kept-{number}") == 200
                 assert (await s.admit(f"new-{number}", 3000)).status == 200
-            assert old.poll() is None and not ends  # it still waits for its job
-            for _ in range(3):  # each on a connection of its own, all to the new process
+            assert old.poll() is None and not ends  # The old process still waits for its request.
+            for _ in range(3):  # Each call-back has a connection of its own, to the new process.
                 await holders[0].tell("held", "running", share=0.5)
             await holders[0].tell("held", "done", result="x", load=LOAD)
         assert ends == [200]
         with trio.fail_after(2):
             assert await old.wait() == 0
-        assert await job(busy, "after") == 200 and await job(kept, "end") == 200
+        assert await send_request(busy, "after") == 200 and await send_request(kept, "end") == 200
 
-    by_house(tmp_path, scene, a=holds, b=holds)
+    run_with_processes(tmp_path, scenario, a=hold_one_request, b=hold_one_request)
 
 
 @pytest.mark.parametrize("discovery", ["subscribe", "automatic"])
-def test_bans_the_list_and_standby_pass_to_the_next_process(tmp_path: Path, discovery: str) -> None:
-    """Made before it starts or while both run; the configuration file's list is older than the node."""
+def test_bans_endpoint_list_and_standby_pass_to_the_successor(tmp_path: Path, discovery: str) -> None:
+    """Bans are set before the successor starts or while both processes run.
+
+    The endpoint list has changed since the configuration file was written, so the successor must not use
+    the list in that file.
+    """
 
-    async def scene(h: House) -> None:
-        s = h.stage
-        old, _ = await h.start()
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
+    async def scenario(group: ProcessGroup) -> None:
+        s = group.stage
+        old, _ = await group.start()
+        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
         s.change("c", state="DELETED")
         await trio.sleep(0.3)
-        _, admin_port = await h.start()
-        assert (await s.operate("maint-on b", h.desks[0])).startswith("SUCCESS")
+        _, admin_port = await group.start()
+        assert (await s.operate("maint-on b", group.admin_ports[0])).startswith("SUCCESS")
         await trio.sleep(0.1)
         before = [len(s.stand(name).targets()) for name in "abc"]
-        await at_once(s, "both")  # by both processes
+        await send_concurrently(s, "both")  # both processes serve these requests
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
-        await at_once(s, "new")
+        await send_concurrently(s, "new")
         assert [len(s.stand(name).targets()) for name in "abc"] == before
         assert (await s.operate("standby", admin_port)).startswith("SUCCESS")
-        await h.start()
+        await group.start()
         assert (await s.call("GET", "/-/ready")).status == 503
-        assert (await s.operate("active", h.desks[-1])).startswith("SUCCESS")
-        assert (await s.operate("maint-off a", h.desks[-1])).startswith("SUCCESS")
+        assert (await s.operate("active", group.admin_ports[-1])).startswith("SUCCESS")
+        assert (await s.operate("maint-off a", group.admin_ports[-1])).startswith("SUCCESS")
         await trio.sleep(0.1)
-        assert [(await s.call("GET", "/-/ready")).status for _ in range(6)] == [200] * 6  # either one
+        assert [(await s.call("GET", "/-/ready")).status for _ in range(6)] == [
+            200
+        ] * 6  # answers of either process
 
-    by_house(tmp_path, scene, discovery, a=serves, b=serves, c=serves, d=serves)
+    run_with_processes(tmp_path, scenario, discovery, a=serves, b=serves, c=serves, d=serves)
 
 
-def test_a_node_whose_successor_died_leaves_as_one_without(tmp_path: Path) -> None:
-    """At SIGTERM its clients' connections are served on: there is nobody to take them."""
+def test_node_whose_successor_has_died_stops_like_one_without_successor(tmp_path: Path) -> None:
+    """At SIGTERM it must go on serving its client connections, because no process can take them over."""
 
-    async def scene(h: House) -> None:
-        old, _ = await h.start()
-        kept = await ClientConnection.connect(f"127.0.0.2:{h.stage.port}", LIMITS)
-        assert await job(kept, "first") == 200
-        dead, _ = await h.start()
+    async def scenario(group: ProcessGroup) -> None:
+        old, _ = await group.start()
+        kept = await ClientConnection.connect(f"127.0.0.2:{group.stage.port}", LIMITS)
+        assert await send_request(kept, "first") == 200
+        dead, _ = await group.start()
         dead.kill()
         await dead.wait()
         await trio.sleep(0.1)
         old.send_signal(signal.SIGTERM)
         for number in range(20):
             await trio.sleep(0.05)
-            assert await job(kept, f"kept-{number}") in (200, 503)  # some spared, as without a successor
+            # 503 sends some clients away, as without a successor.
+            assert await send_request(kept, f"kept-{number}") in (200, 503)
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=serves, b=serves)
 
 
-def test_a_successor_that_dies_leaves_the_node_as_it_was(tmp_path: Path) -> None:
-    """It serves on, and the next successor is met as the first one was."""
+def test_death_of_a_successor_does_not_affect_the_node(tmp_path: Path) -> None:
+    """The old process serves on, and the next successor takes over from it."""
 
-    async def scene(h: House) -> None:
-        s = h.stage
-        old, _ = await h.start()
+    async def scenario(group: ProcessGroup) -> None:
+        s = group.stage
+        old, _ = await group.start()
         kept = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
-        assert await job(kept, "first") == 200
-        dead, _ = await h.start()
+        assert await send_request(kept, "first") == 200
+        dead, _ = await group.start()
         dead.kill()
         await dead.wait()
         await trio.sleep(0.1)
-        assert await job(kept, "second") == 200 and (await s.admit("third")).status == 200
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
-        _, _admin_port = await h.start()
+        assert await send_request(kept, "second") == 200 and (await s.admit("third")).status == 200
+        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
+        _, _admin_port = await group.start()
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
-        assert await job(kept, "fourth") == 200
+        assert await send_request(kept, "fourth") == 200
         assert s.stand("b").seen[-1][1].headers["x-request-id"] == "fourth"
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=serves, b=serves)
 
 
-@pytest.mark.parametrize("what", ["stopped", "garbage", "nobody"])
-def test_a_process_starts_alone_where_nothing_can_be_taken_over(tmp_path: Path, what: str) -> None:
-    """An old process that hangs, a file in the socket's place, one that was left behind by a dead process."""
+@pytest.mark.parametrize("obstacle", ["stopped", "garbage", "nobody"])
+def test_process_starts_alone_without_a_usable_predecessor(tmp_path: Path, obstacle: str) -> None:
+    """The old process hangs, a file is in place of its socket, or it died and left its socket behind."""
 
-    async def scene(h: House) -> None:
-        s = h.stage
-        old, _ = await h.start()
-        assert (await s.operate("maint-on a", h.desks[0])).startswith("SUCCESS")
-        if what == "stopped":
+    async def scenario(group: ProcessGroup) -> None:
+        s = group.stage
+        old, _ = await group.start()
+        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
+        if obstacle == "stopped":
             old.send_signal(signal.SIGSTOP)
         else:
             old.kill()
             await old.wait()
-        meeting = next(tmp_path.glob("merlinbay-*.sock"))
-        if what == "garbage":
-            meeting.unlink()
-            meeting.write_text("nothing")
+        socket_path = next(tmp_path.glob("merlinbay-*.sock"))
+        if obstacle == "garbage":
+            socket_path.unlink()
+            socket_path.write_text("nothing")
         with trio.fail_after(5):
-            await h.start()
-        if what == "stopped":
+            await group.start()
+        if obstacle == "stopped":
             old.kill()
             await old.wait()
         for number in range(5):
             assert (await s.admit(f"job-{number}")).status == 200
 
-    by_house(tmp_path, scene, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=serves, b=serves)
 
 
-def test_a_message_too_long_for_a_packet_ends_nothing_else() -> None:
-    """It alone is not sent: what is posted after it, and a descriptor with it, come through."""
+def test_message_that_is_too_long_does_not_block_later_ones() -> None:
+    """Only the message that does not fit into a packet is lost; the next one arrives with its descriptor."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         pair = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        ours, theirs = (ControlSocket(trio.socket.from_stdlib_socket(one), LIMITS) for one in pair)
+        sender, receiver = (ControlSocket(trio.socket.from_stdlib_socket(sock), LIMITS) for sock in pair)
         with trio.fail_after(5):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ours.send_queued)
-                ours.post(messages.CallbackForward(AttemptFinished("a", "s", Outcome.OK, b"x" * 4_000_000)))
-                ours.post(messages.ConnectionTransfer(True, False), os.dup(0))
-                packet = await theirs.receive()
+                nursery.start_soon(sender.send_queued)
+                sender.post(messages.CallbackForward(AttemptFinished("a", "s", Outcome.OK, b"x" * 4_000_000)))
+                sender.post(messages.ConnectionTransfer(True, False), os.dup(0))
+                packet = await receiver.receive()
                 assert packet is not None and packet.message == messages.ConnectionTransfer(True, False)
                 assert packet.descriptor >= 0
                 os.close(packet.descriptor)
                 nursery.cancel_scope.cancel()
-        for one in (ours, theirs):
-            one.sock.close()
+        for control_socket in (sender, receiver):
+            control_socket.sock.close()
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
-def test_what_was_learned_is_taken_over_as_it_was() -> None:
-    """Through the wire's messages: health, pace, slots, cold turns, bans; not of a server started since."""
+def test_learned_state_is_restored_from_the_encoded_snapshot() -> None:
+    """Health, pace, slots, slow start and bans are the same after encoding and decoding.
+
+    The state of a server that has been restarted since is not restored.
+    """
     conf = settings(balancers=1)
-    one, two = Balancer(conf, 1, 1_000_000), Balancer(conf, 2, 1_000_000)
+    predecessor, successor = Balancer(conf, 1, 1_000_000), Balancer(conf, 2, 1_000_000)
     rows = [entry(0), entry(2), entry(4, ready=900_000)]
-    one.handle(1_000_000, [EndpointsChanged("all", rows)])
+    predecessor.handle(1_000_000, [EndpointsChanged("all", rows)])
     for number in range(60):
-        for action in one.handle(1_000_000 + number * 50_000, [RequestReceived(number, "safe", 5_000_000)]):
+        for action in predecessor.handle(
+            1_000_000 + number * 50_000, [RequestReceived(number, "safe", 5_000_000)]
+        ):
             if isinstance(action, Dispatch):
                 outcome = Outcome.CONNECT_FAILED if action.endpoint == "w2" else Outcome.OK
-                one.handle(
-                    one.parts.context.now_us,
+                predecessor.handle(
+                    predecessor.parts.context.now_us,
                     [AttemptEnded(number, 0, outcome, 30_000, False, [1.0, 7.0], action.endpoint)],
                 )
-    one.handle(one.parts.context.now_us, [MaintenanceChanged("w4", True)])
+    predecessor.handle(predecessor.parts.context.now_us, [MaintenanceChanged("w4", True)])
     assert (
-        one.parts.endpoints.by_name["w2"].failures.ejected_until_us > one.parts.context.now_us
-        and one.parts.endpoints.kinds["k1"].capacity.slots > 4
+        predecessor.parts.endpoints.by_name["w2"].failures.ejected_until_us > predecessor.parts.context.now_us
+        and predecessor.parts.endpoints.kinds["k1"].capacity.slots > 4
     )
     parts = [
         messages.decode(messages.encode(message))
-        for message in messages.state_messages(5, [], one.take_snapshot(), False)
+        for message in messages.state_messages(5, [], predecessor.take_snapshot(), False)
     ]
-    whole = parts[-1]
-    assert isinstance(whole, messages.StateComplete)
-    whole.learned.endpoints = [
-        one for part in parts[:-1] if isinstance(part, messages.StateChunk) for one in part.endpoints
+    final = parts[-1]
+    assert isinstance(final, messages.StateComplete)
+    final.learned.endpoints = [
+        endpoint
+        for part in parts[:-1]
+        if isinstance(part, messages.StateChunk)
+        for endpoint in part.endpoints
     ]
-    two.handle(
-        one.parts.context.now_us, [EndpointsChanged("remembered", [entry(0, ready=3_000_000), *rows[1:]])]
+    successor.handle(
+        predecessor.parts.context.now_us,
+        [EndpointsChanged("remembered", [entry(0, ready=3_000_000), *rows[1:]])],
     )
-    two.restore_snapshot(from_encoded(whole.learned))
-    assert two.take_snapshot().load == one.take_snapshot().load
+    successor.restore_snapshot(from_encoded(final.learned))
+    assert successor.take_snapshot().load == predecessor.take_snapshot().load
     for name in ("w2", "w4"):
-        mine, theirs = two.parts.endpoints.by_name[name], one.parts.endpoints.by_name[name]
+        restored, original = (
+            successor.parts.endpoints.by_name[name],
+            predecessor.parts.endpoints.by_name[name],
+        )
         assert (
-            mine.failures.ejected_until_us,
-            mine.slow_start.next_admission_at_us,
-            mine.run_time.pace,
-            mine.state,
+            restored.failures.ejected_until_us,
+            restored.slow_start.next_admission_at_us,
+            restored.run_time.pace,
+            restored.state,
         ) == (
-            theirs.failures.ejected_until_us,
-            theirs.slow_start.next_admission_at_us,
-            theirs.run_time.pace,
-            theirs.state,
+            original.failures.ejected_until_us,
+            original.slow_start.next_admission_at_us,
+            original.run_time.pace,
+            original.state,
         )
     assert (
-        two.parts.endpoints.by_name["w0"].ready_at_us == 3_000_000
-        and two.parts.endpoints.by_name["w0"].run_time.pace == 1.0
+        successor.parts.endpoints.by_name["w0"].ready_at_us == 3_000_000
+        and successor.parts.endpoints.by_name["w0"].run_time.pace == 1.0
     )
     assert (
-        two.parts.endpoints.by_name["w4"].state == "draining"
-        and two.parts.endpoints.kinds["k1"].capacity.slots == one.parts.endpoints.kinds["k1"].capacity.slots
+        successor.parts.endpoints.by_name["w4"].state == "draining"
+        and successor.parts.endpoints.kinds["k1"].capacity.slots
+        == predecessor.parts.endpoints.kinds["k1"].capacity.slots
     )
-    assert {w.name for w in two.parts.endpoints.usable} == {"w0", "w2"}
+    assert {w.name for w in successor.parts.endpoints.usable} == {"w0", "w2"}
--- a/tests/test_handover_versions.py
+++ b/tests/test_handover_versions.py
@@ -1,6 +1,6 @@
-"""A hand-over between an earlier program and this one, in both directions.
+"""Handover between an earlier version and this one, in both directions.
 
-Packets of the earlier program are the golden ones, or plain maps in its form.
+The packets of the earlier version are the recorded ones in ``tests/golden``, or maps with its field names.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 }
 NOW_US = 77_000_000
 
-# What the earlier program sends and reads, field by field.
+# The messages that the earlier version sends and reads, field by field.
 HELLO = {"type": "Hello", "speaks": 1}
 SERVES = {"type": "Serves"}
 ENTRY = {
@@ -102,10 +102,10 @@
 
 
 class NewProcess:
-    """A process of this program, without its listener, steering and core."""
+    """A process of this version, with mocks for its listener and steering, and without a core."""
 
     def __init__(self, folder: Path) -> None:
-        self.path = folder / "meeting.sock"
+        self.path = folder / "handover.sock"
         inbox, self.received = trio.open_memory_channel[Message](9)
         self.listener, self.steering, clock = Mock(connections=set()), Mock(is_draining=True), Mock()
         clock.now_us.return_value = NOW_US
@@ -113,53 +113,53 @@
             self.path, inbox, self.listener, self.steering, LIMITS, Counters(), Log(9), clock
         )
 
-    async def relays_to_core(self) -> None:
-        """Check that what the earlier program relayed has come to the core."""
+    async def check_relayed_to_core(self) -> None:
+        """Check that the core has received the messages that the earlier version relayed."""
         assert await self.received.receive() == CallbackRelayed(AttemptStarted("text-1", "text-2"))
         assert await self.received.receive() == MaintenanceRequested("text-1", True, None)
 
 
 async def read(sock: trio.socket.SocketType) -> Any:
-    """Read a packet as the earlier program does: by its field names."""
+    """Return a packet as the earlier version reads it, a map by its field names."""
     return msgspec.msgpack.decode(await sock.recv(LIMITS.handover_packet_bytes))
 
 
-def run(scene: Callable[[], Awaitable[None]]) -> None:
-    """Run a scene within five seconds."""
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario, which must end within five seconds."""
 
     async def bounded() -> None:
         with trio.fail_after(5):
-            await scene()
+            await scenario()
 
     trio.run(bounded)
 
 
-def test_the_golden_packets_are_the_earlier_forms() -> None:
-    """So that the maps of this file are what an earlier program sent."""
-    whole = msgspec.msgpack.decode(PACKETS["whole"])
-    assert whole["learned"].pop("workers") and whole["learned"] == LEARNED
-    assert set(whole) == {"type", "version", "learned", "away", "clock_us"} and whole["type"] == "Whole"
-    part = {"type": "Part", "entries": [ENTRY], "workers": [WORKER]}
-    for name, form in {
+def test_recorded_packets_have_the_earlier_field_names() -> None:
+    """If the maps of this file were not the earlier version's messages, the other tests would be void."""
+    complete = msgspec.msgpack.decode(PACKETS["whole"])
+    assert complete["learned"].pop("workers") and complete["learned"] == LEARNED
+    assert set(complete) == {"type", "version", "learned", "away", "clock_us"} and complete["type"] == "Whole"
+    chunk = {"type": "Part", "entries": [ENTRY], "workers": [WORKER]}
+    for name, expected in {
         "hello": HELLO,
-        "part": part,
+        "part": chunk,
         "serves": SERVES,
         "unclaimed": UNCLAIMED,
         "banned": BANNED,
         "away": AWAY,
         "edge-given": EDGE_GIVEN,
     }.items():
-        assert msgspec.msgpack.decode(PACKETS[name]) == form
+        assert msgspec.msgpack.decode(PACKETS[name]) == expected
 
 
-def test_an_earlier_predecessor_is_succeeded(tmp_path: Path) -> None:
-    """Its state is inherited; its call-backs, bans, standby and connections are taken over until it ends."""
+def test_handover_from_an_earlier_version(tmp_path: Path) -> None:
+    """The successor reads the earlier version's state, call-backs, bans, standby and connections."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         new = NewProcess(tmp_path)
         successor = new.takeover.as_successor
 
-        async def earlier(listening: trio.socket.SocketType) -> None:
+        async def run_predecessor(listening: trio.socket.SocketType) -> None:
             sock, _ = await listening.accept()
             with sock:
                 assert await read(sock) == HELLO
@@ -173,14 +173,14 @@
 
         with await control_socket.listen(new.path) as listening:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(earlier, listening)
+                nursery.start_soon(run_predecessor, listening)
                 inherited = await successor.inherit()
-                await successor.follow()  # until the earlier process has ended
+                await successor.follow()  # returns once the earlier process has ended
         assert inherited is not None
         assert (inherited.list_version, inherited.is_standby, inherited.clock_us) == (1, True, 36)
         assert msgspec.to_builtins(inherited.entries) == [ENTRY]
         assert msgspec.to_builtins(to_encoded(inherited.snapshot)) == {**LEARNED, "workers": [WORKER]}
-        await new.relays_to_core()
+        await new.check_relayed_to_core()
         new.steering.set_draining.assert_called_once_with(True, relayed=True)
         ((sock, is_proven, calls_back),) = (call.args for call in new.listener.adopt.call_args_list)
         assert (is_proven, calls_back) == (True, True)
@@ -188,15 +188,18 @@
         sock.close()
         assert successor.predecessor is None
 
-    client, other = socket.socketpair()
-    with client, other:
-        run(scene)
+    client, peer = socket.socketpair()
+    with client, peer:
+        run(scenario)
 
 
-def test_an_earlier_successor_is_given_everything(tmp_path: Path) -> None:
-    """It reads the state, what is relayed, and connections by its own names; what it relays is heard."""
+def test_handover_to_an_earlier_version(tmp_path: Path) -> None:
+    """The earlier version reads the state, relayed messages and connections by its own field names.
 
-    async def scene() -> None:
+    The messages that it relays reach the core of this version.
+    """
+
+    async def scenario() -> None:
         new = NewProcess(tmp_path)
         predecessor = new.takeover.as_predecessor
         golden = msgspec.msgpack.decode(PACKETS["part"], type=messages.StateChunk)
@@ -212,13 +215,19 @@
             request.reply(from_encoded(learned))
             assert await read(sock) == {"type": "Part", "entries": [ENTRY], "workers": []}
             assert await read(sock) == {"type": "Part", "entries": [], "workers": [WORKER]}
-            bare = {**LEARNED, "workers": []}
-            whole = {"type": "Whole", "version": 4, "learned": bare, "away": True, "clock_us": NOW_US}
-            assert await read(sock) == whole
-            assert await predecessor.hand_over() is False  # it does not serve yet
+            learned_map = {**LEARNED, "workers": []}
+            complete = {
+                "type": "Whole",
+                "version": 4,
+                "learned": learned_map,
+                "away": True,
+                "clock_us": NOW_US,
+            }
+            assert await read(sock) == complete
+            assert await predecessor.hand_over() is False  # The successor does not serve yet.
             for name in ("serves", "unclaimed", "banned", "away"):
                 await sock.send(PACKETS[name])
-            await new.relays_to_core()
+            await new.check_relayed_to_core()
             await trio.testing.wait_all_tasks_blocked()
             new.steering.set_draining.assert_called_once_with(True, relayed=True)
             assert new.takeover.relay_callback(AttemptStarted("text-1", "text-2"))
@@ -226,16 +235,16 @@
             new.steering.on_operator_request(True)
             assert [await read(sock) for _ in range(3)] == [UNCLAIMED, BANNED, AWAY]
             assert await predecessor.hand_over() is True
-            (give,) = new.listener.hand_over.call_args.args
+            (transfer,) = new.listener.hand_over.call_args.args
             client, _ = pair = socket.socketpair()
-            assert give(Mock(stream=Mock(raw=client), has_served_request=True, carries_callbacks=True))
+            assert transfer(Mock(stream=Mock(raw=client), has_served_request=True, carries_callbacks=True))
             data, extra, _, _ = await sock.recvmsg(LIMITS.handover_packet_bytes, socket.CMSG_SPACE(4))
             assert msgspec.msgpack.decode(data) == EDGE_GIVEN
-            given = array.array("i", extra[0][2][:4])[0]
-            assert os.fstat(given).st_ino == os.fstat(client.fileno()).st_ino
-            os.close(given)
-            for one in (*pair, sock):
-                one.close()
+            descriptor = array.array("i", extra[0][2][:4])[0]
+            assert os.fstat(descriptor).st_ino == os.fstat(client.fileno()).st_ino
+            os.close(descriptor)
+            for open_socket in (*pair, sock):
+                open_socket.close()
             nursery.cancel_scope.cancel()
 
-    run(scene)
+    run(scenario)
