--- a/merlinbay/fleet/epoch_messages.py
+++ b/merlinbay/fleet/epoch_messages.py
@@ -38,7 +38,7 @@
     number: Any  # number of the proposed epoch; it is not validated, because it is only compared
     ballot: Ballot
     proposer: str
-    known: Epoch | None  # the proposer's current epoch
+    current_epoch: Epoch | None  # the proposer's current epoch
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     number: Any
     ballot: Ballot
     proposer: str
-    known: Epoch | None
+    current_epoch: Epoch | None
     value: tuple[str, ...]  # the proposed members
 
 
@@ -94,7 +94,7 @@
 class OtherEpoch:
     """The answer of an acceptor whose current epoch is not the proposer's."""
 
-    known: Epoch | None
+    current_epoch: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,20 +147,20 @@
         NUMBER: request.number,
         BALLOT: list(request.ballot),
         SENDER: request.proposer,
-        EPOCH: encode_epoch(request.known or Epoch()),
+        EPOCH: encode_epoch(request.current_epoch or Epoch()),
     }
 
 
 def decode_request(message: dict[str, Any]) -> EpochRequest:
     """Decode a request; an unknown phase is read as an ``Accept``, as older versions do."""
-    sender, known = str(message.get(SENDER)), decode_epoch(message.get(EPOCH))
+    sender, current_epoch = str(message.get(SENDER)), decode_epoch(message.get(EPOCH))
     number, ballot = message.get(NUMBER), _decode_ballot(message.get(BALLOT))
     match message.get(PHASE):
         case "learn":
-            return Learn(sender, known)
+            return Learn(sender, current_epoch)
         case "prepare":
-            return Prepare(number, ballot, sender, known)
-    return Accept(number, ballot, sender, known, _decode_members(message.get(VALUE)))
+            return Prepare(number, ballot, sender, current_epoch)
+    return Accept(number, ballot, sender, current_epoch, _decode_members(message.get(VALUE)))
 
 
 def encode_answer(answer: EpochAnswer) -> dict[str, Any]:
@@ -168,7 +168,7 @@
     if isinstance(answer, Learned):
         return {KIND: REQUEST_KIND_EPOCH, PHASE: "learnt"}
     if isinstance(answer, OtherEpoch):
-        epoch = encode_epoch(answer.known or Epoch())
+        epoch = encode_epoch(answer.current_epoch or Epoch())
         return {KIND: REQUEST_KIND_EPOCH, PHASE: "behind", EPOCH: epoch}
     body = {
         KIND: REQUEST_KIND_EPOCH,
--- a/merlinbay/fleet/epochs.py
+++ b/merlinbay/fleet/epochs.py
@@ -137,7 +137,7 @@
     def handle_answer(self, voter: str, answer: EpochAnswer | None) -> None:
         """Handle a voter's answer; None stands for a missing or malformed one."""
         if isinstance(answer, OtherEpoch):
-            self.learn(answer.known)
+            self.learn(answer.current_epoch)
             return
         proposal = self.proposal
         if answer is None or isinstance(answer, Learned) or proposal is None:
@@ -178,7 +178,7 @@
         if isinstance(request, Learn):
             self.learn(request.epoch)
             return Learned()
-        self.learn(request.known)
+        self.learn(request.current_epoch)
         number, ballot = request.number, request.ballot
         if number != self.epoch.number + 1:
             return OtherEpoch(self.epoch)
--- a/merlinbay/fleet/name_conflicts.py
+++ b/merlinbay/fleet/name_conflicts.py
@@ -35,22 +35,22 @@
         self._outbox, self._timers, self._events = outbox, timers, events
         self._pinged: dict[int, MemberState] = {}  # claimed states by the sequence number of their ping
 
-    def investigate(self, other: MemberState) -> None:
+    def investigate(self, claimed: MemberState) -> None:
         """Ping the address of another process; do nothing while such a ping awaits its answer."""
         if self._pinged:
             return
         sequence = self._outbox.next_sequence()
-        self._pinged[sequence] = other
-        self._gossip.send(other.addr, Ping(sequence, other.name), probed=other.name)
+        self._pinged[sequence] = claimed
+        self._gossip.send(claimed.addr, Ping(sequence, claimed.name), probed=claimed.name)
         self._timers.schedule(self._settings.probe * ANSWER_PERIODS, self._pinged.clear)
 
     def handle_ack(self, ack: Ack) -> bool:
         """Handle an answer; return whether it belongs to a ping of ``investigate``."""
-        if (other := self._pinged.pop(ack.sequence, None)) is None:
+        if (claimed := self._pinged.pop(ack.sequence, None)) is None:
             return False
-        if ack.instance == other.instance:
-            self._local.is_silenced |= self._local.state.instance < other.instance
+        if ack.instance == claimed.instance:
+            self._local.is_silenced |= self._local.state.instance < claimed.instance
             silenced = "; this process stops announcing itself" if self._local.is_silenced else ""
-            text = f"the name is also used at {other.addr}{silenced}"
+            text = f"the name is also used at {claimed.addr}{silenced}"
             self._events.record(MembershipEventKind.CONFLICT, self._local.name, text)
         return True
--- a/merlinbay/fleet/random_walk.py
+++ b/merlinbay/fleet/random_walk.py
@@ -78,9 +78,9 @@
         elif roll < 0.95:
             # Each node regards itself as the first of the present voters, so that many propose concurrently.
             present = {
-                voter_id(other, str(self.lost_disk_counts[other])): True
-                for other in self.names
-                if other >= name or rng.random() < 0.2
+                voter_id(peer, str(self.lost_disk_counts[peer])): True
+                for peer in self.names
+                if peer >= name or rng.random() < 0.2
             }
             node.tick(self.now_s, present, 0.0)
         self._collect(name)
