--- a/merlinbay/decision/balancer.py
+++ b/merlinbay/decision/balancer.py
@@ -118,7 +118,7 @@
         request = self._new_request(event)
         decay = self.parts.offered.count_arrival()
         self.parts.load.smooth_in_flight(decay)
-        self.parts.load.weigh_peer_reports()
+        self.parts.load.update_median_peer_share()
         self.parts.load.recount_if_due()
         self.parts.offered.learn_mean_request(request)
         self._decide(request)
@@ -166,7 +166,7 @@
         self.parts.requests.start_attempt(request, attempt)
         self.parts.capacity.learn_from_start(attempt.endpoint, was_late, running_before)
         self.parts.dispatching.cancel_waiting(request, attempt)
-        self.parts.hedging.watch_run(request, attempt, event.attempt)
+        self.parts.hedging.schedule_run_check(request, attempt, event.attempt)
 
     def _on_execution_paused(self, event: ExecutionPaused) -> None:
         # Guards against a suspended request that makes its endpoint look slow, or gets a hedge.
@@ -180,7 +180,7 @@
             self.parts.requests.pause_attempt(attempt)
         else:
             self.parts.requests.resume_attempt(attempt)
-            self.parts.hedging.watch_resumed(request, attempt, event.attempt)
+            self.parts.hedging.schedule_check_after_resume(request, attempt, event.attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         found = self.parts.requests.find(event.id, event.attempt)
@@ -216,7 +216,7 @@
         request = self.parts.health_checks.take_waiting(event.endpoint)
         if endpoint is not None:
             self.parts.outliers.note_health_check(endpoint, is_ok)
-        self.parts.reports.take(event, is_awaited=request is not None)
+        self.parts.reports.apply_report(event, is_awaited=request is not None)
         if request is not None:
             self.parts.health_checks.add_answer(request, endpoint if is_ok else None)
             self.parts.dispatching.decide(request)
@@ -226,8 +226,8 @@
             self.parts.context.emit_all(self.parts.polling.poll_if_due(self.parts.context.now_us))
         for request, number in self.parts.timers.take_due():
             if number != HEALTH_CHECKS:
-                self.parts.hedging.check(request, number)
-            elif self.parts.health_checks.give_up(request):  # an answer is lost or late
+                self.parts.hedging.check_attempt(request, number)
+            elif self.parts.health_checks.stop_waiting(request):  # an answer is lost or late
                 self.parts.dispatching.decide(request)
         self.parts.timers.set_next()
 
@@ -271,7 +271,7 @@
         before = self.parts.context.settings.balancers
         self.parts.context.set_balancer_count(event.count, event.me)
         if self.parts.context.settings.balancers > before:
-            self.parts.slow_start.balancers_were_added()
+            self.parts.slow_start.postpone_admissions()
         self.parts.polling.set_balancer_count(event.me, self.parts.context.settings.balancers)
 
     def _on_maintenance_changed(self, event: MaintenanceChanged) -> None:
@@ -290,4 +290,4 @@
     def _begin_warm_up(self, endpoint: Endpoint) -> None:
         """Take it that an endpoint has just started, empty."""
         self.parts.load.observe_peers(endpoint, 0.0)
-        self.parts.slow_start.begin(endpoint)
+        self.parts.slow_start.schedule_first_admission(endpoint)
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -12,22 +12,22 @@
 from merlinbay.decision.eligibility import Eligibility
 from merlinbay.decision.endpoint_state import Endpoint
 from merlinbay.decision.endpoints import Endpoints
-from merlinbay.decision.load_estimates import SPREAD_SHARE, LoadEstimates
+from merlinbay.decision.load_estimates import UNCERTAINTY_MARGIN, LoadEstimates
 from merlinbay.decision.request_state import TrackedRequest
 from merlinbay.decision.run_times import RunTimes
 from merlinbay.decision.slow_start import SlowStart
 
 SAMPLE_SIZE = 8  # endpoints sampled for one request: bounds its cost at any fleet size
 AFFINITY_ENDPOINTS = 2  # endpoints over all zones that a key prefers after its first in the own zone
-CACHED_KEYS = 4096  # keys whose endpoints are remembered, to save hashing the fleet anew
-CROSSING_WEIGHT = 0.02  # weight of one request in the share that crosses zones
+MAX_CACHED_KEYS = 4096  # keys whose endpoints are remembered, to save hashing the fleet anew
+CROSS_ZONE_SHARE_WEIGHT = 0.02  # weight of one request in the share that crosses zones
 
 
 class Candidate(NamedTuple):
     """An endpoint that may be chosen, and its free slots; below 0, so many wait."""
 
     endpoint: Endpoint
-    free: float
+    free_slots: float
 
 
 class Placement:
@@ -76,20 +76,21 @@
         ]
 
     def choose(
-        self, request: TrackedRequest, free_only: bool = False, spread_share: float = SPREAD_SHARE
+        self, request: TrackedRequest, free_only: bool = False, uncertainty_margin: float = UNCERTAINTY_MARGIN
     ) -> Endpoint | None:
         """Return an endpoint with free slots for the request, else one under its gate; nearer ones first.
 
-        ``free_only``: none where the request would wait. ``spread_share``: see ``LoadEstimates.free_slots``.
+        ``free_only``: none where the request would wait. ``uncertainty_margin``: see
+        ``LoadEstimates.free_slots``.
         """
         own_zone = self._context.settings.zone
         waits_for_checks = request.health_check_replies or request.pending_health_checks
-        batches = self._checked(request) if waits_for_checks else self.candidate_batches(request)
+        batches = self._health_checked(request) if waits_for_checks else self.candidate_batches(request)
         gates: dict[int, float] = {}  # by kind: how many may wait
         best, near, best_rank = None, None, (True, math.inf)
         for batch in batches:
             for endpoint in self._eligibility.eligible(request, batch):
-                free = self._free_for(request, endpoint, spread_share)
+                free = self._free_for(request, endpoint, uncertainty_margin)
                 rank = (self._run_times.is_slow(endpoint), -free)
                 if rank >= best_rank:
                     continue
@@ -99,16 +100,16 @@
                     if not self._may_wait(request, endpoint, free, gates):
                         continue
                 best, best_rank = Candidate(endpoint, free), rank
-            if best is not None and (best.free >= request.slots or request.key):
+            if best is not None and (best.free_slots >= request.slots or request.key):
                 break
             if best is not None and best.endpoint.zone == own_zone:
                 near = best
         return self._weigh_crossing(request, best, near)
 
-    def _free_for(self, request: TrackedRequest, endpoint: Endpoint, spread_share: float) -> float:
+    def _free_for(self, request: TrackedRequest, endpoint: Endpoint, uncertainty_margin: float) -> float:
         if request.uses_reservation:
             return endpoint.reserved_slots
-        return self._load.free_slots(endpoint, spread_share)
+        return self._load.free_slots(endpoint, uncertainty_margin)
 
     def _may_wait(
         self, request: TrackedRequest, endpoint: Endpoint, free: float, gates: dict[int, float]
@@ -133,7 +134,7 @@
             return best.endpoint
         return near.endpoint if near else None
 
-    def _checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
+    def _health_checked(self, request: TrackedRequest) -> list[list[Endpoint]]:
         """Return the endpoints that answered the request's health checks.
 
         Where crossings cost, those of other zones count only once all have answered.
@@ -148,7 +149,7 @@
     def _preferred(self, key: str, near: list[Endpoint], far: list[Endpoint]) -> list[Endpoint]:
         """Return the endpoints that a key prefers, by highest hash: the same at every balancer."""
         if key not in self._affinity:
-            if len(self._affinity) >= CACHED_KEYS:
+            if len(self._affinity) >= MAX_CACHED_KEYS:
                 self._affinity.clear()
             seed, own_zone = zlib.crc32(key.encode()), self._context.settings.zone
             ranked = sorted(
@@ -159,7 +160,7 @@
             self._affinity[key] = first + others[:AFFINITY_ENDPOINTS]
         return self._affinity[key]
 
-    def cached_keys(self) -> int:
+    def cached_key_count(self) -> int:
         """Return for how many keys endpoints are remembered."""
         return len(self._affinity)
 
@@ -170,4 +171,4 @@
     def note_dispatch(self, endpoint: Endpoint) -> None:
         """Count a dispatch in the share that crosses zones."""
         crosses = endpoint.zone != self._context.settings.zone
-        self.cross_zone_share += (crosses - self.cross_zone_share) * CROSSING_WEIGHT
+        self.cross_zone_share += (crosses - self.cross_zone_share) * CROSS_ZONE_SHARE_WEIGHT
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -64,8 +64,8 @@
 class ConnectionTransfer(msgspec.Struct, tag="EdgeGiven", frozen=True):
     """A client connection without a request under way, whose descriptor the packet carries."""
 
-    is_proven: bool = msgspec.field(name="proven")  # argument of ``http.server.Listener.adopt``
-    calls_back: bool  # argument of ``http.server.Listener.adopt``
+    is_proven: bool = msgspec.field(name="proven")  # argument of ``http.server.Listener.add_connection``
+    calls_back: bool  # argument of ``http.server.Listener.add_connection``
 
 
 HandoverMessage = (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,7 +23,19 @@
 from merlinbay.handover.snapshot_codec import from_encoded
 from merlinbay.http.client import ClientConnection
 from merlinbay.http.connection import Request, Response
-from tests.net import LIMITS, LOAD, ROOT, Play, Stage, StandIn, admission, free_port, play, serves, stage
+from tests.net import (
+    LIMITS,
+    LOAD_REPORT,
+    ROOT,
+    FakeServer,
+    NodeFixture,
+    ServerBehaviour,
+    admission_headers,
+    completes_job,
+    free_port,
+    node_fixture,
+    run_scenario,
+)
 from tests.support import entry, settings
 
 
@@ -31,7 +43,7 @@
 class ProcessGroup:
     """The platform's listening socket, and the processes of the node that it starts on it."""
 
-    stage: Stage
+    fixture: NodeFixture
     environ: dict[str, str]
     sock: socket.socket
     processes: list[trio.Process] = field(default_factory=list)
@@ -45,7 +57,7 @@
             **self.environ,
             "LB_ACCEPT_FD": str(self.sock.fileno()),
             "LB_ADMIN_ADDR": f"127.0.0.2:{port}",
-            "TMPDIR": str(self.stage.folder),
+            "TMPDIR": str(self.fixture.folder),
         }
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "merlinbay"], cwd=ROOT, env=environ, pass_fds=[self.sock.fileno()]
@@ -54,7 +66,7 @@
         self.admin_ports.append(port)
         while wait:
             try:
-                if (await self.stage.operate("status", port)).startswith("SUCCESS"):
+                if (await self.fixture.admin_call("status", port)).startswith("SUCCESS"):
                     break
             except OSError:
                 pass
@@ -66,14 +78,14 @@
 
 
 def run_with_processes(
-    folder: Path, scenario: Scenario, discovery: str = "subscribe", **servers: Play
+    folder: Path, scenario: Scenario, discovery: str = "subscribe", **servers: ServerBehaviour
 ) -> None:
     """Run a scenario with a listening socket and the given servers, and end its processes by their ids."""
 
     async def whole() -> None:
-        async with stage(folder) as s:
+        async with node_fixture(folder) as s:
             for name, handler in servers.items():
-                s.add(name, handler)
+                s.add_server(name, handler)
             with socket.create_server(("127.0.0.2", s.port)) as sock:
                 group = ProcessGroup(s, s.configure(discovery=discovery), sock)
                 try:
@@ -83,15 +95,15 @@
                         if process.poll() is None:
                             process.kill()
 
-    play(whole)
+    run_scenario(whole)
 
 
 async def send_request(connection: ClientConnection, name: str) -> int:
     """Send a request on a kept connection; return the status of its answer."""
-    return (await connection.exchange("POST", "/admit", admission(name, 3000), b"seat")).status
+    return (await connection.exchange("POST", "/admit", admission_headers(name, 3000), b"seat")).status
 
 
-async def send_concurrently(s: Stage, name: str) -> None:
+async def send_concurrently(s: NodeFixture, name: str) -> None:
     """Send requests concurrently, so that more than one server is used, until all are served."""
 
     async def send_until_served(number: int) -> None:
@@ -106,12 +118,12 @@
                 nursery.start_soon(send_until_served, number)
 
 
-async def hold_one_request(server: StandIn, request: Request) -> Response | None:
+async def hold_one_request(server: FakeServer, request: Request) -> Response | None:
     """Serve all requests except the one named ``held``, which starts and which the test completes."""
     name = request.headers.get("x-request-id", "")
     if request.method != "POST" or name != "held":
-        return await serves(server, request)
-    server.stage.nursery.start_soon(server.tell, name, "started")
+        return await completes_job(server, request)
+    server.fixture.nursery.start_soon(server.send_event, name, "started")
     return Response(202)
 
 
@@ -122,7 +134,7 @@
     """
 
     async def scenario(group: ProcessGroup) -> None:
-        s = group.stage
+        s = group.fixture
         old, _ = await group.start()
         kept, busy = [await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS) for _ in range(2)]
         assert await send_request(kept, "first") == 200
@@ -137,7 +149,7 @@
                 holders := [
                     server
                     for server in s.servers
-                    if any(request.headers.get("x-request-id") == "held" for _, request in server.seen)
+                    if any(request.headers.get("x-request-id") == "held" for _, request in server.received)
                 ]
             ):
                 await trio.sleep(0.01)
@@ -148,8 +160,8 @@
                 assert (await s.admit(f"new-{number}", 3000)).status == 200
             assert old.poll() is None and not ends  # The old process still waits for its request.
             for _ in range(3):  # Each call-back has a connection of its own, to the new process.
-                await holders[0].tell("held", "running", share=0.5)
-            await holders[0].tell("held", "done", result="x", load=LOAD)
+                await holders[0].send_event("held", "running", share=0.5)
+            await holders[0].send_event("held", "done", result="x", load=LOAD_REPORT)
         assert ends == [200]
         with trio.fail_after(2):
             assert await old.wait() == 0
@@ -167,31 +179,32 @@
     """
 
     async def scenario(group: ProcessGroup) -> None:
-        s = group.stage
+        s = group.fixture
         old, _ = await group.start()
-        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
-        s.change("c", state="DELETED")
+        assert (await s.admin_call("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
+        s.update_server("c", state="DELETED")
         await trio.sleep(0.3)
         _, admin_port = await group.start()
-        assert (await s.operate("maint-on b", group.admin_ports[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on b", group.admin_ports[0])).startswith("SUCCESS")
         await trio.sleep(0.1)
-        before = [len(s.stand(name).targets()) for name in "abc"]
+        before = [len(s.server(name).targets()) for name in "abc"]
         await send_concurrently(s, "both")  # both processes serve these requests
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         await send_concurrently(s, "new")
-        assert [len(s.stand(name).targets()) for name in "abc"] == before
-        assert (await s.operate("standby", admin_port)).startswith("SUCCESS")
+        assert [len(s.server(name).targets()) for name in "abc"] == before
+        assert (await s.admin_call("standby", admin_port)).startswith("SUCCESS")
         await group.start()
         assert (await s.call("GET", "/-/ready")).status == 503
-        assert (await s.operate("active", group.admin_ports[-1])).startswith("SUCCESS")
-        assert (await s.operate("maint-off a", group.admin_ports[-1])).startswith("SUCCESS")
+        assert (await s.admin_call("active", group.admin_ports[-1])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-off a", group.admin_ports[-1])).startswith("SUCCESS")
         await trio.sleep(0.1)
-        assert [(await s.call("GET", "/-/ready")).status for _ in range(6)] == [
-            200
-        ] * 6  # answers of either process
+        # Both processes answer these calls.
+        assert [(await s.call("GET", "/-/ready")).status for _ in range(6)] == [200] * 6
 
-    run_with_processes(tmp_path, scenario, discovery, a=serves, b=serves, c=serves, d=serves)
+    run_with_processes(
+        tmp_path, scenario, discovery, a=completes_job, b=completes_job, c=completes_job, d=completes_job
+    )
 
 
 def test_node_whose_successor_has_died_stops_like_one_without_successor(tmp_path: Path) -> None:
@@ -199,7 +212,7 @@
 
     async def scenario(group: ProcessGroup) -> None:
         old, _ = await group.start()
-        kept = await ClientConnection.connect(f"127.0.0.2:{group.stage.port}", LIMITS)
+        kept = await ClientConnection.connect(f"127.0.0.2:{group.fixture.port}", LIMITS)
         assert await send_request(kept, "first") == 200
         dead, _ = await group.start()
         dead.kill()
@@ -211,14 +224,14 @@
             # 503 sends some clients away, as without a successor.
             assert await send_request(kept, f"kept-{number}") in (200, 503)
 
-    run_with_processes(tmp_path, scenario, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=completes_job, b=completes_job)
 
 
 def test_death_of_a_successor_does_not_affect_the_node(tmp_path: Path) -> None:
     """The old process serves on, and the next successor takes over from it."""
 
     async def scenario(group: ProcessGroup) -> None:
-        s = group.stage
+        s = group.fixture
         old, _ = await group.start()
         kept = await ClientConnection.connect(f"127.0.0.2:{s.port}", LIMITS)
         assert await send_request(kept, "first") == 200
@@ -227,14 +240,14 @@
         await dead.wait()
         await trio.sleep(0.1)
         assert await send_request(kept, "second") == 200 and (await s.admit("third")).status == 200
-        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
         _, _admin_port = await group.start()
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         assert await send_request(kept, "fourth") == 200
-        assert s.stand("b").seen[-1][1].headers["x-request-id"] == "fourth"
+        assert s.server("b").received[-1][1].headers["x-request-id"] == "fourth"
 
-    run_with_processes(tmp_path, scenario, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=completes_job, b=completes_job)
 
 
 @pytest.mark.parametrize("obstacle", ["stopped", "garbage", "nobody"])
@@ -242,9 +255,9 @@
     """The old process hangs, a file is in place of its socket, or it died and left its socket behind."""
 
     async def scenario(group: ProcessGroup) -> None:
-        s = group.stage
+        s = group.fixture
         old, _ = await group.start()
-        assert (await s.operate("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
+        assert (await s.admin_call("maint-on a", group.admin_ports[0])).startswith("SUCCESS")
         if obstacle == "stopped":
             old.send_signal(signal.SIGSTOP)
         else:
@@ -262,7 +275,7 @@
         for number in range(5):
             assert (await s.admit(f"job-{number}")).status == 200
 
-    run_with_processes(tmp_path, scenario, a=serves, b=serves)
+    run_with_processes(tmp_path, scenario, a=completes_job, b=completes_job)
 
 
 def test_message_that_is_too_long_does_not_block_later_ones() -> None:
