--- a/merlinbay/fleet/epoch_agreement.py
+++ b/merlinbay/fleet/epoch_agreement.py
@@ -2,7 +2,7 @@
 
 It checks periodically whether the members have changed, sends the requests of ``EpochConsensus``, passes the
 answers back, and reports chosen, forced and conflicting epochs as events. A voter that does not answer is
-missing in the count of the round. A vote that cannot be stored is not given.
+not counted in the round. A vote that cannot be stored is not given.
 """
 
 from __future__ import annotations
@@ -30,9 +30,7 @@
 from merlinbay.fleet.settings import FleetSettings
 from merlinbay.fleet.timers import ViewTimers
 
-CHECK_INTERVAL_S = (
-    0.5  # between two checks of the member table, multiplied by a random factor from 0.5 to 1.5
-)
+CHECK_INTERVAL_S = 0.5  # mean pause between checks of the member table; the factor is 0.5 to 1.5 at random
 
 
 class VoteNotStoredError(Exception):
--- a/merlinbay/fleet/local_member.py
+++ b/merlinbay/fleet/local_member.py
@@ -64,7 +64,7 @@
         self.health_score = max(0, self.health_score - 1)
 
     def refute(self, claimed: MemberState) -> bool:
-        """Refute a claim about this node by a higher incarnation, unless it is outdated or true.
+        """Refute a claim about this node by a higher incarnation, if it is neither outdated nor true.
 
         Returns whether the claim suggests that a live process at another address has the same name.
         """
--- a/merlinbay/fleet/net.py
+++ b/merlinbay/fleet/net.py
@@ -101,10 +101,8 @@
     async def _send_datagram(self, addr: str, data: bytes) -> None:
         try:
             await self._udp.sendto(data, parse_address(addr))
-        except (
-            OSError,
-            ConfigurationError,
-        ):  # The network is down, or a member announced a malformed address.
+        except (OSError, ConfigurationError):
+            # The network is down, or a member has announced a malformed address.
             self._counters.add("fleet_sends_failed")
 
     async def _receive_datagrams(self) -> None:
--- a/merlinbay/fleet/scenarios.py
+++ b/merlinbay/fleet/scenarios.py
@@ -21,9 +21,8 @@
 CONVERGENCE_S = 75.0  # time after the faults within which all views of up to nine nodes become the same
 LOSSLESS_S = 35.0  # last part of the convergence time, in which no packet is lost
 AFTERMATH_S = 40.0  # time after a fault for which nodes may still act on outdated states
-DISSEMINATION_S = (
-    6.5  # time of a push/pull and rounds of gossip, after which a death is known to all without loss
-)
+# Time for a push/pull and rounds of gossip, within which a death becomes known to all if nothing is lost.
+DISSEMINATION_S = 6.5
 # Share of the scenarios with a single fault that affects no other node. These have the strictest checks.
 SINGLE_FAULT_SHARE = 0.4
 FOREVER_S = 1e9
@@ -207,7 +206,7 @@
 
 
 def run_scenario(seed: int, check: bool = True) -> FleetSimulation:
-    """Run the scenario of a seed: faults for about a minute, then time to converge without faults.
+    """Run the scenario of a seed: faults for about a minute, then time to converge.
 
     Raises ``InvariantViolationError`` unless ``check`` is off.
     """
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -221,7 +221,7 @@
         old.send_signal(signal.SIGTERM)
         for number in range(20):
             await trio.sleep(0.05)
-            # 503 sends some clients away, as without a successor.
+            # Some requests are rejected, as without a successor.
             assert await send_request(kept, f"kept-{number}") in (200, 503)
 
     run_with_processes(tmp_path, scenario, a=completes_job, b=completes_job)
