--- a/merlinbay/core/attempt_lifecycle.py
+++ b/merlinbay/core/attempt_lifecycle.py
@@ -68,7 +68,7 @@
         """Set the node's other process, to which callbacks for its requests are relayed."""
         self.peer = peer
 
-    # Dispatch.
+    # Start of attempts.
 
     def dispatch(self, request: OpenRequest, action: Dispatch) -> None:
         """Start an attempt, or end it at once as ``MOOT`` if it must not start any more."""
@@ -187,7 +187,7 @@
             self.request_lifecycle.answer(request, answer)
         self.end(attempt, Outcome.CANCELLED, report=message.report)
 
-    # Ends.
+    # End of attempts.
 
     def end(
         self,
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -37,7 +37,7 @@
     """Discovery has answered with a status other than 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"expected status 200, got {status}")
         self.status = status
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -107,18 +107,18 @@
     while (number := next(offers, None)) is not None or due:
         if number is not None:
             where.append(offer(check, number))
-        for running, job in check.requests.items():
+        for job_number, job in check.requests.items():
             for copy, sent in enumerate(job.attempts):  # each attempt starts at once
-                if running in numbers and not sent.outcome and (running, copy) not in due:
-                    check.deliver(ExecutionStarted(running, copy))
-                    due[running, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
+                if job_number in numbers and not sent.outcome and (job_number, copy) not in due:
+                    check.deliver(ExecutionStarted(job_number, copy))
+                    due[job_number, copy] = check.now + int(50_000 * (times if sent.endpoint == slow else 1))
         check.pass_time(10_000)
-        for (running, copy), at in list(due.items()):
-            if check.requests[running].attempts[copy].outcome:  # cancelled
-                del due[running, copy]
+        for (job_number, copy), at in list(due.items()):
+            if check.requests[job_number].attempts[copy].outcome:  # cancelled
+                del due[job_number, copy]
             elif at <= check.now:
-                del due[running, copy]
-                end(check, running, 1, copy, report=[1, 3])
+                del due[job_number, copy]
+                end(check, job_number, 1, copy, report=[1, 3])
     return where
 
 
