--- a/merlinbay/control/__init__.py
+++ b/merlinbay/control/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated configuration: a log kept by a few voters, and its distribution to all members. No I/O."""
+"""The replicated configuration without I/O: a log kept by a few voters and distributed to all members."""
--- a/merlinbay/control/consensus/__init__.py
+++ b/merlinbay/control/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft (Ongaro 2014) without I/O: the parts that ``merlinbay.control.voter`` is put together from."""
+"""Raft (Ongaro 2014) without I/O: the parts of which ``merlinbay.control.voter`` consists."""
--- a/merlinbay/control/consensus/election.py
+++ b/merlinbay/control/consensus/election.py
@@ -1,4 +1,8 @@
-"""Elections: timers, preliminary votes, votes, the first election of all (Ongaro 2014, 3.4, 4.2.3, 9.6)."""
+"""Elections of one voter: preliminary votes, votes and the first election (Ongaro 2014, 3.4, 4.2.3, 9.6).
+
+``Voter`` calls this module when the election timer expires and when a vote request or a response arrives.
+A candidacy that is not won ends when its timer expires; a new preliminary election follows.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +13,19 @@
 
 
 class Election:
-    """Elections as one voter sees them: as a candidate and as a voter."""
+    """The elections of one voter, as a candidate and as a voter that is asked for its vote."""
 
     def __init__(self, raft: RaftState) -> None:
         self.raft = raft
         self.granted: set[VoterIdentity] = set()
-        self.founding: tuple[str, ...] = ()  # initial voters, in the first election of all
+        self.founding: tuple[str, ...] = ()  # names of the initial voters in the first election, else empty
 
     @property
     def is_founder(self) -> bool:
-        """Return whether this voter may found the first configuration: one voter may, and none exists."""
+        """Return whether this voter may stand in the first election, which creates the first configuration.
+
+        Only the initial voter with the lowest name may, and only while no configuration exists.
+        """
         initial = self.raft.settings.initial_voters
         return not self.raft.log.configuration.members and bool(initial) and self.raft.name == min(initial)
 
@@ -28,7 +35,7 @@
         return self.raft.is_member or self.is_founder
 
     def start(self, role: VoterRole, transfer: bool = False) -> bool:
-        """Become a candidate, preliminary or real; return whether the election is already won."""
+        """Become a preliminary or real candidate; return whether the election is already won."""
         raft = self.raft
         raft.become(role)
         raft.set_leader("")
@@ -49,18 +56,19 @@
     def is_won(self) -> bool:
         """Return whether enough votes were granted."""
         if self.founding:
-            # Guards against a second first configuration: a voter that lost its disk grants this vote too.
+            # All initial voters have to grant this vote. A voter that lost its disk grants it too, so a
+            # majority could create a second first configuration.
             return {member.name for member in self.granted} >= set(self.founding)
         configuration = self.raft.log.configuration
         return len(self.granted.intersection(configuration.members)) >= configuration.quorum
 
     def founders(self) -> tuple[VoterIdentity, ...]:
-        """Return the members of the first configuration: one incarnation of each voter."""
+        """Return the members of the first configuration, with one incarnation of each voter."""
         by_name = {member.name: member for member in self.granted}
         return tuple(by_name[name] for name in sorted(by_name))
 
     def on_response(self, sender: VoterIdentity, response: VoteResponse) -> bool:
-        """Count a vote; return whether the election is won with it."""
+        """Count a vote; return whether it wins the election."""
         raft = self.raft
         expected = VoterRole.PRE_CANDIDATE if response.pre else VoterRole.CANDIDATE
         if not response.granted:
@@ -68,17 +76,18 @@
                 raft.step_down(response.term)
             return False
         term = raft.term + 1 if response.pre else raft.term
-        # Guards against a late vote for an earlier disk of this voter.
+        # Ignores late votes: those for an earlier candidacy or for an earlier disk of this voter.
         if raft.role is not expected or response.term != term or response.candidate != raft.identity:
             return False
         self.granted.add(sender)
         return self.is_won()
 
     def on_request(self, candidate: VoterIdentity, request: VoteRequest) -> None:
-        """Answer a candidate."""
+        """Answer a candidate's vote request."""
         raft = self.raft
         if self._has_leader() and not request.transfer:
-            # Guards a working leader against a voter that is cut off from it: the term is not adopted either.
+            # Neither grants the vote nor adopts the term, so that a voter that is cut off from a working
+            # leader cannot depose it.
             self._answer(candidate, request, granted=False)
             return
         if request.term > raft.term and not request.pre:
@@ -92,7 +101,7 @@
     def _has_leader(self) -> bool:
         raft = self.raft
         if raft.role is VoterRole.LEADER:
-            return True  # its lease ends that, see Voter
+            return True  # until its lease ends, see ``Voter``
         return raft.now - raft.heard_leader_at < raft.settings.election_timeout_s
 
     def _would_grant(self, candidate: VoterIdentity, request: VoteRequest) -> bool:
--- a/merlinbay/control/consensus/follower_replication.py
+++ b/merlinbay/control/consensus/follower_replication.py
@@ -1,4 +1,8 @@
-"""The follower's side of replication: entries and snapshots of a leader (Ongaro 2014, 3.5 and 5)."""
+"""The follower's side of replication: entries and snapshots of a leader (Ongaro 2014, 3.5 and 5).
+
+``Voter`` calls this module for each message of the leader of the current term. Entries that do not match the
+log are answered with a hint where it may match; a snapshot that cannot be installed is dropped and counted.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +19,12 @@
 from merlinbay.control.consensus.records import decode_snapshot
 from merlinbay.control.keyspace import SnapshotError
 
-MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # a voter's whole memory budget
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # equals the whole memory budget of a voter
 
 
 @dataclass(slots=True)
 class SnapshotAssembly:
-    """A snapshot of which some chunks were received."""
+    """A snapshot that is being received in chunks."""
 
     leader: str
     term: int
@@ -40,7 +44,8 @@
         raft = self.raft
         previous, entries = request.previous_index, request.entries
         if previous < raft.commit_index:
-            # Committed entries are the same on both sides: those of an old or repeated message are skipped.
+            # Committed entries are the same at the leader and here, so those in an old or repeated message
+            # are skipped.
             end = previous + len(entries)
             entries = entries[raft.commit_index - previous :]
             previous = raft.commit_index
@@ -55,14 +60,20 @@
         self._answer(leader, request, matched, success=True)
 
     def _hint(self, previous: int) -> int:
-        """Return where the logs may match: before the whole conflicting term, so that retries are few."""
+        """Return the index at or before which the logs may match.
+
+        It lies before all adjacent entries of the conflicting term, so that few retries are needed.
+        """
         log = self.raft.log
         if previous > log.last_index:
             return log.last_index
         return max(log.first_index_of_term(previous) - 1, self.raft.commit_index)
 
     def _add(self, entries: tuple[LogEntry, ...]) -> None:
-        """Append from the first conflicting entry on. Matching entries stay, also beyond the message."""
+        """Append the entries from the first conflicting one on.
+
+        Where all entries match, the log stays as it is, including its entries after those of the message.
+        """
         for position, entry in enumerate(entries):
             if self.raft.log.term_at(entry.index) != entry.term:
                 self.raft.append(list(entries[position:]))
@@ -72,7 +83,7 @@
         self.raft.send(leader, AppendResponse(self.raft.term, request.round, index, success))
 
     def on_snapshot(self, leader: str, request: SnapshotRequest) -> None:
-        """Add a chunk; install the snapshot with the last one."""
+        """Add a chunk of a snapshot; install the snapshot when its last chunk has arrived."""
         raft = self.raft
         if request.index <= raft.commit_index:
             self.assembly = None
@@ -90,10 +101,14 @@
         self._answer_snapshot(leader, request, len(assembly.data), installed=False)
 
     def _assembly(self, leader: str, request: SnapshotRequest) -> SnapshotAssembly:
-        found = self.assembly
-        if found is None or (found.leader, found.term, found.index) != (leader, request.term, request.index):
-            found = self.assembly = SnapshotAssembly(leader, request.term, request.index)
-        return found
+        current = self.assembly
+        if current is None or (current.leader, current.term, current.index) != (
+            leader,
+            request.term,
+            request.index,
+        ):
+            current = self.assembly = SnapshotAssembly(leader, request.term, request.index)
+        return current
 
     def _install(self, leader: str, request: SnapshotRequest, data: bytes) -> None:
         try:
--- a/merlinbay/control/consensus/leadership.py
+++ b/merlinbay/control/consensus/leadership.py
@@ -1,4 +1,8 @@
-"""The state of a leader beside that of a voter, and its steps after each event."""
+"""The state that a voter has only while it leads, and the steps of a leader after each event.
+
+``Voter`` creates it after a won election, calls ``tick`` when a deadline has passed and ``advance`` before it
+returns effects. When leadership is lost, it calls ``end``, which answers all open requests.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 @dataclass(slots=True)
 class LeadershipTransfer:
-    """A leadership transfer under way. No proposals are accepted meanwhile."""
+    """A leadership transfer in progress, during which the leader accepts no proposals."""
 
     target: str
     deadline: float
@@ -34,14 +38,20 @@
 
     @property
     def lease_until(self) -> float:
-        """Return when the lease ends: some time after a majority last confirmed this leader."""
+        """Return when the lease ends: ``lease_s`` after a majority last confirmed this leader.
+
+        A leader that is the only voter needs no confirmation; its lease never ends.
+        """
         raft = self.raft
         if raft.log.configuration.names == (raft.name,):
             return raft.now + raft.settings.lease_s
         return self.replication.confirmed_at() + raft.settings.lease_s
 
     def advance(self) -> bool:
-        """Commit, reconfigure, answer and send what has become possible; return whether to go on leading."""
+        """Commit entries, change the configuration, answer requests and send entries, as far as possible.
+
+        Return False if this leader has to step down.
+        """
         self._commit()
         while self.reconfiguration.drive():
             self._commit()
@@ -58,7 +68,7 @@
         self.requests.applied(self.raft.commit_to(self.replication.committable()))
 
     def tick(self) -> None:
-        """Do what is due."""
+        """End an overdue transfer, answer overdue requests, and begin a heartbeat round if one is due."""
         if self.transfer is not None and self.transfer.deadline <= self.raft.now:
             self.transfer = None
         self.requests.expire()
@@ -79,7 +89,10 @@
         return min(deadlines)
 
     def start_transfer(self) -> None:
-        """Start a transfer to the voter with the most complete log; among equals, to one of this region."""
+        """Start a transfer to the voter with the most complete log.
+
+        Among equals, it prefers the one that answered the latest heartbeat round, then one of this region.
+        """
         raft, progress = self.raft, self.replication.progress
         candidates = [
             member.name
@@ -106,6 +119,6 @@
             self.raft.send(transfer.target, TimeoutNow(self.raft.term))
 
     def end(self) -> None:
-        """Answer all open requests: leadership is lost."""
+        """Answer all open requests as uncertain or failed, since leadership is lost."""
         self.requests.fail_all()
         self.reconfiguration.fail()
--- a/merlinbay/control/consensus/log.py
+++ b/merlinbay/control/consensus/log.py
@@ -1,4 +1,8 @@
-"""The log of one voter in memory: the entries after a base, and the configurations among them."""
+"""The log of one voter in memory: the entries after its base index, and the configurations among them.
+
+``RaftState`` changes it together with the stored records. Entries that would leave a gap, and a truncation of
+entries that a snapshot contains, raise ``ValueError``.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +14,19 @@
 from merlinbay.control.consensus.membership import Configuration
 from merlinbay.control.entries import Change
 
-ENTRY_OVERHEAD_BYTES = 96  # of an encoded entry beyond key, value and id; of a member of a configuration too
+# Bounds the encoded size of an entry without key, value and id, and of one member of a configuration.
+ENTRY_OVERHEAD_BYTES = 96
 
 MAX_LOG_NUMBER = 2**62
-LogNumber = Annotated[int, msgspec.Meta(ge=0, le=MAX_LOG_NUMBER)]  # indexes, terms, rounds
+LogNumber = Annotated[int, msgspec.Meta(ge=0, le=MAX_LOG_NUMBER)]  # an index, term, heartbeat round or offset
 
 
 class Noop(msgspec.Struct, frozen=True, tag="noop"):
-    """The first entry of a leader's term: once it is committed, so is all before it."""
+    """The first entry of a leader's term. Once it is committed, all earlier entries are committed too."""
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry."""
+    """One entry of the log: a command with its index and the term of the leader that appended it."""
 
     index: LogNumber
     term: LogNumber
@@ -29,13 +34,13 @@
 
 
 def change_bytes(change: Change) -> int:
-    """Return the size that limits count for a change."""
+    """Return the size of a change as the limits count it: its key, id and value."""
     value = len(change.value) if change.value is not None else 0
     return len(change.key.encode()) + len(change.change_id.encode()) + value
 
 
 def entry_bytes(entry: LogEntry) -> int:
-    """Return the size that limits count for an entry: an upper bound of its encoding, closely."""
+    """Return the size of an entry as the limits count it: a close upper bound of its encoded size."""
     if isinstance(entry.command, Change):
         return ENTRY_OVERHEAD_BYTES + change_bytes(entry.command)
     if isinstance(entry.command, Configuration):
@@ -45,7 +50,7 @@
 
 
 class ReplicatedLog:
-    """Entries from ``base_index + 1`` on; a snapshot covers those before."""
+    """The entries from ``base_index + 1`` on; a snapshot contains the effect of all earlier ones."""
 
     def __init__(
         self, base_index: int = 0, base_term: int = 0, configuration: Configuration | None = None
@@ -58,7 +63,7 @@
 
     @property
     def last_index(self) -> int:
-        """Return the index of the last entry, that of the base if there is none."""
+        """Return the index of the last entry, or the base index if there is none."""
         return self.base_index + len(self._entries)
 
     @property
@@ -77,8 +82,8 @@
         return self._configurations[-1][0]
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the configuration as of an entry that is not compacted."""
-        return next(found for at, found in reversed(self._configurations) if at <= index)
+        """Return the configuration that was the last one at ``index``, which must not be compacted."""
+        return next(configuration for at, configuration in reversed(self._configurations) if at <= index)
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -96,7 +101,7 @@
         return self._entries[position] if 0 <= position < len(self._entries) else None
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first entry of the run that has the term of the entry at ``index``."""
+        """Return the index of the first of the adjacent entries with the same term as that at ``index``."""
         term = self.term_at(index)
         while index > self.base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
@@ -108,27 +113,31 @@
 
     def batch(self, index: int, max_bytes: int) -> tuple[LogEntry, ...]:
         """Return entries from ``index`` on that fit into ``max_bytes``, at least one if there is one."""
-        found: list[LogEntry] = []
+        entries: list[LogEntry] = []
         size = 0
         for position in range(index - self.base_index - 1, len(self._entries)):
             entry = self._entries[position]
             size += entry_bytes(entry)
-            if found and size > max_bytes:
+            if entries and size > max_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            entries.append(entry)
+        return tuple(entries)
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Append entries. Raises ``ValueError`` if one is not the next."""
+        """Append entries. Raises ``ValueError`` if the index of one is not the next index."""
         for entry in entries:
             if entry.index != self.last_index + 1:
-                raise ValueError(f"entry {entry.index} after {self.last_index}")
+                raise ValueError(f"entry {entry.index} does not follow the last entry {self.last_index}")
             self._entries.append(entry)
             if isinstance(entry.command, Configuration):
                 self._configurations.append((entry.index, entry.command))
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entry at ``index`` and all after it; an earlier configuration is in force again."""
+        """Remove the entry at ``index`` and all after it.
+
+        The last configuration before ``index`` is in force again. Raises ``ValueError`` if a snapshot
+        contains the entry.
+        """
         if index <= self.base_index:
             raise ValueError(f"entry {index} is part of a snapshot")
         del self._entries[index - self.base_index - 1 :]
@@ -136,12 +145,12 @@
             self._configurations.pop()
 
     def compact(self, index: int) -> None:
-        """Delete the entries up to ``index``, which a snapshot covers."""
+        """Delete the entries up to ``index``, whose effect a snapshot contains."""
         term = self.term_at(index)
         if term is None or index == self.base_index:
             return
         configuration = self.configuration_at(index)
-        later = [(at, found) for at, found in self._configurations if at > index]
+        later = [(at, candidate) for at, candidate in self._configurations if at > index]
         del self._entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
         self._configurations = [(index, configuration), *later]
--- a/merlinbay/control/consensus/messages.py
+++ b/merlinbay/control/consensus/messages.py
@@ -1,4 +1,7 @@
-"""The messages between voters, as msgpack. Decoding raises ``UnreadableMessageError`` only."""
+"""The messages between voters and their msgpack encoding.
+
+Bytes that cannot be decoded raise ``UnreadableMessageError`` and no other exception.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +18,27 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="vote"):
-    """A candidate asks for a vote in ``term``."""
+    """A candidate's request for a vote in ``term``."""
 
     term: LogNumber
     last_index: LogNumber
     last_term: LogNumber
-    pre: bool = False  # a preliminary vote (Ongaro 2014, 9.6): no term changes
-    transfer: bool = False  # part of a leadership transfer
-    founding: tuple[str, ...] = ()  # the first election of all: the initial voters' names
+    pre: bool = False  # whether the vote is preliminary and so changes no term (Ongaro 2014, 9.6)
+    transfer: bool = False  # whether the election is part of a leadership transfer
+    founding: tuple[str, ...] = ()  # names of the initial voters in the first election, else empty
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="voted"):
-    """The answer; ``candidate`` is the one voted for, with its incarnation."""
+    """The response to a vote request; ``candidate`` is its sender, with the incarnation."""
 
-    term: LogNumber  # of the request where the vote is granted, of the voter where it is not
+    term: LogNumber  # the term of the request if the vote is granted, else that of the voter
     candidate: VoterIdentity
     granted: bool
     pre: bool = False
 
 
 class AppendRequest(msgspec.Struct, frozen=True, tag="append"):
-    """A leader's entries after ``previous_index``; without entries, a heartbeat."""
+    """The leader's entries after ``previous_index``. A request without entries is a heartbeat."""
 
     term: LogNumber
     round: LogNumber
@@ -47,10 +50,10 @@
 
 
 class AppendResponse(msgspec.Struct, frozen=True, tag="appended"):
-    """The answer: the logs match up to ``index``, or, without success, may match at or before it."""
+    """The response: the logs match up to ``index`` or, without ``success``, may match at or before it."""
 
     term: LogNumber
-    round: LogNumber  # of the request
+    round: LogNumber  # the round of the request
     index: LogNumber
     success: bool
 
@@ -67,7 +70,7 @@
 
 
 class SnapshotResponse(msgspec.Struct, frozen=True, tag="snapshotted"):
-    """How many bytes of the snapshot were received; ``installed`` once it is stored."""
+    """The response to a chunk: the number of bytes received so far, and whether the snapshot is installed."""
 
     term: LogNumber
     round: LogNumber
@@ -77,7 +80,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="timeout_now"):
-    """The leader asks the receiver to hold an election at once."""
+    """The leader's request that the receiver start an election at once."""
 
     term: LogNumber
 
@@ -94,7 +97,7 @@
 
 
 class VoterEnvelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with the version of the format and the incarnation of its sender."""
+    """A message with the version of its format and the incarnation of its sender."""
 
     version: int
     incarnation: str
@@ -102,7 +105,7 @@
 
 
 class UnreadableMessageError(Exception):
-    """Bytes that are no message of this version."""
+    """The bytes are not a valid message of this version."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -115,13 +118,13 @@
 
 
 def decode(data: bytes) -> VoterEnvelope:
-    """Read a message. Raises ``UnreadableMessageError``."""
+    """Return the decoded message. Raises ``UnreadableMessageError``."""
     try:
         envelope = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise UnreadableMessageError(str(error)) from None
     if envelope.version != MESSAGE_VERSION:
-        raise UnreadableMessageError(f"version {envelope.version}")
+        raise UnreadableMessageError(f"unsupported message version {envelope.version}")
     message = envelope.message
     if isinstance(message, AppendRequest):
         _check_order(message)
@@ -129,11 +132,14 @@
 
 
 def _check_order(message: AppendRequest) -> None:
-    """Guard the log against entries with gaps or decreasing terms."""
+    """Raise ``UnreadableMessageError`` if the entries have gaps or decreasing terms.
+
+    The log could not take them.
+    """
     index, term = message.previous_index, message.previous_term
     for entry in message.entries:
         if entry.index != index + 1 or not term <= entry.term <= message.term:
             raise UnreadableMessageError(
-                f"entry {entry.index} of term {entry.term} after {index} of term {term}"
+                f"entry {entry.index} of term {entry.term} cannot follow entry {index} of term {term}"
             )
         index, term = entry.index, entry.term
--- a/merlinbay/control/consensus/progress.py
+++ b/merlinbay/control/consensus/progress.py
@@ -1,4 +1,7 @@
-"""A leader's state for each receiver of its log: next index, match index, mode."""
+"""A leader's state for each receiver of its log: next index, match index and replication mode.
+
+``LeaderReplication`` updates it with each message that it sends and each response that it receives.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +13,9 @@
 class ReplicationMode(Enum):
     """How entries are sent to the receiver."""
 
-    PROBE = "probe"  # the match index is not known: one message at a time
+    PROBE = "probe"  # the match index is not known, so one message is sent at a time
     REPLICATE = "replicate"  # several batches may be unacknowledged
-    SNAPSHOT = "snapshot"  # missing entries are compacted: a snapshot is sent
+    SNAPSHOT = "snapshot"  # the missing entries are compacted, so a snapshot is sent
 
 
 TRANSITIONS: dict[ReplicationMode, frozenset[ReplicationMode]] = {
@@ -32,28 +35,30 @@
 
     index: int
     data: bytes
-    offset: int = 0  # bytes that the receiver has
+    offset: int = 0  # number of bytes that the receiver has
     sent_at: float = 0.0
     sent_round: int = 0
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """One receiver of the log."""
-
-    incarnation: str  # of the disk that last answered; empty: none yet, and it is no voter
-    next_index: int  # the next entry to send
-    match_index: int = 0  # its log matches the leader's up to here
-    acked_round: int = 0  # the last heartbeat round that it answered
+    """What the leader knows of one receiver of the log."""
+
+    # That of the disk that last answered, before that the one in the configuration; empty for a server that
+    # is not a voter and has not answered yet.
+    incarnation: str
+    next_index: int  # index of the next entry to send
+    match_index: int = 0  # last index up to which its log is known to match the leader's
+    acked_round: int = 0  # last heartbeat round that it answered
     mode: ReplicationMode = ReplicationMode.PROBE
-    probe_sent: bool = False  # in PROBE: one message is unacknowledged
+    probe_sent: bool = False  # whether a message is unacknowledged in PROBE mode
     in_flight: deque[int] = field(default_factory=deque)  # last index of each unacknowledged batch
     transfer: SnapshotInstallation | None = None
 
     def enter(self, mode: ReplicationMode) -> None:
-        """Change the mode."""
+        """Change the mode and clear the state of the previous one."""
         if mode not in TRANSITIONS[self.mode]:
-            raise AssertionError(f"{self.mode.value} becomes {mode.value}")
+            raise AssertionError(f"replication mode cannot change from {self.mode.value} to {mode.value}")
         self.mode = mode
         self.probe_sent = False
         self.in_flight.clear()
@@ -74,6 +79,6 @@
         if self.mode is ReplicationMode.SNAPSHOT:
             return
         if self.mode is ReplicationMode.PROBE and hint + 1 >= self.next_index:
-            return  # the response to an earlier probe
+            return  # this response is to an earlier probe
         self.next_index = max(self.match_index + 1, min(self.next_index, hint + 1))
         self.enter(ReplicationMode.PROBE)
--- a/merlinbay/control/consensus/raft_state.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -1,4 +1,8 @@
-"""The state that all parts of a voter share. Its methods are the only places where it changes."""
+"""The state that all parts of a voter share. It changes only in the methods of ``RaftState``.
+
+Each method that changes durable state also adds the effect that stores it. Reading stored records that do not
+belong to the voter raises ``CorruptRecordsError``.
+"""
 
 from __future__ import annotations
 
@@ -18,18 +22,18 @@
 from merlinbay.control.entries import Change, ChangeResult
 from merlinbay.control.keyspace import Keyspace
 
-LEAST_CANDIDACY_SHARE = 0.3  # of an election timeout: longer than a round trip between regions
+MIN_CANDIDACY_SHARE = 0.3  # share of an election timeout; longer than a round trip between regions
 
 
 @dataclass(slots=True)
 class VoterCounters:
-    """Events since the start; ``status`` shows them with the prefix ``log_``."""
+    """Counts of events since the start; ``status`` shows them with the prefix ``log_``."""
 
     unreadable_messages: int = 0  # not decodable, or of another version
-    impossible_messages: int = 0  # readable, but no correct voter sends them
+    impossible_messages: int = 0  # decodable, but never sent by a correct voter
     elections_started: int = 0  # candidacies with a new term
     leaderships_lost: int = 0  # step-downs of this voter as leader
-    checkpoints: int = 0  # own snapshots stored, and installed ones
+    checkpoints: int = 0  # stored snapshots, both own and installed ones
     snapshots_installed: int = 0  # received from a leader
 
 
@@ -43,13 +47,13 @@
 
 def new_incarnation(random: Random, now: float) -> str:
     """Return the identity of a disk that is used for the first time."""
-    # The time too: guards against a generator that is seeded alike at each start.
+    # The time makes identities differ where the generator is seeded alike at each start.
     drawn = f"{random.getrandbits(64)} {now.hex()}".encode()
     return hashlib.blake2b(drawn, digest_size=8).hexdigest()
 
 
 class RaftState:
-    """Term, vote, log, applied state and role of one voter, with the effects not taken yet."""
+    """Term, vote, log, applied state and role of one voter, and the effects that are not taken yet."""
 
     def __init__(
         self, name: str, settings: VoterSettings, stored: Iterable[bytes], random: Random, now: float
@@ -67,8 +71,8 @@
         self.keyspace = state.keyspace
         self.role = VoterRole.FOLLOWER
         self.leader = ""
-        self.heard_leader_at = -math.inf  # when the last message of a leader was received
-        self.current_at = -math.inf  # the applied state included all commits up to then
+        self.heard_leader_at = -math.inf  # time at which the last message of a leader was received
+        self.current_at = -math.inf  # time up to which the applied state includes all commits
         self.election_deadline = math.inf
         self.commit_index = state.snapshot.index if state.snapshot is not None else 0
         if state.identity is None:
@@ -86,16 +90,16 @@
 
     @property
     def is_member(self) -> bool:
-        """Return whether this voter, with its disk, is in the last configuration known."""
+        """Return whether this voter, with its present disk, is in the last configuration of its log."""
         return self.identity in self.log.configuration.members
 
     @property
     def own_term_committed(self) -> bool:
-        """Return whether an entry of the current term is committed, and with it all of earlier terms."""
+        """Return whether an entry of the current term is committed, and so all entries of earlier terms."""
         return self.log.term_at(self.commit_index) == self.term
 
     def advance_clock(self, now: float) -> None:
-        """Set the time of the current call; it never goes back."""
+        """Set the time of the current call. The time never goes back."""
         self.now = max(self.now, now)
 
     def take_effects(self) -> list[VoterEffect]:
@@ -104,11 +108,11 @@
         return effects
 
     def set_leader(self, leader: str) -> None:
-        """Set the leader of the term, as far as known; empty if unknown."""
+        """Set the leader of the current term; an empty name means that it is not known."""
         self.leader = leader
 
     def record_leader_contact(self) -> None:
-        """Record a message of the current leader."""
+        """Record that a message of the current leader has arrived, and restart the election timeout."""
         self.heard_leader_at = self.now
         self.restart_election_timer()
 
@@ -121,22 +125,22 @@
         self.counters.impossible_messages += 1
 
     def become(self, role: VoterRole) -> None:
-        """Change the role."""
+        """Change the role. Raises ``AssertionError`` for a transition that Raft does not have."""
         if role not in TRANSITIONS[self.role]:
-            raise AssertionError(f"{self.role.value} becomes {role.value}")
+            raise AssertionError(f"role cannot change from {self.role.value} to {role.value}")
         self.role = role
 
     def restart_election_timer(self) -> None:
-        """Restart the election timeout, randomized so that votes seldom split."""
+        """Restart the election timeout, which is randomized so that votes seldom split."""
         self.election_deadline = self.now + self.settings.election_timeout_s * (1 + self.random.random())
 
     def restart_candidacy_timer(self) -> None:
-        """Restart the timeout of a candidacy: shorter, since there is no leader to disturb."""
-        share = LEAST_CANDIDACY_SHARE + (1 - LEAST_CANDIDACY_SHARE) * self.random.random()
+        """Restart the timeout of a candidacy, which is shorter, since there is no leader to disturb."""
+        share = MIN_CANDIDACY_SHARE + (1 - MIN_CANDIDACY_SHARE) * self.random.random()
         self.election_deadline = self.now + self.settings.election_timeout_s * share
 
     def step_down(self, term: int, leader: str = "") -> None:
-        """Become a follower in ``term``."""
+        """Become a follower in ``term``, or in the current term if that is later."""
         if self.role is VoterRole.LEADER:
             self.counters.leaderships_lost += 1
             self.restart_election_timer()
@@ -146,20 +150,20 @@
         self.leader = leader
 
     def send(self, receiver: str, message: VoterMessage) -> None:
-        """Send a message once all earlier records are stored."""
+        """Add the effect that sends a message. The host does so once all earlier records are stored."""
         self.effects.append(SendMessage(receiver, encode(self.identity.incarnation, message)))
 
     def _persist(self, record: records.VoterRecord, replaces_all: bool = False) -> None:
         self.effects.append(Persist(records.encode_record(record), replaces_all))
 
     def set_term(self, term: int, voted_for: VoterIdentity | None) -> None:
-        """Enter a term, or vote in it."""
+        """Set the current term and the vote in it, and store both if either has changed."""
         if (term, voted_for) != (self.term, self.voted_for):
             self.term, self.voted_for = term, voted_for
             self._persist(records.TermRecord(term, voted_for))
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Append entries; they replace existing ones from the first entry's index on."""
+        """Append and store entries, which replace existing ones from the first entry's index on."""
         if entries[0].index <= self.log.last_index:
             self.log.truncate_from(entries[0].index)
         self.log.append(entries)
@@ -193,7 +197,10 @@
         self._persist_checkpoint(self.snapshot)
 
     def install(self, snapshot: records.SnapshotData, keyspace: Keyspace) -> None:
-        """Install the leader's snapshot; it replaces the state and the entries that it includes."""
+        """Install the leader's snapshot, which replaces the state and the entries that it includes.
+
+        Later entries stay only if the log agrees with the snapshot on the last entry that it includes.
+        """
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot.index)
         else:
--- a/merlinbay/control/consensus/reconfiguration.py
+++ b/merlinbay/control/consensus/reconfiguration.py
@@ -1,14 +1,15 @@
-"""The leader's changes of voters: one at a time, and none before an entry of its own term is committed.
+"""How a leader changes the voters: one at a time, and only once an entry of its own term is committed.
 
 The next step follows from the committed configuration, so that a new leader continues where one was lost:
 
-    joining, not caught up      -> wait; it gets the log, but has no vote
-    caught up, replaces a voter -> that one is removed
-    caught up                   -> it becomes a voter
+    joining, not caught up                 -> wait; the server receives the log, but has no vote
+    joining, caught up, replaces a voter   -> remove the voter that it replaces
+    joining, caught up                     -> make the server a voter
 
-A voter that answers with another incarnation than the configuration names has lost its disk; it is made
-joining, to replace itself. Adding and removing are two entries, since majorities of configurations that
-differ in two voters need not meet.
+A voter that answers with another incarnation than the configuration names has lost its disk; the leader adds
+it as a joining server that replaces itself. Adding and removing are two entries, since majorities of
+configurations that differ in two voters need not overlap. A request that is not completed in time, or whose
+leader steps down, is answered as uncertain.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from merlinbay.control.effects import ProposalDone
 from merlinbay.control.entries import ChangeApplied, ChangeRejected, ChangeUncertain
 
-CAUGHT_UP_ENTRIES = 64  # a joining server may lag by so many: less than a second of a burst
+CAUGHT_UP_ENTRIES = 64  # a joining server has caught up if it lags by no more; under a second of a burst
 
 
 @dataclass(slots=True)
@@ -33,11 +34,11 @@
     add: str | None
     remove: str | None
     deadline: float
-    started: bool = False  # its first configuration is in the log
+    started: bool = False  # whether its first configuration is in the log
 
 
 class Reconfiguration:
-    """The changes of voters of one leadership."""
+    """The changes of voters by one leader, from the won election to the step-down."""
 
     def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
         self.raft = raft
@@ -45,10 +46,10 @@
         self.pending: PendingVoterChange | None = None
 
     def request(self, add: str | None, remove: str | None, token: int) -> ChangeRejected | None:
-        """Accept a change of voters, or return why it is rejected."""
+        """Accept a change of voters and return None, or return why it is rejected."""
         configuration = self.raft.log.configuration
         if self.pending is not None:
-            return ChangeRejected("overloaded", "another change of voters is under way")
+            return ChangeRejected("overloaded", "another change of voters is in progress")
         problem = self._problem(configuration, add, remove)
         if problem:
             return ChangeRejected("invalid", problem)
@@ -57,13 +58,13 @@
         return None
 
     def _problem(self, configuration: Configuration, add: str | None, remove: str | None) -> str:
-        """Return why a change is invalid, empty if it is valid."""
+        """Return why a change is invalid, or an empty text if it is valid."""
         if not add and not remove:
-            return "nobody to add or to remove"
+            return "no voter to add or to remove is given"
         if add and add != remove and add in configuration.names:
-            return f"{add} is a voter already"
+            return f"{add} is already a voter"
         if remove and remove not in configuration.receivers():
-            return f"{remove} is no voter"
+            return f"{remove} is neither a voter nor a joining server"
         if remove and configuration.names == (remove,):
             return f"{remove} is the only voter: add others first"
         if add and len(configuration.joining) >= MAX_JOINING:
@@ -71,15 +72,15 @@
         return ""
 
     def drive(self) -> bool:
-        """Append the next configuration, if there is one; return whether it did."""
+        """Append the next configuration, if one is due; return whether it was appended."""
         raft = self.raft
         if not raft.own_term_committed or raft.log.configuration_index > raft.commit_index:
             return False
         self._answer_if_done()
-        following = self._requested() or self._lost_disk() or self._joined()
-        if following is None:
+        configuration = self._requested() or self._lost_disk() or self._joined()
+        if configuration is None:
             return False
-        self.replication.append(following)
+        self.replication.append(configuration)
         return True
 
     def _answer_if_done(self) -> None:
@@ -88,7 +89,7 @@
             return
         if pending.add and pending.add not in configuration.names:
             return
-        if any(one.name in (pending.add, pending.remove) for one in configuration.joining):
+        if any(server.name in (pending.add, pending.remove) for server in configuration.joining):
             return
         if pending.remove and pending.remove != pending.add and pending.remove in configuration.names:
             return
@@ -97,7 +98,7 @@
         self.raft.effects.append(ProposalDone(pending.token, result))
 
     def _requested(self) -> Configuration | None:
-        """Return the first configuration of the requested change."""
+        """Return the first configuration of the requested change; None if it was appended before."""
         pending, configuration = self.pending, self.raft.log.configuration
         if pending is None or pending.started:
             return None
@@ -108,9 +109,9 @@
         return configuration.without(pending.remove)
 
     def _lost_disk(self) -> Configuration | None:
-        """Return a configuration in which a voter whose disk was lost is joining."""
+        """Return a configuration in which a voter that has lost its disk joins anew; None if none has."""
         configuration = self.raft.log.configuration
-        joining = {one.name for one in configuration.joining}
+        joining = {server.name for server in configuration.joining}
         if len(joining) >= MAX_JOINING:
             return None
         for member in configuration.members:
@@ -121,14 +122,14 @@
         return None
 
     def _joined(self) -> Configuration | None:
-        """Return the next configuration for the first joining server that has caught up."""
+        """Return the next configuration for the first joining server that has caught up; None if none has."""
         configuration = self.raft.log.configuration
         for joining in configuration.joining:
             if not self._caught_up(joining.name):
                 continue
             incarnation = self.replication.progress[joining.name].incarnation
             if configuration.admits(joining.name, incarnation):
-                others = tuple(one for one in configuration.joining if one != joining)
+                others = tuple(server for server in configuration.joining if server != joining)
                 return Configuration(configuration.members, others)
             if joining.replaces in configuration.names and len(configuration.members) > 1:
                 return configuration.without_member(joining.replaces)
@@ -153,7 +154,7 @@
         return self.pending.deadline if self.pending is not None else float("inf")
 
     def expire(self) -> None:
-        """Answer a change whose deadline has passed; it may still be completed."""
+        """Answer a change whose deadline has passed. It may still be completed later."""
         if self.pending is not None and self.pending.deadline <= self.raft.now:
             self.fail()
 
--- a/merlinbay/control/consensus/records.py
+++ b/merlinbay/control/consensus/records.py
@@ -1,4 +1,8 @@
-"""The durable records of a voter, and the state that results from reading them in order."""
+"""The durable records of a voter, and the state that results from reading them in order.
+
+``load`` is called at the start of a voter. Records that cannot be read, or that belong to another voter,
+raise ``CorruptRecordsError``.
+"""
 
 from __future__ import annotations
 
@@ -15,32 +19,32 @@
 
 
 class CorruptRecordsError(Exception):
-    """The records are not those of this voter: its disk counts as lost, an empty one is needed."""
+    """The records are not those of this voter. Its disk counts as lost, and an empty one is needed."""
 
 
 class IdentityRecord(msgspec.Struct, frozen=True, tag="identity"):
-    """The first record of a disk."""
+    """The first record on a disk: the voter with the incarnation of the disk."""
 
     identity: VoterIdentity
     version: int = RECORD_VERSION
 
 
 class TermRecord(msgspec.Struct, frozen=True, tag="term"):
-    """The current term and the vote in it; stored before a message mentions either."""
+    """The current term and the vote in it, stored before any message that contains either is sent."""
 
     term: int
     voted_for: VoterIdentity | None
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
-    """Entries; they replace those stored from the first one's index on."""
+    """Entries of the log. They replace the stored entries from the first one's index on."""
 
-    commit_index: int  # at that time; entries up to it are applied at a start
+    commit_index: int  # that of the time of writing; entries up to it are applied at a start
     entries: list[LogEntry]
 
 
 class SnapshotData(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The state after the entry at ``index``; a leader sends it to a voter that lacks compacted entries."""
+    """The state after the entry at ``index``. A leader sends it to a voter that lacks compacted entries."""
 
     index: int
     term: int
@@ -50,14 +54,15 @@
 
 
 class CheckpointRecord(msgspec.Struct, frozen=True, tag="checkpoint"):
-    """The whole state of a voter; it replaces all records before."""
+    """The whole state of a voter, which replaces all earlier records."""
 
     identity: VoterIdentity
     term: int
     voted_for: VoterIdentity | None
     commit_index: int
     snapshot: SnapshotData
-    base_index: int  # before the entries, some of which precede the snapshot, for voters slightly behind
+    # The index before ``entries``. Some of these precede the snapshot, for voters slightly behind.
+    base_index: int
     base_term: int
     base_configuration: Configuration
     entries: list[LogEntry]
@@ -77,39 +82,39 @@
 
 
 def encode_snapshot(snapshot: SnapshotData) -> bytes:
-    """Return the bytes of a snapshot as they are sent, in chunks."""
+    """Return the bytes of a snapshot, which are sent in chunks."""
     return _encoder.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> tuple[SnapshotData, Keyspace]:
-    """Read a snapshot. Raises ``SnapshotError``."""
+    """Return the decoded snapshot and its keyspace. Raises ``SnapshotError``."""
     try:
         snapshot = _snapshot_decoder.decode(data)
     except msgspec.MsgspecError as error:
         raise SnapshotError(str(error)) from None
     if snapshot.version != RECORD_VERSION:
-        raise SnapshotError(f"version {snapshot.version}, not {RECORD_VERSION}")
+        raise SnapshotError(f"snapshot has version {snapshot.version}, expected {RECORD_VERSION}")
     return snapshot, Keyspace.restore(snapshot.keyspace)
 
 
 @dataclass(slots=True)
 class DurableState:
-    """The durable state of a voter."""
+    """The state of a voter as its stored records give it."""
 
-    identity: VoterIdentity | None = None  # None: an empty disk
+    identity: VoterIdentity | None = None  # None if the disk is empty
     term: int = 0
     voted_for: VoterIdentity | None = None
     commit_index: int = 0
     log: ReplicatedLog = field(default_factory=ReplicatedLog)
     snapshot: SnapshotData | None = None
-    keyspace: Keyspace = field(default_factory=Keyspace)  # as of the snapshot
+    keyspace: Keyspace = field(default_factory=Keyspace)  # the state at the snapshot
 
     def apply(self, record: VoterRecord) -> None:
         """Apply the next record."""
         match record:
             case IdentityRecord():
                 if self.identity is not None:
-                    raise CorruptRecordsError("a second identity")
+                    raise CorruptRecordsError("found a second identity record")
                 self.identity = record.identity
             case TermRecord():
                 self.term, self.voted_for = record.term, record.voted_for
@@ -133,22 +138,22 @@
 
 
 def load(name: str, records: Iterable[bytes]) -> DurableState:
-    """Return the state of the stored records. Raises ``CorruptRecordsError``."""
+    """Return the state that the stored records give. Raises ``CorruptRecordsError``."""
     state = DurableState()
     try:
         for data in records:
             record = _record_decoder.decode(data)
             if getattr(record, "version", RECORD_VERSION) != RECORD_VERSION:
-                raise CorruptRecordsError("another version of the format")
+                raise CorruptRecordsError("a record has another version of the format")
             state.apply(record)
             if state.identity is None:
-                raise CorruptRecordsError("no identity at the start")
+                raise CorruptRecordsError("the first record contains no identity")
     except (
         msgspec.MsgspecError,
         ValueError,
-    ) as error:  # ValueError: a gap in the log, or a snapshot's format
+    ) as error:  # ValueError: a gap in the log or an invalid snapshot
         raise CorruptRecordsError(str(error)) from None
     if state.identity is not None and state.identity.name != name:
-        raise CorruptRecordsError(f"of {state.identity.name}, not of {name}")
+        raise CorruptRecordsError(f"the records belong to voter {state.identity.name}, not to {name}")
     state.commit_index = min(state.commit_index, state.log.last_index)
     return state
--- a/merlinbay/control/consensus/replication.py
+++ b/merlinbay/control/consensus/replication.py
@@ -1,4 +1,9 @@
-"""The leader's side of replication: match indexes and commit index (Ongaro 2014, 3.5, 6.4)."""
+"""The leader's side of replication: match indexes and commit index (Ongaro 2014, 3.5, 6.4).
+
+It sends entries, heartbeats and snapshots, and counts what a majority has stored and confirmed. The response
+to a heartbeat shows whether earlier entries were lost, which are then sent again. A chunk of a snapshot is
+sent again if no response arrives within an election timeout.
+"""
 
 from __future__ import annotations
 
@@ -24,11 +29,13 @@
     def __init__(self, raft: RaftState, founders: tuple[VoterIdentity, ...] = ()) -> None:
         self.raft = raft
         self.progress: dict[str, FollowerProgress] = {}
-        self.round = 0  # heartbeat rounds; a response to one shows that its sender followed after the start
+        # Number of the last heartbeat round. A response to a round shows that its sender still followed this
+        # leader after the round had started.
+        self.round = 0
         self.round_starts: deque[tuple[int, float]] = deque([(0, raft.now)])
         self.next_heartbeat = raft.now
-        # The first entry of the term commits all earlier ones with it; that of the first term of all is the
-        # configuration of the voters that took part in the election.
+        # Once the first entry of the term is committed, all earlier ones are too. After the first election,
+        # it is the configuration of the voters that took part in that election.
         self.append(Configuration(founders) if founders else Noop())
 
     def append(self, command: Noop | Configuration | Change) -> int:
@@ -42,39 +49,39 @@
     def _follow_configuration(self, next_index: int) -> None:
         configuration = self.raft.log.configuration
         receivers = configuration.receivers() - {self.raft.name}
-        self.progress = {name: one for name, one in self.progress.items() if name in receivers}
+        self.progress = {name: progress for name, progress in self.progress.items() if name in receivers}
         for name in sorted(receivers - self.progress.keys()):
             self.progress[name] = FollowerProgress(configuration.incarnation(name), next_index)
 
-    # Majorities: counted by the incarnations that the configuration names.
+    # Majorities. Only the incarnations that the configuration names count.
 
     def _reached(self, own: float, reached: dict[str, float]) -> float:
-        """Return the value that a majority has reached; ``own`` is the leader's."""
+        """Return the value that a majority has reached; ``own`` is the leader's value."""
         configuration = self.raft.log.configuration
         values: list[float] = []
         for member in configuration.members:
-            found = self.progress.get(member.name)
+            progress = self.progress.get(member.name)
             if member == self.raft.identity:
                 values.append(own)
-            elif found is not None and found.incarnation == member.incarnation:
+            elif progress is not None and progress.incarnation == member.incarnation:
                 values.append(reached[member.name])
             else:
                 values.append(0)
         return quorum_value(values, configuration.quorum)
 
     def committable(self) -> int:
-        """Return the new commit index: only an entry of the current term commits (figure 3.7)."""
-        reached = {name: float(one.match_index) for name, one in self.progress.items()}
+        """Return the new commit index, which moves only to entries of the current term (figure 3.7)."""
+        reached = {name: float(progress.match_index) for name, progress in self.progress.items()}
         index = int(self._reached(self.raft.log.last_index, reached))
         return index if self.raft.log.term_at(index) == self.raft.term else self.raft.commit_index
 
     def confirmed_round(self) -> int:
-        """Return the last round that a majority answered: no other leader existed when it started."""
-        reached = {name: float(one.acked_round) for name, one in self.progress.items()}
+        """Return the last round that a majority answered. No other leader existed when it started."""
+        reached = {name: float(progress.acked_round) for name, progress in self.progress.items()}
         return int(self._reached(self.round, reached))
 
     def confirmed_at(self) -> float:
-        """Return when the last confirmed round started."""
+        """Return when the last round that a majority answered started."""
         confirmed = self.confirmed_round()
         while len(self.round_starts) > 1 and self.round_starts[1][0] <= confirmed:
             self.round_starts.popleft()
@@ -93,12 +100,12 @@
         return self.round
 
     def send_pending(self) -> None:
-        """Send missing entries, up to the bound of unacknowledged batches."""
+        """Send missing entries, up to the maximum number of unacknowledged batches."""
         for name, progress in self.progress.items():
             self._send_entries(name, progress)
 
     def _send_entries(self, name: str, progress: FollowerProgress) -> bool:
-        """Return whether something was sent."""
+        """Send missing entries, or a snapshot if they are compacted; return whether anything was sent."""
         log, settings = self.raft.log, self.raft.settings
         sent = False
         while progress.mode is not ReplicationMode.SNAPSHOT and progress.next_index <= log.last_index:
@@ -131,15 +138,15 @@
         if progress.mode is not ReplicationMode.SNAPSHOT and term is not None:
             self._send_append(name, previous, term, ())
             return
-        self._send_append(name, 0, 0, ())  # index 0, on which all logs match
+        self._send_append(name, 0, 0, ())  # all logs match at index 0
         if progress.mode is ReplicationMode.SNAPSHOT:
             self._repeat_chunk(name, progress)
         else:
-            self._start_snapshot(name, progress)  # unacknowledged entries were lost and are compacted now
+            self._start_snapshot(name, progress)  # unacknowledged entries were lost and are now compacted
 
     def _start_snapshot(self, name: str, progress: FollowerProgress) -> None:
         snapshot = self.raft.snapshot
-        assert snapshot is not None  # entries are compacted into one only
+        assert snapshot is not None  # entries are compacted only once a snapshot contains them
         progress.enter(ReplicationMode.SNAPSHOT)
         progress.transfer = SnapshotInstallation(snapshot.index, encode_snapshot(snapshot))
         self._send_chunk(name, progress.transfer)
@@ -158,7 +165,7 @@
         self.raft.send(name, request)
 
     def _repeat_chunk(self, name: str, progress: FollowerProgress) -> None:
-        """Resend a chunk that was not answered in time; the first chunk, from the newest snapshot."""
+        """Resend a chunk that was not answered in time. A first chunk is taken from the newest snapshot."""
         transfer, snapshot = progress.transfer, self.raft.snapshot
         if transfer is None or snapshot is None:
             return
@@ -171,12 +178,17 @@
     # Responses.
 
     def _answered(self, sender: VoterIdentity, answered_round: int) -> FollowerProgress | None:
-        """Return the sender's progress; None if the response is of a disk that it no longer has."""
+        """Record the response's round and return the sender's progress.
+
+        Return None if the response is ignored: it is of a server that receives no log, of a round that has
+        not begun, or of a disk that the server no longer has.
+        """
         progress = self.progress.get(sender.name)
         if progress is None or answered_round > self.round:
             return None
         if sender.incarnation != progress.incarnation:
-            # Guards against a late response of the lost disk: only a later round counts.
+            # Another disk has answered. Only a response to a later round counts, since a response of the
+            # lost disk may still arrive late.
             if answered_round <= progress.acked_round:
                 return None
             progress = FollowerProgress(sender.incarnation, self.raft.log.last_index + 1)
@@ -207,5 +219,5 @@
             transfer.offset = response.received
             self._send_chunk(sender.name, transfer)
         elif response.received < transfer.offset and response.round == transfer.sent_round:
-            transfer.offset = response.received  # the receiver restarted with what it had stored
+            transfer.offset = response.received  # the receiver restarted and has fewer bytes
             self._send_chunk(sender.name, transfer)
--- a/merlinbay/control/consensus/requests.py
+++ b/merlinbay/control/consensus/requests.py
@@ -1,4 +1,8 @@
-"""Requests of clients at the leader: proposals and reads that are not answered yet."""
+"""Requests of clients at the leader: proposals and reads that are not answered yet.
+
+A request that is not completed by its deadline, or whose leader steps down, is answered as uncertain (a
+proposal) or failed (a read).
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
     token: int
     key: str
     deadline: float
-    round: int = 0  # the heartbeat round that has to be confirmed; 0: not started
+    round: int = 0  # heartbeat round that has to be confirmed; 0 if it has not begun
 
 
 class ClientRequests:
@@ -34,16 +38,16 @@
     def __init__(self, raft: RaftState, replication: LeaderReplication) -> None:
         self.raft = raft
         self.replication = replication
-        self.proposals: dict[int, PendingProposal] = {}  # by log index, and so in the order of deadlines
+        self.proposals: dict[int, PendingProposal] = {}  # by log index, which is also the order of deadlines
         self.reads: list[PendingRead] = []  # in the order of deadlines and rounds
 
     def propose(self, change: Change, token: int) -> None:
-        """Append a change to the log."""
+        """Append a change to the log, and answer it once it is applied."""
         deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.proposals[self.replication.append(change)] = PendingProposal(token, deadline)
 
     def read(self, key: str, token: int) -> None:
-        """Wait for a read's confirmation."""
+        """Accept a read, and answer it once a majority has confirmed the leader."""
         deadline = self.raft.now + self.raft.settings.request_timeout_s
         self.reads.append(PendingRead(token, key, deadline))
 
@@ -55,15 +59,16 @@
                 self.raft.effects.append(ProposalDone(pending.token, change.result))
 
     def begin_reads(self) -> None:
-        """Start one heartbeat round for all reads that arrived since the last."""
-        # Guards against stale reads: a new leader learns the commit index with an entry of its own term.
+        """Start one heartbeat round for all reads that arrived since the last such round."""
+        # A new leader learns the commit index only by committing an entry of its own term. Before, a read
+        # could return stale values.
         if self.reads and not self.reads[-1].round and self.raft.own_term_committed:
-            begun = self.replication.begin_round()
+            new_round = self.replication.begin_round()
             for read in self.reads:
-                read.round = read.round or begun
+                read.round = read.round or new_round
 
     def answer_reads(self) -> None:
-        """Answer the reads whose round is confirmed from the applied state."""
+        """Answer the reads whose round is confirmed, with values of the applied state."""
         if not self.reads:
             return
         confirmed = self.replication.confirmed_round()
@@ -74,7 +79,7 @@
             self.raft.effects.append(ReadDone(read.token, value, keyspace.revision, leader=self.raft.name))
 
     def next_deadline(self) -> float:
-        """Return the first deadline of the open requests."""
+        """Return the first deadline of the open requests; infinity if there are none."""
         deadlines = [read.deadline for read in self.reads[:1]]
         for pending in self.proposals.values():
             deadlines.append(pending.deadline)
@@ -82,7 +87,7 @@
         return min(deadlines, default=float("inf"))
 
     def expire(self) -> None:
-        """Answer the requests whose deadline has passed; a change may still commit."""
+        """Answer the requests whose deadline has passed. Such a change may still be committed later."""
         now = self.raft.now
         while self.proposals:
             index, pending = next(iter(self.proposals.items()))
@@ -98,7 +103,7 @@
         self.raft.effects.append(ReadDone(read.token, None, revision, True, self.raft.leader))
 
     def fail_all(self) -> None:
-        """Answer all requests as uncertain or failed: leadership is lost."""
+        """Answer all proposals as uncertain and all reads as failed, since leadership is lost."""
         for pending in self.proposals.values():
             self.raft.effects.append(ProposalDone(pending.token, ChangeUncertain()))
         for read in self.reads:
--- a/merlinbay/control/consensus/roles.py
+++ b/merlinbay/control/consensus/roles.py
@@ -9,14 +9,14 @@
     """The role of a voter. Only a leader accepts proposals and reads."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre_candidate"  # asks whether an election could be won, without a new term
+    PRE_CANDIDATE = "pre_candidate"  # asks, without a new term, whether it could win an election
     CANDIDATE = "candidate"
     LEADER = "leader"
-    STORAGE_FAILED = "storage_failed"  # final: a new Voter is built from the stored records
+    STORAGE_FAILED = "storage_failed"  # final; to recover, a new Voter is built from the stored records
 
 
 TRANSITIONS: dict[VoterRole, frozenset[VoterRole]] = {
-    # At a leadership transfer, the candidate needs no preliminary election.
+    # At a leadership transfer, a follower becomes a candidate without a preliminary election.
     VoterRole.FOLLOWER: frozenset(
         {VoterRole.FOLLOWER, VoterRole.PRE_CANDIDATE, VoterRole.CANDIDATE, VoterRole.STORAGE_FAILED}
     ),
--- a/merlinbay/control/consensus/voter_view.py
+++ b/merlinbay/control/consensus/voter_view.py
@@ -1,4 +1,4 @@
-"""The observable state of a voter: what a host and its operators read."""
+"""The observable state of a voter, which its host and its operators read."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Read-only properties of a voter; ``Voter`` sets the fields."""
 
     _raft: RaftState
-    _leadership: Leadership | None  # None unless this voter leads
+    _leadership: Leadership | None  # None unless this voter is the leader
 
     @property
     def name(self) -> str:
@@ -26,7 +26,7 @@
 
     @property
     def keyspace(self) -> Keyspace:
-        """Return the applied state. It may be stale, see ``age``; another object after a snapshot."""
+        """Return the applied state, which may be stale (see ``age``). A snapshot replaces the object."""
         return self._raft.keyspace
 
     @property
@@ -41,7 +41,7 @@
 
     @property
     def leader(self) -> str:
-        """Return the leader's name as far as known; empty if none was heard recently."""
+        """Return the name of the leader, or an empty text if none was heard recently."""
         raft = self._raft
         if (
             raft.role is VoterRole.FOLLOWER
@@ -52,18 +52,18 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Return the names of the voters of the last configuration known, committed or not."""
+        """Return the names of the voters in the last configuration of the log, committed or not."""
         return self._raft.log.configuration.names
 
     @property
     def is_voter(self) -> bool:
-        """Return whether this voter, with its present disk, has a vote as far as it knows."""
+        """Return whether this voter, with its present disk, has a vote according to its log."""
         return self._raft.is_member
 
     @property
     def joining(self) -> tuple[str, ...]:
         """Return the names of the servers that receive the log to become voters."""
-        return tuple(one.name for one in self._raft.log.configuration.joining)
+        return tuple(server.name for server in self._raft.log.configuration.joining)
 
     @property
     def commit_index(self) -> int:
@@ -77,16 +77,16 @@
 
     @property
     def lease_until(self) -> float:
-        """Return when the leader lease ends, 0 at other voters; no read depends on it."""
+        """Return when the leader lease ends; 0 if this voter does not lead. No read depends on it."""
         return self._leadership.lease_until if self._leadership is not None else 0.0
 
     @property
     def counters(self) -> VoterCounters:
-        """Return the events since the start."""
+        """Return the counts of events since the start."""
         return self._raft.counters
 
     def age(self, now: float) -> float:
-        """Return for how long ``keyspace`` may be stale: since a majority last confirmed its leader."""
+        """Return how old ``keyspace`` may be: the time since a majority last confirmed its leader."""
         current_at = self._raft.current_at
         if self._leadership is not None:
             current_at = self._leadership.replication.confirmed_at()
--- a/merlinbay/control/effects.py
+++ b/merlinbay/control/effects.py
@@ -1,4 +1,4 @@
-"""The effects of the consensus core. Its host carries them out in the order of the list.
+"""The effects of the consensus core, which its host carries out in the order of the list.
 
 The core does no I/O, reads no clock and draws no randomness of its own: time comes with each call, in
 seconds of a monotonic clock, and a ``random.Random`` comes with the constructor. A host calls ``receive``,
@@ -15,7 +15,7 @@
 class Persist(msgspec.Struct, frozen=True):
     """Append ``record`` to the durable log. All later effects of the list wait until it is on the disk.
 
-    At start the core is built from the durable records in order. Where ``replaces_all`` is set, the record is
+    At a start, the core is built from the durable records in order. If ``replaces_all`` is set, the record is
     a snapshot, and the records before it are no longer needed.
     """
 
@@ -38,7 +38,7 @@
 
 
 class ReadDone(msgspec.Struct, frozen=True):
-    """The result of the linearizable read of ``token``; ``failed`` if this voter cannot answer now."""
+    """The result of the linearizable read with ``token``; ``failed`` if this voter cannot answer it now."""
 
     token: int
     value: KeyValue | None
@@ -48,7 +48,7 @@
 
 
 class RevisionAdvanced(msgspec.Struct, frozen=True):
-    """The applied state has reached ``revision``: watches at this voter can be served."""
+    """The applied state has reached ``revision``, so that watches at this voter can be served."""
 
     revision: int
 
--- a/merlinbay/control/keyspace.py
+++ b/merlinbay/control/keyspace.py
@@ -1,7 +1,9 @@
 """The replicated state: keys with their revisions, and the ids of recently decided changes.
 
-A pure function of the committed changes: voters that applied the same changes have the same ``digest()``.
-The compacted revision may differ between them and has no influence on any result of ``apply``.
+The state is a pure function of the committed changes, so that voters that applied the same changes have the
+same ``digest()``. The compacted revision may differ between them and has no influence on any result of
+``apply``. A voter applies each committed change here. Restoring a snapshot that is not valid raises
+``SnapshotError``.
 """
 
 from __future__ import annotations
@@ -21,29 +23,29 @@
 )
 
 SNAPSHOT_VERSION = 1
-DEDUPE_REVISIONS = 16_384  # for how many revisions an id is remembered; the same at all voters
-DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # bounds the ids of rejected changes, which make no revision
+DEDUPE_REVISIONS = 16_384  # number of revisions for which a change id is kept; the same at all voters
+DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # bounds also the ids of rejected changes, which make no revision
 
 
 class SnapshotError(ValueError):
-    """The bytes are not a snapshot of a keyspace, or one of another version."""
+    """The bytes are not a snapshot of a keyspace, or are one of another version."""
 
 
 class ChangeDecision(msgspec.Struct, frozen=True, array_like=True):
-    """The result of a change, kept under its id."""
+    """The result of a change, which is kept under the change's id."""
 
-    revision: int  # where it was applied; of the keyspace where it was rejected
-    conflicting_revision: int = -1  # the key's revision that made it conflict; -1: it was applied
+    revision: int  # that of the change if it was applied, else that of the keyspace at the time
+    conflicting_revision: int = -1  # revision of the key that caused a conflict; -1 if it was applied
 
     def result(self) -> ChangeResult:
-        """Return the answer, the same for each repeat."""
+        """Return the result, which is the same for each repeat of the change."""
         if self.conflicting_revision < 0:
             return ChangeApplied(self.revision)
         return ChangeRejected("conflict", current_revision=self.conflicting_revision)
 
 
 class KeyspaceSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The stored form; both lists in the order of their revisions."""
+    """The stored form of a keyspace. Both lists are in the order of their revisions."""
 
     version: int
     revision: int
@@ -57,7 +59,7 @@
 
 
 class Keyspace:
-    """Keys, their values and last revisions; deleted keys are kept until compaction."""
+    """Keys with their values and last revisions. Deleted keys are kept until compaction."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -66,7 +68,7 @@
         self._decisions: dict[str, ChangeDecision] = {}  # in the order of their decisions
 
     def apply(self, change: Change) -> ChangeResult:
-        """Apply a committed change. A repeated id gets the first answer, also where that was a conflict."""
+        """Apply a committed change. A repeated id gets the first result, even if that was a conflict."""
         decided = self._decisions.get(change.change_id)
         if decided is not None:
             return decided.result()
@@ -75,7 +77,7 @@
             decision = ChangeDecision(self.revision, current)
         else:
             self.revision += 1
-            self._entries.pop(change.key, None)  # the new one stands last
+            self._entries.pop(change.key, None)  # so that the new entry is the last one
             self._entries[change.key] = KeyValue(change.key, change.value, self.revision)
             decision = ChangeDecision(self.revision)
         self._decisions[change.change_id] = decision
@@ -91,17 +93,17 @@
             del self._decisions[oldest]
 
     def get(self, key: str) -> KeyValue | None:
-        """Return the key's value, None if it does not exist."""
-        found = self._entries.get(key)
-        return found if found is not None and found.value is not None else None
+        """Return the key's value, or None if the key does not exist."""
+        entry = self._entries.get(key)
+        return entry if entry is not None and entry.value is not None else None
 
     def key_revision(self, key: str) -> int:
-        """Return the revision to compare and set by; 0 if the key does not exist."""
-        found = self.get(key)
-        return found.revision if found is not None else 0
+        """Return the key's revision for compare-and-set; 0 if the key does not exist."""
+        entry = self.get(key)
+        return entry.revision if entry is not None else 0
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return the changes after ``revision``; None if they were compacted or it is not reached yet."""
+        """Return the changes after ``revision``; None if they were compacted or if it is not reached yet."""
         if not self.compacted_revision <= revision <= self.revision:
             return None
         changed: list[KeyValue] = []
@@ -117,7 +119,7 @@
         return StateSnapshot(self.revision, live)
 
     def compact(self, keep: int) -> None:
-        """Drop deleted keys older than the last ``keep`` revisions; deltas cannot start before then."""
+        """Drop deleted keys older than the last ``keep`` revisions. Deltas cannot start before these."""
         horizon = self.revision - keep
         if horizon <= self.compacted_revision:
             return
@@ -129,7 +131,7 @@
         }
 
     def snapshot(self) -> bytes:
-        """Return the whole state, for ``restore``."""
+        """Return the whole state, encoded for ``restore``."""
         return _encoder.encode(
             KeyspaceSnapshot(
                 SNAPSHOT_VERSION,
@@ -144,22 +146,22 @@
     def restore(cls, data: bytes) -> Keyspace:
         """Return the keyspace of a snapshot. Raises ``SnapshotError``."""
         try:
-            found = _decoder.decode(data)
+            snapshot = _decoder.decode(data)
         except msgspec.MsgspecError as error:
             raise SnapshotError(str(error)) from None
-        if found.version != SNAPSHOT_VERSION:
-            raise SnapshotError(f"version {found.version}, not {SNAPSHOT_VERSION}")
+        if snapshot.version != SNAPSHOT_VERSION:
+            raise SnapshotError(f"keyspace has version {snapshot.version}, expected {SNAPSHOT_VERSION}")
         keyspace = cls()
-        keyspace.revision = found.revision
-        keyspace.compacted_revision = found.compacted_revision
-        keyspace._entries = {entry.key: entry for entry in found.entries}
-        keyspace._decisions = dict(found.decisions)
+        keyspace.revision = snapshot.revision
+        keyspace.compacted_revision = snapshot.compacted_revision
+        keyspace._entries = {entry.key: entry for entry in snapshot.entries}
+        keyspace._decisions = dict(snapshot.decisions)
         return keyspace
 
     def digest(self) -> str:
-        """Return a hash of what all replicas agree on: live keys, revision, ids."""
+        """Return a hash of what all replicas agree on: existing keys, the revision, and decided changes."""
         live = sorted(
-            (entry for entry in self._entries.values() if entry.value is not None), key=lambda one: one.key
+            (entry for entry in self._entries.values() if entry.value is not None), key=lambda item: item.key
         )
         content = _encoder.encode((self.revision, live, list(self._decisions.items())))
         return hashlib.blake2b(content, digest_size=16).hexdigest()
--- a/merlinbay/control/voter.py
+++ b/merlinbay/control/voter.py
@@ -1,4 +1,8 @@
-"""A voter of the replicated control log: Raft without I/O, behind one class. See docs/CONTROL-LOG.md."""
+"""A voter of the replicated control log: Raft without I/O, behind one class. See docs/CONTROL-LOG.md.
+
+``Voter`` passes each event to the parts in ``merlinbay.control.consensus``. Messages that cannot be decoded
+are dropped and counted; a voter whose storage failed takes part no more.
+"""
 
 from __future__ import annotations
 
@@ -35,10 +39,10 @@
 
 
 class Voter(VoterView):
-    """One replica. The host calls a method, then carries out ``take_effects()`` in order.
+    """One replica of the log. The host calls a method, then carries out ``take_effects()`` in order.
 
-    ``random`` has to be seeded differently at each start: a voter that starts without records draws from it
-    the identity of its disk. Raises ``CorruptRecordsError`` where the records are not this voter's.
+    ``random`` has to be seeded differently at each start, since a voter that starts without records draws the
+    identity of its disk from it. Raises ``CorruptRecordsError`` if the records are not this voter's.
     """
 
     def __init__(
@@ -54,7 +58,7 @@
     # Events.
 
     def receive(self, now: float, sender: str, message: bytes) -> None:
-        """Process a message of another voter; one that cannot be decoded is dropped and counted."""
+        """Process a message of another voter. One that cannot be decoded is dropped and counted."""
         if not self._begin(now):
             return
         try:
@@ -82,7 +86,7 @@
     def _from_leader(self, sender: VoterIdentity, message: AppendRequest | SnapshotRequest) -> None:
         raft = self._raft
         if message.term < raft.term:
-            # A leader that was replaced learns the newer term from the answer.
+            # A leader that was replaced learns the newer term from this response.
             raft.send(sender.name, AppendResponse(raft.term, message.round, 0, False))
             return
         if message.term == raft.term and raft.role is VoterRole.LEADER:
@@ -122,7 +126,7 @@
         self._leadership = Leadership(self._raft, founders)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do the work that is due: that of a leader, or the start of an election."""
         if not self._begin(now):
             return
         if self._leadership is not None:
@@ -140,7 +144,7 @@
             self._raft.restart_election_timer()
 
     def next_deadline(self) -> float:
-        """Return when ``tick`` is due; infinity where nothing is."""
+        """Return when ``tick`` is due; infinity if the storage failed, since nothing is due then."""
         if self._raft.role is VoterRole.STORAGE_FAILED:
             return math.inf
         if self._leadership is not None:
@@ -150,7 +154,7 @@
     # Requests.
 
     def propose(self, now: float, change: Change, token: int) -> None:
-        """Propose a change; answered by ``ProposalDone`` within ``request_timeout_s``."""
+        """Propose a change, which is answered by ``ProposalDone`` within ``request_timeout_s``."""
         self._begin(now)
         leadership = self._leadership
         rejected = self._not_leading() or invalid_change(self.settings, change)
@@ -166,7 +170,7 @@
         self._raft.effects.append(ProposalDone(token, result))
 
     def _not_leading(self) -> ChangeRejected | None:
-        """Return why this voter accepts no proposals, None if it leads."""
+        """Return why this voter accepts no proposals, or None if it leads."""
         if self._leadership is not None:
             return None
         if self.role is VoterRole.STORAGE_FAILED:
@@ -176,7 +180,10 @@
         return ChangeRejected("not_leader", leader=self.leader)
 
     def read(self, now: float, key: str, token: int) -> None:
-        """Read linearizably, by a majority; answered by ``ReadDone`` within ``request_timeout_s``."""
+        """Read a key linearizably, once a majority has confirmed the leader.
+
+        The read is answered by ``ReadDone`` within ``request_timeout_s``.
+        """
         self._begin(now)
         leadership = self._leadership
         if leadership is None or len(leadership.requests.reads) >= self.settings.max_reads:
@@ -189,9 +196,9 @@
     def change_voters(self, now: float, add: str | None, remove: str | None, token: int) -> None:
         """Add, remove or replace one voter; answered by ``ProposalDone`` within ``voters_timeout_s``.
 
-        The one that is added first catches up without a vote. ``add`` equal to ``remove`` readmits a voter
-        with the disk that it has now, which a leader also does by itself. ``ChangeApplied`` has the
-        keyspace's revision, which such a change does not move.
+        An added voter first catches up without a vote. If ``add`` equals ``remove``, the voter is admitted
+        again with the disk that it has now, which a leader also does by itself. ``ChangeApplied`` contains
+        the keyspace's revision, which a change of voters does not advance.
         """
         self._begin(now)
         rejected = self._not_leading()
@@ -202,17 +209,18 @@
         self._end()
 
     def transfer_leadership(self, now: float) -> None:
-        """Transfer leadership to the voter that is most up to date; abandoned after an election timeout."""
+        """Transfer leadership to the most up-to-date voter, or give up after an election timeout."""
         self._begin(now)
         if self._leadership is not None:
             self._leadership.start_transfer()
         self._end()
 
     def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
-        """Stop taking part, since a ``Persist`` could not be stored.
+        """Stop taking part, since the record of a ``Persist`` could not be stored.
 
-        ``dropped`` are the effects from that one on, none of which may be carried out; answers among them
-        are repeated as uncertain or failed. To recover, build a new ``Voter`` from the stored records.
+        ``dropped`` contains that effect and all after it, none of which may be carried out. Answers among
+        them are given again, as uncertain or failed if they rest on a record that was not stored. To recover,
+        build a new ``Voter`` from the stored records.
         """
         if not self._begin(now):
             return
@@ -241,11 +249,11 @@
     # Around each event.
 
     def _begin(self, now: float) -> bool:
-        """Set the time; return whether this voter still takes part."""
+        """Set the time, end an expired lease, and return whether this voter still takes part."""
         raft = self._raft
         raft.advance_clock(now)
         if self._leadership is not None and self._leadership.lease_until <= raft.now:
-            # Guards against a leader that was paused or cut off and still answers as leader.
+            # A leader that was paused or cut off must not answer as leader any more.
             raft.step_down(raft.term)
             self._end()
         return raft.role is not VoterRole.STORAGE_FAILED
