--- a/tests/test_keyspace.py
+++ b/tests/test_keyspace.py
@@ -1,4 +1,4 @@
-"""The replicated state: what follows from changes alone, by table and by generated histories."""
+"""Tests of the replicated state, with fixed changes and with generated histories of changes."""
 
 from __future__ import annotations
 
@@ -81,7 +81,10 @@
 
 
 def test_compare_and_set() -> None:
-    """By the key's last revision; one that was deleted, or never was, has revision 0."""
+    """A change that expects another revision than the key's last one would overwrite an unseen change.
+
+    A key that was deleted or never existed has revision 0.
+    """
     keyspace = Keyspace()
     assert keyspace.apply(Change("1", "k", b"x", 1)) == ChangeRejected("conflict", current_revision=0)
     assert keyspace.apply(Change("2", "k", b"x", 0)) == ChangeApplied(1)
@@ -91,19 +94,22 @@
     assert keyspace.get("k") is None and keyspace.get("other") == KeyValue("other", b"", 2)
     assert keyspace.apply(Change("6", "k", b"z", 3)) == ChangeRejected("conflict", current_revision=0)
     assert keyspace.apply(Change("7", "k", b"z", 0)) == ChangeApplied(4)
-    # What was rejected once is never applied, also where it would fit now.
+    # A change that was rejected once is never applied, even if its expected revision is now the right one.
     assert keyspace.apply(Change("1", "k", b"x", 4)) == ChangeRejected("conflict", current_revision=0)
 
 
-def test_a_delta_has_a_key_that_is_older_than_its_base() -> None:
-    """Where it was written again since."""
+def test_delta_contains_older_key_that_was_written_again() -> None:
+    """A key that existed before the base of a delta belongs to the delta if it was written again since."""
     keyspace = built([Change("1", "a", b"1"), Change("2", "b", b"2"), Change("3", "a", b"3")])
     assert keyspace.delta_after(2) == Delta(2, 3, (KeyValue("a", b"3", 3),))
     assert keyspace.delta_after(1) == Delta(1, 3, (KeyValue("b", b"2", 2), KeyValue("a", b"3", 3)))
 
 
-def test_the_memory_of_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By revisions, and by number where nothing but rejections comes."""
+def test_kept_change_ids_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Change ids are kept for a number of revisions.
+
+    Their number is bounded too, since rejected changes make no revision.
+    """
     monkeypatch.setattr(module, "DEDUPE_REVISIONS", 5)
     monkeypatch.setattr(module, "DEDUPE_IDS", 10)
     keyspace = built([Change(f"{number}", "k", b"") for number in range(20)])
@@ -115,15 +121,15 @@
 
 
 @pytest.mark.parametrize(("revision", "known"), [(0, False), (4, False), (5, True), (9, True), (10, False)])
-def test_deltas_that_there_are_none_of(revision: int, known: bool) -> None:
-    """What was compacted, and revisions from the future."""
+def test_no_delta_after_compacted_or_future_revision(revision: int, known: bool) -> None:
+    """A delta after a compacted revision would lack deleted keys; one after a future revision has no base."""
     keyspace = built([Change(f"{number}", f"{number}", None) for number in range(9)], keep=4)
     assert (keyspace.delta_after(revision) is not None) is known
     assert keyspace.state().entries == () and len(keyspace._entries) == 4
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", Keyspace().snapshot() + b"x", b"\x95\x02\x00\x00\x90\x90"])
-def test_what_is_no_snapshot(data: bytes) -> None:
-    """Another version too."""
+def test_restore_rejects_invalid_snapshot(data: bytes) -> None:
+    """Bytes that are no snapshot, or one of another version, must not become a state."""
     with pytest.raises(SnapshotError):
         Keyspace.restore(data)
