--- a/merlinbay/control/consensus/follower_replication.py
+++ b/merlinbay/control/consensus/follower_replication.py
@@ -101,14 +101,10 @@
         self._answer_snapshot(leader, request, len(assembly.data), installed=False)
 
     def _assembly(self, leader: str, request: SnapshotRequest) -> SnapshotAssembly:
-        current = self.assembly
-        if current is None or (current.leader, current.term, current.index) != (
-            leader,
-            request.term,
-            request.index,
-        ):
-            current = self.assembly = SnapshotAssembly(leader, request.term, request.index)
-        return current
+        held = self.assembly
+        if held is None or (held.leader, held.term, held.index) != (leader, request.term, request.index):
+            held = self.assembly = SnapshotAssembly(leader, request.term, request.index)
+        return held
 
     def _install(self, leader: str, request: SnapshotRequest, data: bytes) -> None:
         try:
--- a/merlinbay/control/consensus/log.py
+++ b/merlinbay/control/consensus/log.py
@@ -50,7 +50,7 @@
 
 
 class ReplicatedLog:
-    """The entries from ``base_index + 1`` on; a snapshot contains the effect of all earlier ones."""
+    """The entries from ``base_index + 1`` on; a snapshot contains the effects of all earlier ones."""
 
     def __init__(
         self, base_index: int = 0, base_term: int = 0, configuration: Configuration | None = None
--- a/merlinbay/control/consensus/messages.py
+++ b/merlinbay/control/consensus/messages.py
@@ -29,7 +29,7 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="voted"):
-    """The response to a vote request; ``candidate`` is its sender, with the incarnation."""
+    """The response to a vote request; ``candidate`` names the sender of the request and its incarnation."""
 
     term: LogNumber  # the term of the request if the vote is granted, else that of the voter
     candidate: VoterIdentity
@@ -132,10 +132,7 @@
 
 
 def _check_order(message: AppendRequest) -> None:
-    """Raise ``UnreadableMessageError`` if the entries have gaps or decreasing terms.
-
-    The log could not take them.
-    """
+    """Raise ``UnreadableMessageError`` for entries with gaps or decreasing terms, which no log may hold."""
     index, term = message.previous_index, message.previous_term
     for entry in message.entries:
         if entry.index != index + 1 or not term <= entry.term <= message.term:
--- a/merlinbay/control/consensus/progress.py
+++ b/merlinbay/control/consensus/progress.py
@@ -44,8 +44,8 @@
 class FollowerProgress:
     """What the leader knows of one receiver of the log."""
 
-    # That of the disk that last answered, before that the one in the configuration; empty for a server that
-    # is not a voter and has not answered yet.
+    # The incarnation of the disk that last answered, at first the one in the configuration. Empty for a
+    # server that is not a voter and has not answered yet.
     incarnation: str
     next_index: int  # index of the next entry to send
     match_index: int = 0  # last index up to which its log is known to match the leader's
--- a/merlinbay/control/consensus/raft_state.py
+++ b/merlinbay/control/consensus/raft_state.py
@@ -125,7 +125,7 @@
         self.counters.impossible_messages += 1
 
     def become(self, role: VoterRole) -> None:
-        """Change the role. Raises ``AssertionError`` for a transition that Raft does not have."""
+        """Change the role. Raises ``AssertionError`` for a transition that ``TRANSITIONS`` does not list."""
         if role not in TRANSITIONS[self.role]:
             raise AssertionError(f"role cannot change from {self.role.value} to {role.value}")
         self.role = role
--- a/merlinbay/control/consensus/records.py
+++ b/merlinbay/control/consensus/records.py
@@ -39,7 +39,7 @@
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
     """Entries of the log. They replace the stored entries from the first one's index on."""
 
-    commit_index: int  # that of the time of writing; entries up to it are applied at a start
+    commit_index: int  # as of this record; entries up to it are applied at a start
     entries: list[LogEntry]
 
 
--- a/merlinbay/control/keyspace.py
+++ b/merlinbay/control/keyspace.py
@@ -24,7 +24,7 @@
 
 SNAPSHOT_VERSION = 1
 DEDUPE_REVISIONS = 16_384  # number of revisions for which a change id is kept; the same at all voters
-DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # bounds also the ids of rejected changes, which make no revision
+DEDUPE_IDS = 2 * DEDUPE_REVISIONS  # also bounds the ids of rejected changes, which make no revision
 
 
 class SnapshotError(ValueError):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -31,12 +31,14 @@
     return LogEntry(index, term, Change(f"{index}-{term}", "k", b"x"))
 
 
-def stored(*terms: int, term: int = 0, commit: int = 0, me: str = "a", names: str = "abc") -> list[bytes]:
+def stored(
+    *terms: int, term: int = 0, commit: int = 0, own_name: str = "a", names: str = "abc"
+) -> list[bytes]:
     """Return the records of a voter whose log has a configuration and entries of these terms after it."""
     first = LogEntry(1, 1, Configuration(tuple(disk(name) for name in names)))
     entries = [first, *(entry(index, entry_term) for index, entry_term in enumerate(terms, 2))]
     contents: list[records.VoterRecord] = [
-        records.IdentityRecord(disk(me)),
+        records.IdentityRecord(disk(own_name)),
         records.TermRecord(max(term, *terms, 1), None),
         records.EntriesRecord(commit, entries),
     ]
@@ -616,10 +618,10 @@
     harness = VoterHarness([])
     harness.now = LATER
     harness.voter.tick(LATER)
-    me = VoterIdentity("a", harness.voter.incarnation)
+    identity = VoterIdentity("a", harness.voter.incarnation)
     for pre in (True, False):
         for sender, incarnation in (("b", "1"), ("b", "2"), ("c", "1")):
-            harness.deliver(sender, wire.VoteResponse(1, me, True, pre), incarnation)
+            harness.deliver(sender, wire.VoteResponse(1, identity, True, pre), incarnation)
     assert harness.roles == [VoterRole.LEADER] and harness.voter.voters == ("a", "b", "c")
 
 
@@ -844,7 +846,7 @@
     [
         [b"junk"],
         stored()[1:],
-        stored(me="b"),
+        stored(own_name="b"),
         [*stored(), *stored()[:1]],
         [*stored(), records.encode_record(records.EntriesRecord(0, [entry(7, 1)]))],
         [records.encode_record(records.IdentityRecord(disk("a"), version=2))],
