--- a/merlinbay/dnssd/__init__.py
+++ b/merlinbay/dnssd/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list from DNS-SD records (RFC 6763)."""
+"""Reads the endpoint list from DNS-SD records (RFC 6763)."""
--- a/merlinbay/dnssd/directory.py
+++ b/merlinbay/dnssd/directory.py
@@ -1,4 +1,10 @@
-"""Queries a name server for a service's instances, again whenever the shortest TTL has expired."""
+"""Reads the endpoint list of a service from a name server, by DNS-SD (RFC 6763).
+
+The list is queried again whenever the shortest TTL of its records has expired, within the bounds that
+``ResourceLimits`` sets, and reported to the inbox when it has changed. A failed query leaves the reported
+list as it is and is reported too; querying resumes at the next ``subscribe`` or ``move``. An instance with
+invalid records is left out.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +28,11 @@
 
 
 class DnsQueryError(Exception):
-    """The name server gave no usable answer."""
+    """The name server answered with an error code."""
 
 
 class DnsSdDirectory:
-    """Reports the whole endpoint list after every change. A server that the list lacks is removed."""
+    """Reports the whole endpoint list after every change. A server that is not in the list is removed."""
 
     def __init__(
         self,
@@ -39,18 +45,23 @@
     ) -> None:
         self.nameserver, self.service = nameserver, dns.name.from_text(service)
         self.inbox, self.limits, self.counters, self.log = inbox, limits, counters, log
-        self.reported: dict[str, ServiceEntry] | None = None  # the list by server, as reported last
-        self.confirm_at_s = math.inf  # then the list is reported once more: all changes count as notified
+        self.reported: dict[str, ServiceEntry] | None = None  # the last reported list, by server
+        # Time at which the list is reported once more, because all changes count as notified by then.
+        self.confirm_at_s = math.inf
         self.reports_next = False  # the next list is reported even if nothing has changed
         self._subscribed = trio.Event()
         self._query_scope = trio.CancelScope()
 
     def subscribe(self, first_poll_timeout_us: int = 0) -> None:
-        """Begin to query, or go on after a failure. The timeout is not used here."""
+        """Start querying, or resume after a failure. The timeout is not used for DNS queries."""
         self._subscribed.set()
 
     def move(self, nameserver: tuple[str, int], service: str) -> None:
-        """Query at once, be it another name server or another service; the known list stays until then."""
+        """Set the name server and the service and query at once; the reported list stays until the answer.
+
+        The list is reported even if it is unchanged, and once more after the time by which all changes count
+        as notified.
+        """
         self.nameserver, self.service = nameserver, dns.name.from_text(service)
         self.reports_next = True
         notified_in_s = self.limits.reload_notified_in_us / 1e6 + self.limits.confirm_margin_s
@@ -59,14 +70,14 @@
         self._query_scope.cancel()
 
     def is_up(self, server: str) -> bool:
-        """Return whether a server is up by the list as reported last; all are, until there is one."""
+        """Return whether a server is up in the last reported list; before the first list, all are."""
         if self.reported is None:
             return True
         entry = self.reported.get(server)
         return entry is not None and entry.state == "up"
 
     async def run(self) -> None:
-        """Query until cancelled."""
+        """Query until cancelled; wait for ``subscribe`` or ``move`` at the start and after a failure."""
         while True:
             await self._subscribed.wait()
             self._subscribed = trio.Event()
@@ -75,7 +86,7 @@
                     while True:
                         await self._refresh()
                 except (DnsQueryError, OSError, dns.exception.DNSException, trio.TooSlowError) as error:
-                    # Guards against an outage that empties the list: the list as reported last stays.
+                    # Keeps the last reported list, so that an outage does not empty it.
                     self.counters.add("dns_failed")
                     self.log.event("dnssd_failed", level="warning", error=repr(error))
                     await trio.sleep(self.limits.dns_backoff_s)
@@ -83,7 +94,7 @@
                     await self.inbox.send(EndpointListReceived("refused", failure=CallFailure.UNREACHABLE))
 
     async def _refresh(self) -> None:
-        """Query the list, report it if it has changed, and wait until it expires."""
+        """Query the list, report it if it has changed or a report is due, and wait until it expires."""
         listed, ttl_s = await self.query_list()
         is_confirmation = trio.current_time() >= self.confirm_at_s
         if listed != self.reported or self.reports_next or is_confirmation:
@@ -96,24 +107,27 @@
         await trio.sleep_until(min(trio.current_time() + interval_s, self.confirm_at_s))
 
     async def query_list(self) -> tuple[dict[str, ServiceEntry], float]:
-        """Return the entries by server, and the shortest TTL of the records that they come from."""
-        found, shortest = await self._query(self.service, dns.rdatatype.PTR)
+        """Return the entries by server, and the shortest TTL of the records that they were read from."""
+        pointers, shortest_ttl = await self._query(self.service, dns.rdatatype.PTR)
         listed: dict[str, ServiceEntry] = {}
-        for instance in records.instance_names(found)[: self.limits.dns_instances]:
+        for instance in records.instance_names(pointers)[: self.limits.dns_instances]:
             try:
                 entry, ttl = await self._query_entry(instance)
-            except records.InvalidRecordError as error:  # one invalid instance hides no other
+            except records.InvalidRecordError as error:  # the other instances stay listed
                 self.counters.add("dns_bad_instances")
                 self.log.event(
                     "dnssd_instance_failed", level="warning", instance=str(instance), error=repr(error)
                 )
                 continue
             listed[entry.server] = entry
-            shortest = min(shortest, ttl)
-        return listed, float(shortest)
+            shortest_ttl = min(shortest_ttl, ttl)
+        return listed, float(shortest_ttl)
 
     async def _query_entry(self, instance: dns.name.Name) -> tuple[ServiceEntry, int]:
-        """Return the entry of one instance and its shortest TTL. Raises ``InvalidRecordError``."""
+        """Return the entry of an instance and the shortest TTL of its records.
+
+        Raises ``InvalidRecordError``.
+        """
         services, srv_ttl = await self._query(instance, dns.rdatatype.SRV)
         target = records.best_target(services)
         texts, txt_ttl = await self._query(instance, dns.rdatatype.TXT)
@@ -123,12 +137,12 @@
         return entry, min(srv_ttl, txt_ttl, host_ttl)
 
     async def _query(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> tuple[list[object], int]:
-        """Return the records of a name and their TTL. Raises ``DnsQueryError``, and errors of the network."""
+        """Return the records of a name and their TTL. Raises ``DnsQueryError`` and network errors."""
         host, port = self.nameserver
         query = dns.message.make_query(name, kind)
         answer, _ = await dns.asyncquery.udp_with_fallback(
             query, host, timeout=self.limits.dns_query_timeout_s, port=port
         )
         if answer.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-            raise DnsQueryError(f"{name}: {dns.rcode.to_text(answer.rcode())}")
-        return records.records(answer, name, kind)
+            raise DnsQueryError(f"the query for {name} was answered with {dns.rcode.to_text(answer.rcode())}")
+        return records.rrset_records(answer, name, kind)
--- a/merlinbay/dnssd/settings.py
+++ b/merlinbay/dnssd/settings.py
@@ -1,4 +1,4 @@
-"""The operator's section for DNS-SD."""
+"""Settings of DNS-SD in the operator's file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DnsSd(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The source of the endpoint list in place of the platform's discovery."""
+    """Reads the endpoint list by DNS-SD in place of the platform's discovery."""
 
-    nameserver: str  # ``host:port``
-    service: str  # the name that PTR records are queried for
+    nameserver: str  # address of the name server, as ``host:port``
+    service: str  # name whose PTR records list the instances of the service
--- a/merlinbay/dnssd/wiring.py
+++ b/merlinbay/dnssd/wiring.py
@@ -1,4 +1,4 @@
-"""Makes the DNS-SD directory from its section of the operator's file."""
+"""Makes the DNS-SD directory from its section of the operator's file, when a node starts."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
     counters: Counters,
     log: Log,
 ) -> DnsSdDirectory:
-    """Make the directory. Raises ``ConfigurationError``."""
+    """Make the directory. Raises ``ConfigurationError`` if the name server's address is invalid."""
     return DnsSdDirectory(parse_address(section.nameserver), section.service, inbox, limits, counters, log)
--- a/merlinbay/store/__init__.py
+++ b/merlinbay/store/__init__.py
@@ -1,1 +1,1 @@
-"""A durable log of records with snapshots, in one SQLite file."""
+"""A durable log of records and its snapshots, kept in one SQLite file."""
--- a/merlinbay/store/engine.py
+++ b/merlinbay/store/engine.py
@@ -1,7 +1,9 @@
-"""A log and its snapshots in one SQLite file. Blocking: ``log`` calls it in a thread.
+"""Stores a log of records and its snapshots in one SQLite file.
 
-One table holds records, one snapshots. With a write-ahead log and ``synchronous=FULL``, a commit that
-returned is on the disk. Rows are never updated; ``compact`` deletes records that a snapshot covers.
+One table holds the records, another the snapshots. With a write-ahead log and ``synchronous=FULL``, a commit
+that has returned is on the disk. Records are never updated; ``compact`` deletes those that the older of the
+two last snapshots covers. A failed write raises ``StoreWriteError``, and a file that differs from what was
+written raises ``CorruptLogError``. The calls block: ``StoreLog`` runs its writes in a thread.
 """
 
 from __future__ import annotations
@@ -29,31 +31,34 @@
                                       own BLOB NOT NULL) STRICT;
 CREATE TABLE IF NOT EXISTS probe (body BLOB NOT NULL) STRICT;
 """
-FILE_FORMAT = 0x6D620001  # SQLite's user_version; a file with another value is not opened
+FILE_FORMAT = 0x6D620001  # stored as SQLite's user_version; a file with another value is not opened
 READ_BATCH_RECORDS = 1000
-PROBE_BYTES = 256 * 1024  # written to find out whether there is space
-KEPT_SNAPSHOTS = 2  # the older one is used if the last cannot be read
+PROBE_BYTES = 256 * 1024  # written and deleted to test whether the disk has space
+KEPT_SNAPSHOTS = 2  # the older one is used if the last one cannot be read
 
 
 class StoreWriteError(Exception):
-    """A write failed, and nothing of it was acknowledged; the text is SQLite's."""
+    """Reading or writing the file failed; no record of a failed write was acknowledged.
+
+    The text is that of SQLite or of the operating system.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """The state that a prefix of the log leads to."""
+    """The state after all records up to ``number`` have been applied."""
 
-    number: int  # of the last record that the state includes
-    checksum: int  # of that record
+    number: int  # number of the last record that the state includes
+    checksum: int  # checksum of the last record that the state includes
     body: bytes
 
 
-def _bytes(checksum: int) -> bytes:
+def _encode_checksum(checksum: int) -> bytes:
     return checksum.to_bytes(8, "big")
 
 
 class StorageEngine:
-    """One open file; ``last_number`` and ``last_checksum`` are those of its last record."""
+    """An open store file; ``last_number`` and ``last_checksum`` belong to its last record."""
 
     def __init__(self, path: Path) -> None:
         """Open or create the file.
@@ -67,7 +72,7 @@
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
         try:
-            self._begin()
+            self._prepare_file()
         except sqlite3.DatabaseError as error:
             self.db.close()
             if isinstance(error, sqlite3.OperationalError):
@@ -77,19 +82,21 @@
             self.db.close()
             raise
 
-    def _begin(self) -> None:
+    def _prepare_file(self) -> None:
         file_format = self.db.execute("PRAGMA user_version").fetchone()[0]
         if file_format not in (0, FILE_FORMAT):
-            raise CorruptLogError(f"format {file_format:#x}, this program reads {FILE_FORMAT:#x}")
+            raise CorruptLogError(
+                f"the file has format {file_format:#x}; this program reads {FILE_FORMAT:#x}"
+            )
         if file_format == 0:
             if self.db.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]:
-                raise CorruptLogError("another program's file")
-            # Guards against a new file whose directory entry is lost with the power.
-            folder = os.open(self.path.parent, os.O_RDONLY)
+                raise CorruptLogError("the file is a database of another program")
+            # Syncs the directory, so that the entry of a new file survives a power failure.
+            directory_fd = os.open(self.path.parent, os.O_RDONLY)
             try:
-                os.fsync(folder)
+                os.fsync(directory_fd)
             finally:
-                os.close(folder)
+                os.close(directory_fd)
         self.db.execute("PRAGMA journal_mode=WAL")
         self.db.execute("PRAGMA synchronous=FULL")
         if file_format == 0:
@@ -98,17 +105,17 @@
 
     def _load_last(self) -> None:
         row = self.db.execute("SELECT number, checksum FROM records ORDER BY number DESC LIMIT 1").fetchone()
-        found = (
+        last_row = (
             row
             or self.db.execute(
                 "SELECT number, checksum FROM snapshots ORDER BY number DESC LIMIT 1"
             ).fetchone()
         )
-        if found is not None:
-            self.last_number, self.last_checksum = found[0], int.from_bytes(found[1], "big")
+        if last_row is not None:
+            self.last_number, self.last_checksum = last_row[0], int.from_bytes(last_row[1], "big")
 
     def append(self, bodies: list[bytes]) -> int:
-        """Write records, all or none; return the last one's number once they are on the disk.
+        """Write all of the records or none; return the number of the last once they are on the disk.
 
         Raises ``StoreWriteError``.
         """
@@ -119,7 +126,7 @@
                 self.db.executemany(
                     "INSERT INTO records VALUES (?, ?, ?, ?)",
                     [
-                        (record.number, record.version, record.body, _bytes(record.checksum))
+                        (record.number, record.version, record.body, _encode_checksum(record.checksum))
                         for record in records
                     ],
                 )
@@ -135,7 +142,10 @@
         return self.last_number
 
     def probe(self) -> None:
-        """Write ``PROBE_BYTES`` and delete them. Raises ``StoreWriteError``."""
+        """Test whether the file can be written: write ``PROBE_BYTES`` and delete them.
+
+        Raises ``StoreWriteError`` if it cannot.
+        """
         try:
             self.db.execute("INSERT INTO probe VALUES (zeroblob(?))", (PROBE_BYTES,))
             self.db.execute("DELETE FROM probe")
@@ -143,17 +153,20 @@
             raise StoreWriteError(str(error)) from None
 
     def truncate_after(self, number: int, checksum: int) -> int:
-        """Delete all records after the one of that number and checksum; return how many.
+        """Delete all records after the one with this number and checksum; return how many were deleted.
 
-        Raises ``CorruptLogError`` if that record is missing, ``StoreWriteError``.
+        A commit that was reported as failed may have reached the disk. Its writers were rejected, so its
+        records are deleted. Raises ``CorruptLogError`` if the record with this number and checksum is not in
+        the log, ``StoreWriteError`` if the deletion fails.
         """
-        # Guards against a commit that was reported as failed and took place: its writers were rejected.
         if self.last_number < number:
-            raise CorruptLogError(f"it ends at record {self.last_number}; {number} were promised")
-        known = {snapshot.number: snapshot.checksum for snapshot in self.snapshots()} | {0: INITIAL_CHECKSUM}
+            raise CorruptLogError(f"the log ends at record {self.last_number}; {number} were acknowledged")
+        snapshot_checksums = {snapshot.number: snapshot.checksum for snapshot in self.snapshots()} | {
+            0: INITIAL_CHECKSUM
+        }
         row = self.db.execute("SELECT checksum FROM records WHERE number = ?", (number,)).fetchone()
-        if (int.from_bytes(row[0], "big") if row else known.get(number)) != checksum:
-            raise CorruptLogError(f"record {number} is not the one that was promised")
+        if (int.from_bytes(row[0], "big") if row else snapshot_checksums.get(number)) != checksum:
+            raise CorruptLogError(f"record {number} is not the one that was acknowledged")
         try:
             dropped = self.db.execute("DELETE FROM records WHERE number > ?", (number,)).rowcount
         except sqlite3.Error as error:
@@ -162,13 +175,14 @@
         return dropped
 
     def read(self, after: int = 0, checksum: int = INITIAL_CHECKSUM) -> Iterator[LogRecord]:
-        """Yield the records after one of that number and checksum, each verified.
+        """Yield the records after number ``after``, whose checksum is ``checksum``; verify each record.
 
-        Raises ``CorruptLogError``, ``StoreWriteError``.
+        Raises ``CorruptLogError`` at the first record that does not match, ``StoreWriteError`` if reading
+        fails.
         """
-        yield from verify_records(checksum, after + 1, self._rows(after))
+        yield from verify_records(checksum, after + 1, self._read_rows(after))
 
-    def _rows(self, after: int) -> Iterator[LogRecord]:
+    def _read_rows(self, after: int) -> Iterator[LogRecord]:
         while True:
             try:
                 rows = self.db.execute(
@@ -187,7 +201,7 @@
             after = rows[-1][0]
 
     def snapshots(self) -> list[StoreSnapshot]:
-        """Return the snapshots whose checksum matches, the latest first."""
+        """Return the snapshots whose own checksum matches, the latest first."""
         rows = self.db.execute("SELECT number, checksum, body, own FROM snapshots ORDER BY number DESC")
         return [
             StoreSnapshot(number, int.from_bytes(previous, "big"), body)
@@ -197,20 +211,23 @@
         ]
 
     def write_snapshot(self, body: bytes) -> None:
-        """Store the state after the last record; earlier snapshots stay. Raises ``StoreWriteError``."""
+        """Store ``body`` as the state after the last record; earlier snapshots stay.
+
+        Raises ``StoreWriteError``.
+        """
         checksum = record_checksum(self.last_checksum, self.last_number, 0, body)
         try:
             self.db.execute(
                 "INSERT OR REPLACE INTO snapshots VALUES (?, ?, ?, ?)",
-                (self.last_number, _bytes(self.last_checksum), body, _bytes(checksum)),
+                (self.last_number, _encode_checksum(self.last_checksum), body, _encode_checksum(checksum)),
             )
         except sqlite3.Error as error:
             raise StoreWriteError(str(error)) from None
 
     def compact(self) -> int:
-        """Delete the records that the older of the two last snapshots covers; return how many.
+        """Delete the records that the older of the two last snapshots covers, and all older snapshots.
 
-        Raises ``StoreWriteError``.
+        Return how many records were deleted; with fewer than two snapshots, none. Raises ``StoreWriteError``.
         """
         kept = self.snapshots()[:KEPT_SNAPSHOTS]
         if len(kept) < KEPT_SNAPSHOTS:
@@ -229,9 +246,10 @@
         return dropped
 
     def verify(self) -> tuple[int, int]:
-        """Read the whole file; return the first and the last record's number.
+        """Read and verify the whole file; return the numbers of the first and the last record.
 
-        Raises ``CorruptLogError``, ``StoreWriteError``.
+        If there are no records, the first number is one above the last. Raises ``CorruptLogError``,
+        ``StoreWriteError``.
         """
         try:
             result = self.db.execute("PRAGMA integrity_check").fetchone()[0]
@@ -244,24 +262,27 @@
         count = self.db.execute("SELECT count(*) FROM snapshots").fetchone()[0]
         if len(snapshots) < count:
             raise CorruptLogError(
-                f"{count - len(snapshots)} of {count} snapshots are not as they were written"
+                f"{count - len(snapshots)} of {count} snapshots do not match their checksums"
             )
         if first is None:
             return self.last_number + 1, self.last_number
         if first == 1:
             previous = INITIAL_CHECKSUM
         else:
-            adjacent = [snapshot for snapshot in snapshots if snapshot.number == first - 1]
-            if not adjacent:
-                raise CorruptLogError(f"records begin at {first}, and no snapshot holds those before")
-            previous = adjacent[0].checksum
+            preceding_snapshots = [snapshot for snapshot in snapshots if snapshot.number == first - 1]
+            if not preceding_snapshots:
+                raise CorruptLogError(f"records begin at {first}, and no snapshot covers those before")
+            previous = preceding_snapshots[0].checksum
         last = first - 1
         for record in self.read(first - 1, previous):
             last = record.number
         return first, last
 
     def backup(self, path: Path) -> None:
-        """Copy a consistent state of the file, even while it is written. Raises ``StoreWriteError``."""
+        """Copy a consistent state of the file to ``path``, even while it is being written.
+
+        The copy gets its name only once it is complete. Raises ``StoreWriteError``.
+        """
         partial = path.with_name(f"{path.name}.part")
         partial.unlink(missing_ok=True)
         try:
@@ -275,5 +296,5 @@
             raise StoreWriteError(str(error)) from None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database connection."""
         self.db.close()
--- a/merlinbay/store/log.py
+++ b/merlinbay/store/log.py
@@ -1,8 +1,8 @@
-"""The log as tasks use it: concurrent appends share one commit, written in a thread.
+"""Lets concurrent tasks append to a store file: their records share commits, each written in a thread.
 
 ``StoreLog.append`` returns once its record is on the disk, or raises ``AppendRejectedError``. After a failed
-write all records of that commit are rejected, and new ones too until the file was reopened and verified
-(``health``).
+write all records of that commit are rejected. New records are rejected too, until the file has been reopened
+and compared with the last acknowledged record (see ``health``).
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from merlinbay.store.health import StoreEvent, StoreHealth, StoreState
 from merlinbay.store.records import CorruptLogError
 
-COMMIT_RECORDS = 512  # at most, in one commit
+MAX_RECORDS_PER_COMMIT = 512
 
 
 class AppendRejectedError(Exception):
-    """A record was not stored; the text says why."""
+    """A record was not acknowledged as stored; the text says why."""
 
     def __init__(self, cause: str, retry_after_us: int) -> None:
         super().__init__(cause)
@@ -32,16 +32,16 @@
 
 @dataclass(slots=True, eq=False)
 class PendingAppend:
-    """A record whose writer waits for the commit."""
+    """A record whose writer waits for its commit."""
 
     body: bytes
-    done: trio.Event = field(default_factory=trio.Event)  # set once number or error is
-    number: int = 0  # of the stored record
+    done: trio.Event = field(default_factory=trio.Event)  # set once the number or the error is set
+    number: int = 0  # number of the stored record
     error: AppendRejectedError | None = None
 
 
 class StoreLog:
-    """One file and the tasks that append to it. ``run`` has to be running for ``append`` to return."""
+    """A store file that tasks append to. ``append`` returns only while ``run`` is running."""
 
     def __init__(
         self, path: Path, log: Log, make_engine: Callable[[Path], StorageEngine] = StorageEngine
@@ -50,7 +50,7 @@
         self.path, self.log, self.make_engine = path, log, make_engine
         self.engine = make_engine(path)
         self.health = StoreHealth()
-        self.commits = 0  # since the start
+        self.commits = 0  # commits since the start
         self._send, self._receive = trio.open_memory_channel[PendingAppend](math.inf)
 
     async def append(self, body: bytes) -> int:
@@ -67,10 +67,10 @@
         return pending.number
 
     async def run(self) -> None:
-        """Write until ``close`` or cancellation."""
+        """Write appended records until ``close`` or cancellation; after a failed write, reopen the file."""
         async for pending in self._receive:
             group = [pending]
-            while len(group) < COMMIT_RECORDS:
+            while len(group) < MAX_RECORDS_PER_COMMIT:
                 try:
                     group.append(self._receive.receive_nowait())
                 except (trio.WouldBlock, trio.EndOfChannel):
@@ -85,7 +85,7 @@
     async def _commit(self, group: list[PendingAppend]) -> None:
         first = self.engine.last_number + 1
         try:
-            # Guards against a cancelled commit whose outcome its writers never learn.
+            # A commit is not cancelled, because its writers would never learn its outcome.
             with trio.CancelScope(shield=True):
                 await trio.to_thread.run_sync(self.engine.append, [pending.body for pending in group])
         except StoreWriteError as error:
@@ -113,7 +113,7 @@
                 return
 
     async def _recover(self) -> None:
-        """Reopen the file until it can be written; reject what waits meanwhile."""
+        """Reopen the file until it can be written or is found corrupt; meanwhile reject waiting records."""
         acknowledged = self.engine.last_number, self.engine.last_checksum
         while self.health.state is StoreState.FAILED:
             self._reject_waiting()
@@ -122,7 +122,8 @@
             try:
                 self.engine.close()
                 self.engine = await trio.to_thread.run_sync(self.make_engine, self.path)
-                # Guards against a truncated or replaced file: every acknowledged record has to be in it.
+                # Raises CorruptLogError if the file was truncated or replaced, because every acknowledged
+                # record must be in it.
                 self.engine.truncate_after(*acknowledged)
                 await trio.to_thread.run_sync(self.engine.probe)
             except StoreWriteError as error:
@@ -135,6 +136,6 @@
                 self.log.event("store_well", path=self.path, last=self.engine.last_number)
 
     def close(self) -> None:
-        """Accept nothing more; ``run`` writes what was sent before and returns."""
+        """Accept no more records; ``run`` writes those already appended, then returns."""
         self.health.apply(StoreEvent.CLOSED)
         self._send.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -43,11 +43,11 @@
 @pytest.mark.parametrize(
     ("records", "says"),
     [
-        ([LOG[0], *LOG[2:]], "record 2 is missing; 3"),
-        ([*LOG[:2], LOG[1], *LOG[2:]], "record 3 is missing; 2"),
-        ([*LOG[:3], dataclasses.replace(LOG[3], body=b"Four")], "record 4 is not as"),
-        ([LOG[0], dataclasses.replace(LOG[2], number=2), *LOG[2:]], "record 2 is not as"),
-        ([LOG[0], *OTHER[1:]], "record 2 is not as"),
+        ([LOG[0], *LOG[2:]], "record 2 is missing; the next record is 3"),
+        ([*LOG[:2], LOG[1], *LOG[2:]], "record 3 is missing; the next record is 2"),
+        ([*LOG[:3], dataclasses.replace(LOG[3], body=b"Four")], "record 4 does not match its checksum"),
+        ([LOG[0], dataclasses.replace(LOG[2], number=2), *LOG[2:]], "record 2 does not match its checksum"),
+        ([LOG[0], *OTHER[1:]], "record 2 does not match its checksum"),
         ([*LOG[:1], dataclasses.replace(LOG[1], version=2)], "version 2, which this program does not read"),
     ],
 )
@@ -123,10 +123,10 @@
 @pytest.mark.parametrize(
     ("sql", "says"),
     [
-        ("UPDATE records SET body = x'00' WHERE number = 7", "record 7 is not as it was written"),
+        ("UPDATE records SET body = x'00' WHERE number = 7", "record 7 does not match its checksum"),
         ("DELETE FROM records WHERE number = 7", "record 7 is missing"),
         ("DELETE FROM records WHERE number < 4", "begin at 4, and no snapshot"),
-        ("UPDATE snapshots SET body = x'00'", "1 of 1 snapshots are not"),
+        ("UPDATE snapshots SET body = x'00'", "1 of 1 snapshots do not match"),
         ("PRAGMA user_version = 5", "format 0x5"),
     ],
 )
@@ -291,7 +291,9 @@
         broken[0] = True
         assert isinstance((await many(log, 1))[0], AppendRejectedError)
         await until(log, StoreState.CORRUPT)
-        with pytest.raises(AppendRejectedError, match="corrupt: it ends at record 2; 3 were promised"):
+        with pytest.raises(
+            AppendRejectedError, match="corrupt: the log ends at record 2; 3 were acknowledged"
+        ):
             await log.append(b"more")
 
     with_log(path, scene, Failing)
