--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: records that fit, a file that keeps what was promised, and what is said where it cannot."""
+"""The store: verification of records, durability of acknowledged appends, handling of failed writes."""
 
 from __future__ import annotations
 
@@ -37,29 +37,38 @@
 
 ROOT = Path(__file__).parent.parent
 LOG = list(chain_records(INITIAL_CHECKSUM, 1, [b"one", b"two", b"two", b"four"]))
-OTHER = list(chain_records(INITIAL_CHECKSUM, 1, [b"else", b"two", b"two", b"four"]))
+OTHER_LOG = list(chain_records(INITIAL_CHECKSUM, 1, [b"else", b"two", b"two", b"four"]))
 
 
 @pytest.mark.parametrize(
-    ("records", "says"),
+    ("records", "expected_error"),
     [
         ([LOG[0], *LOG[2:]], "record 2 is missing; the next record is 3"),
         ([*LOG[:2], LOG[1], *LOG[2:]], "record 3 is missing; the next record is 2"),
         ([*LOG[:3], dataclasses.replace(LOG[3], body=b"Four")], "record 4 does not match its checksum"),
         ([LOG[0], dataclasses.replace(LOG[2], number=2), *LOG[2:]], "record 2 does not match its checksum"),
-        ([LOG[0], *OTHER[1:]], "record 2 does not match its checksum"),
+        ([LOG[0], *OTHER_LOG[1:]], "record 2 does not match its checksum"),
         ([*LOG[:1], dataclasses.replace(LOG[1], version=2)], "version 2, which this program does not read"),
     ],
 )
-def test_what_does_not_fit_is_found_at_its_record(records: list[LogRecord], says: str) -> None:
-    """Missing, doubled, altered, moved, of another log with the same bodies, of a version to come."""
+def test_verification_fails_at_the_first_record_that_does_not_match(
+    records: list[LogRecord], expected_error: str
+) -> None:
+    """The error names the first record that does not match.
+
+    A record is missing, duplicated, altered or moved; the records after it come from another log with the
+    same bodies; or a record has a version that only a later program knows.
+    """
     assert list(verify_records(INITIAL_CHECKSUM, 1, LOG)) == LOG
-    with pytest.raises(CorruptLogError, match=says):
+    with pytest.raises(CorruptLogError, match=expected_error):
         list(verify_records(INITIAL_CHECKSUM, 1, records))
 
 
-def test_after_a_failure_nothing_is_taken_until_the_file_was_looked_at() -> None:
-    """By the table: one way back, and none from an altered file; looks become rarer, up to a bound."""
+def test_store_stays_failed_until_the_file_is_reopened() -> None:
+    """Only a reopened file makes the store accept records again, and a corrupt store can only be closed.
+
+    The retry delay grows with each failed attempt, up to its bound.
+    """
     assert {after for (state, event), after in TRANSITIONS.items() if event is StoreEvent.REOPENED} == {
         StoreState.OPEN
     }
@@ -83,12 +92,12 @@
 
 
 def bodies(engine: StorageEngine) -> list[bytes]:
-    """Return all bodies of a log that begins at 1."""
+    """Return all bodies of a log whose first record is number 1."""
     return [record.body for record in engine.read()]
 
 
-def test_a_file_keeps_what_was_written_and_snapshots_take_its_place(tmp_path: Path) -> None:
-    """Over openings; compacted only up to the older of two snapshots, and then still whole."""
+def test_records_survive_reopening_and_compaction_keeps_two_snapshots(tmp_path: Path) -> None:
+    """Compaction deletes only the records that the older of two snapshots covers; the file stays valid."""
     path = tmp_path / "store"
     written = [str(number).encode() * 50 for number in range(2500)]
     engine = StorageEngine(path)
@@ -100,12 +109,12 @@
     assert engine.append(written[1000:]) == 2500 and bodies(engine) == written
     engine.write_snapshot(b"state at 2500")
     assert engine.compact() == 1000 and engine.verify() == (1001, 2500)
-    assert [(one.number, one.body) for one in engine.snapshots()] == [
+    assert [(snapshot.number, snapshot.body) for snapshot in engine.snapshots()] == [
         (2500, b"state at 2500"),
         (1000, b"state at 1000"),
     ]
     base = engine.snapshots()[1]
-    assert [one.body for one in engine.read(base.number, base.checksum)] == written[1000:]
+    assert [record.body for record in engine.read(base.number, base.checksum)] == written[1000:]
     engine.close()
     engine = StorageEngine(path)
     assert engine.append([b"next"]) == 2501 and engine.verify() == (1001, 2501)
@@ -113,7 +122,7 @@
 
 
 def alter(path: Path, sql: str) -> None:
-    """Change a file behind the engine's back."""
+    """Change a file through a separate database connection, without the engine."""
     db = sqlite3.connect(path)
     with db:
         db.execute(sql)
@@ -121,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sql", "says"),
+    ("sql", "expected_error"),
     [
         ("UPDATE records SET body = x'00' WHERE number = 7", "record 7 does not match its checksum"),
         ("DELETE FROM records WHERE number = 7", "record 7 is missing"),
@@ -130,48 +139,52 @@
         ("PRAGMA user_version = 5", "format 0x5"),
     ],
 )
-def test_a_check_finds_what_was_altered(tmp_path: Path, sql: str, says: str) -> None:
-    """And the command says so in one line, with status 3."""
+def test_check_command_reports_altered_files(tmp_path: Path, sql: str, expected_error: str) -> None:
+    """The command reports an altered or incomplete file in one line and exits with status 3."""
     path = tmp_path / "store"
     engine = StorageEngine(path)
     engine.append([b"x" * 10] * 9)
     engine.write_snapshot(b"state")
     engine.close()
     alter(path, sql)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "merlinbay", "store", "check", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 3 and says in done.stderr and len(done.stderr.splitlines()) == 1
+    assert (
+        completed.returncode == 3
+        and expected_error in completed.stderr
+        and len(completed.stderr.splitlines()) == 1
+    )
 
 
-def test_bytes_that_flipped_on_the_disk_are_found(tmp_path: Path) -> None:
-    """Anywhere in the body of a record; and a file that is none is refused."""
+def test_flipped_bits_on_disk_are_detected(tmp_path: Path) -> None:
+    """A flipped bit in the body of a record is detected, and a file that is no database is rejected."""
     path = tmp_path / "store"
     engine = StorageEngine(path)
     engine.append([b"%06d" % number * 40 for number in range(200)])
     engine.close()
-    whole, rng = path.read_bytes(), Random(3)
-    places = [at for at in range(len(whole)) if whole[at : at + 6].isdigit()]
-    for at in rng.sample(places, 10):
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 64]) + whole[at + 1 :])
+    content, rng = path.read_bytes(), Random(3)
+    offsets = [offset for offset in range(len(content)) if content[offset : offset + 6].isdigit()]
+    for offset in rng.sample(offsets, 10):
+        path.write_bytes(content[:offset] + bytes([content[offset] ^ 64]) + content[offset + 1 :])
         with pytest.raises(CorruptLogError):
-            found = StorageEngine(path)
+            damaged = StorageEngine(path)
             try:
-                found.verify()
+                damaged.verify()
             finally:
-                found.close()
+                damaged.close()
     path.write_bytes(b"not a database, but long enough to be read as one" * 100)
     with pytest.raises(CorruptLogError):
         StorageEngine(path)
 
 
 @pytest.mark.parametrize("pragma", ["max_page_count = 12", "query_only = ON"])
-def test_what_cannot_be_written_is_written_not_at_all(tmp_path: Path, pragma: str) -> None:
-    """A full disk and a read-only one: of a group, all or none; what was there before stays."""
+def test_failed_append_stores_none_of_its_records(tmp_path: Path, pragma: str) -> None:
+    """On a full or a read-only disk no record of a group is stored, and the earlier records stay."""
     engine = StorageEngine(tmp_path / "store")
     engine.append([b"before"])
     engine.db.execute(f"PRAGMA {pragma}")
@@ -184,146 +197,154 @@
     engine.close()
 
 
-def test_a_second_writer_of_a_file_is_refused_wholly(tmp_path: Path) -> None:
-    """One that has written meanwhile is met in the middle of a group: nothing of the group stays."""
+def test_append_after_a_second_writer_stores_none_of_its_records(tmp_path: Path) -> None:
+    """Another process has written a record with a number from the middle of the group.
+
+    The conflict must remove the whole group.
+    """
     engine = StorageEngine(tmp_path / "store")
     engine.append([b"a"] * 3)
     alter(tmp_path / "store", "INSERT INTO records VALUES (5, 1, x'00', x'00')")
     with pytest.raises(StoreWriteError, match="UNIQUE"):
         engine.append([b"b"] * 3)
     assert engine.db.execute("SELECT number FROM records").fetchall() == [(1,), (2,), (3,), (5,)]
-    assert engine.db.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL: what no kill can show
+    # 2 is FULL. Killing the process cannot show whether a commit waits for the disk.
+    assert engine.db.execute("PRAGMA synchronous").fetchone() == (2,)
     engine.close()
 
 
-def with_log(
+def run_with_log(
     path: Path,
-    scene: Callable[[StoreLog], Awaitable[None]],
+    scenario: Callable[[StoreLog], Awaitable[None]],
     make: Callable[[Path], StorageEngine] = StorageEngine,
 ) -> None:
-    """Play a scene with a log that is written."""
+    """Run a scenario with a log whose writer task is running."""
 
-    async def whole() -> None:
+    async def main() -> None:
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
                 log = StoreLog(path, Log(0), make)
                 nursery.start_soon(log.run)
-                await scene(log)
+                await scenario(log)
                 log.close()
 
-    trio.run(whole)
+    trio.run(main)
 
 
-async def until(log: StoreLog, state: StoreState) -> None:
-    """Wait until the log is so."""
+async def wait_for_state(log: StoreLog, state: StoreState) -> None:
+    """Wait until the store has this state."""
     while log.health.state is not state:
         await trio.sleep(0.05)
 
 
-async def many(log: StoreLog, count: int, size: int = 20) -> list[int | AppendRejectedError]:
-    """Append side by side; return each one's number, or why not."""
-    found: list[int | AppendRejectedError] = []
+async def append_many(log: StoreLog, count: int, size: int = 20) -> list[int | AppendRejectedError]:
+    """Append records concurrently; return the number or the error of each."""
+    results: list[int | AppendRejectedError] = []
 
-    async def one() -> None:
+    async def append_one() -> None:
         try:
-            found.append(await log.append(b"r" * size))
+            results.append(await log.append(b"r" * size))
         except AppendRejectedError as error:
-            found.append(error)
+            results.append(error)
 
     async with trio.open_nursery() as nursery:
         for _ in range(count):
-            nursery.start_soon(one)
-    return found
+            nursery.start_soon(append_one)
+    return results
 
 
-def test_appends_side_by_side_share_commits(tmp_path: Path) -> None:
-    """Each hears its own number; a commit holds many."""
+def test_concurrent_appends_share_commits(tmp_path: Path) -> None:
+    """Each append returns its own number, and a commit holds many records."""
 
-    async def scene(log: StoreLog) -> None:
-        numbers = [one for _ in range(4) for one in await many(log, 300)]
+    async def scenario(log: StoreLog) -> None:
+        numbers = [number for _ in range(4) for number in await append_many(log, 300)]
         assert numbers and sorted(map(str, numbers)) == sorted(map(str, range(1, 1201)))
         assert log.commits <= 24
 
-    with_log(tmp_path / "store", scene)
+    run_with_log(tmp_path / "store", scenario)
 
 
-def test_a_full_disk_refuses_and_is_used_again_when_there_is_room(tmp_path: Path) -> None:
-    """No record that was refused is in the file, none that was taken is missing."""
-    room = [30]  # pages
+def test_appends_are_rejected_while_the_disk_is_full_and_resume_afterwards(tmp_path: Path) -> None:
+    """No rejected record is in the file, and no acknowledged record is missing."""
+    page_limit = [30]  # pages
 
     def make(path: Path) -> StorageEngine:
         engine = StorageEngine(path)
-        engine.db.execute(f"PRAGMA max_page_count = {room[0]}")
+        engine.db.execute(f"PRAGMA max_page_count = {page_limit[0]}")
         return engine
 
-    async def scene(log: StoreLog) -> None:
-        taken = [one for one in await many(log, 5, 3000) if isinstance(one, int)]
-        refused = await many(log, 200, 3000)
-        assert len(taken) == 5
+    async def scenario(log: StoreLog) -> None:
+        accepted = [number for number in await append_many(log, 5, 3000) if isinstance(number, int)]
+        rejected = await append_many(log, 200, 3000)
+        assert len(accepted) == 5
         assert all(
-            isinstance(one, AppendRejectedError) and one.retry_after_us >= FIRST_RETRY_US for one in refused
+            isinstance(error, AppendRejectedError) and error.retry_after_us >= FIRST_RETRY_US
+            for error in rejected
         )
         with pytest.raises(AppendRejectedError, match=r"the store is (failed|looking)"):
             await log.append(b"meanwhile")
         await trio.sleep(FIRST_RETRY_US / 1e6 + 0.2)
-        assert log.health.state is not StoreState.OPEN  # it was looked at, and there is no room yet
-        room[0] = 100_000
-        await until(log, StoreState.OPEN)
+        assert log.health.state is not StoreState.OPEN  # the file was reopened, and there is no space yet
+        page_limit[0] = 100_000
+        await wait_for_state(log, StoreState.OPEN)
         assert await log.append(b"after") == 6
         assert bodies(log.engine) == [b"r" * 3000] * 5 + [b"after"]
 
-    with_log(tmp_path / "store", scene, make)
+    run_with_log(tmp_path / "store", scenario, make)
+
 
+def test_file_that_lost_an_acknowledged_record_is_not_written_again(tmp_path: Path) -> None:
+    """The file is reopened after a failed write and ends before the last acknowledged record.
 
-def test_a_file_that_lost_a_promise_is_not_written_again(tmp_path: Path) -> None:
-    """After a failure it is opened anew and ends too early: operators have to act, nothing is taken."""
-    path, broken = tmp_path / "store", [False]
+    The store must then reject all records until an operator acts.
+    """
+    path, is_failing = tmp_path / "store", [False]
 
     class Failing(StorageEngine):
         def append(self, bodies: list[bytes]) -> int:
-            if broken[0]:
+            if is_failing[0]:
                 alter(path, "DELETE FROM records WHERE number = 3")
                 raise StoreWriteError("disk I/O error")
             return super().append(bodies)
 
-    async def scene(log: StoreLog) -> None:
-        await many(log, 3)
-        broken[0] = True
-        assert isinstance((await many(log, 1))[0], AppendRejectedError)
-        await until(log, StoreState.CORRUPT)
+    async def scenario(log: StoreLog) -> None:
+        await append_many(log, 3)
+        is_failing[0] = True
+        assert isinstance((await append_many(log, 1))[0], AppendRejectedError)
+        await wait_for_state(log, StoreState.CORRUPT)
         with pytest.raises(
             AppendRejectedError, match="corrupt: the log ends at record 2; 3 were acknowledged"
         ):
             await log.append(b"more")
 
-    with_log(path, scene, Failing)
+    run_with_log(path, scenario, Failing)
 
 
-def test_a_commit_that_failed_and_is_there_all_the_same_is_taken_back(tmp_path: Path) -> None:
-    """Its writers were refused: a later opening must not find their records."""
-    broken = [False]
+def test_commit_reported_as_failed_but_stored_is_deleted_on_reopening(tmp_path: Path) -> None:
+    """Its writers were rejected, so their records must not appear after the file is reopened."""
+    is_failing = [False]
 
-    class Late(StorageEngine):
+    class FailsAfterCommit(StorageEngine):
         first = 0
 
         def append(self, bodies: list[bytes]) -> int:
             number = super().append(bodies)
-            if broken[0]:
-                broken[0] = False
+            if is_failing[0]:
+                is_failing[0] = False
                 self.last_number, self.last_checksum = LOG[0].number, self.first
                 raise StoreWriteError("disk I/O error")
             self.first = self.last_checksum
             return number
 
-    async def scene(log: StoreLog) -> None:
+    async def scenario(log: StoreLog) -> None:
         assert await log.append(b"one") == 1
-        broken[0] = True
-        assert all(isinstance(one, AppendRejectedError) for one in await many(log, 4))
-        await until(log, StoreState.OPEN)
+        is_failing[0] = True
+        assert all(isinstance(error, AppendRejectedError) for error in await append_many(log, 4))
+        await wait_for_state(log, StoreState.OPEN)
         assert await log.append(b"two") == 2
         assert bodies(log.engine) == [b"one", b"two"]
 
-    with_log(tmp_path / "store", scene, Late)
+    run_with_log(tmp_path / "store", scenario, FailsAfterCommit)
 
 
 WRITER = """
@@ -345,9 +366,9 @@
 """
 
 
-def test_a_kill_at_any_moment_loses_nothing_that_was_acknowledged(tmp_path: Path) -> None:
-    """Twelve lives of one file, each ended by SIGKILL at a drawn moment of writing."""
-    path, rng, told = tmp_path / "store", Random(11), 0
+def test_kill_loses_no_acknowledged_record(tmp_path: Path) -> None:
+    """Twelve processes in turn write one file, and SIGKILL ends each at a random moment of writing."""
+    path, rng, previous_last = tmp_path / "store", Random(11), 0
     for _ in range(12):
         with subprocess.Popen(
             [sys.executable, "-c", WRITER, str(path)], cwd=ROOT, stdout=subprocess.PIPE
@@ -363,17 +384,17 @@
         engine = StorageEngine(path)
         first_number, last = engine.verify()
         engine.close()
-        assert first_number == 1 and last >= max(numbers) > told and min(numbers) > told
-        told = last
+        assert first_number == 1 and last >= max(numbers) > previous_last and min(numbers) > previous_last
+        previous_last = last
 
 
-def test_a_copy_made_while_it_is_written_takes_the_files_place(tmp_path: Path) -> None:
-    """Backup, restore, dump by the commands; a file that is there is never written over."""
-    path, copy, back = tmp_path / "store", tmp_path / "copy", tmp_path / "back"
+def test_backup_taken_during_writes_can_be_restored(tmp_path: Path) -> None:
+    """The commands back up, restore and dump a file, and never overwrite an existing file."""
+    path, copy, restored = tmp_path / "store", tmp_path / "copy", tmp_path / "back"
 
-    def run(*words: object) -> subprocess.CompletedProcess[str]:
+    def run(*arguments: object) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "merlinbay", "store", *map(str, words)],
+            [sys.executable, "-m", "merlinbay", "store", *map(str, arguments)],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -387,8 +408,10 @@
         before = int(process.stdout.readline())
         assert run("backup", path, copy).returncode == 0
         process.kill()
-    assert run("restore", copy, back).returncode == 0
-    assert run("restore", copy, back).returncode == 9 and run("check", tmp_path / "none").returncode == 7
-    dumped = [json.loads(line) for line in run("dump", back).stdout.splitlines()]
-    assert [one["number"] for one in dumped] == list(range(1, len(dumped) + 1)) and len(dumped) >= before
-    assert run("compact", back).stdout.startswith("0 records dropped")
+    assert run("restore", copy, restored).returncode == 0
+    assert run("restore", copy, restored).returncode == 9 and run("check", tmp_path / "none").returncode == 7
+    dumped = [json.loads(line) for line in run("dump", restored).stdout.splitlines()]
+    assert [record["number"] for record in dumped] == list(range(1, len(dumped) + 1)) and len(
+        dumped
+    ) >= before
+    assert run("compact", restored).stdout.startswith("0 records dropped")
