--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -1,8 +1,8 @@
-"""Examples of all that is stored, or sent between processes that may be of different versions.
+"""Examples of all data that is stored, or sent between processes that may have different versions.
 
-``python -m tests.stored_forms`` writes them anew, where a format changes on purpose.
-An example is built from its type, with a value in every field that is not the default one: reading and
-writing it again gives the same bytes only while every field keeps its encoded name, order and meaning.
+``python -m tests.stored_forms`` rewrites the examples; run it when a format is changed on purpose. An example
+is built from its type, with a value other than the default in every field. Decoding and encoding it again
+gives the same bytes only while every field keeps its encoded name, order and meaning.
 """
 
 from __future__ import annotations
@@ -48,24 +48,24 @@
 
 @dataclass(frozen=True)
 class Form:
-    """One type, and the encoding that it is stored or sent in; of a file of settings, the names alone."""
+    """A type and the encoding that it is stored or sent in; for a settings file, only its field names."""
 
     type: Any
     encoding: str = "msgpack"  # msgpack | json | names
 
     def encode(self, value: Any) -> bytes:
-        """Write a value."""
+        """Encode a value."""
         return msgspec.msgpack.encode(value) if self.encoding == "msgpack" else msgspec.json.encode(value)
 
     def decode(self, data: bytes) -> Any:
-        """Read a value."""
+        """Decode a value."""
         if self.encoding == "msgpack":
             return msgspec.msgpack.decode(data, type=self.type)
         return msgspec.json.decode(data, type=self.type)
 
 
 FORMS: dict[str, Form] = {
-    # The hand-over between two processes of a node.
+    # Handover between two processes of a node.
     "handover.hello": Form(handover.StateRequest),
     "handover.part": Form(handover.StateChunk),
     "handover.whole": Form(handover.StateComplete),
@@ -77,7 +77,7 @@
     "handover.banned": Form(handover.MaintenanceForward),
     "handover.away": Form(handover.StandbyForward),
     "handover.edge-given": Form(handover.ConnectionTransfer),
-    # The control log: on disk, between voters, and to watchers.
+    # The control log, as stored on disk, sent between voters, and sent to watchers.
     "control.record-identity": Form(records.IdentityRecord),
     "control.record-term": Form(records.TermRecord),
     "control.record-entries": Form(records.EntriesRecord),
@@ -108,11 +108,11 @@
     "schema.limits": Form(schema.LimitSettings, "json"),
     "schema.free": Form(schema.FreeSetting, "json"),
     "schema.machine": Form(schema.ControlMachine, "json"),
-    # What members have promised, keys, results.
+    # Stored state of epoch acceptors, key rings, and results.
     "fleet.kept": Form(AcceptorState, "json"),
     "access.ring": Form(tokens.KeyRing, "json"),
     "scale.run": Form(ScaleRun, "json"),
-    # Files of settings, and scripts.
+    # Settings files and scripts.
     "file.node": Form(ConfigurationFile, "names"),
     "file.operator": Form(Operator, "names"),
     "file.access": Form(AccessSettings, "names"),
@@ -121,7 +121,7 @@
     "file.rig-script": Form(RigScript, "names"),
     "file.plan": Form(ScalePlan, "names"),
     "file.grid": Form(Grid, "names"),
-    # JSON of the platform, of the submission front and of operators' calls.
+    # JSON of the platform, the DRMAA front and operators' calls.
     "platform.listing": Form(platform.Listing, "json"),
     "platform.job-event": Form(platform.JobEvent, "json"),
     "drmaa.job-template": Form(drmaa.JobTemplate, "json"),
@@ -160,7 +160,7 @@
 
 
 class Builder:
-    """Builds plain values that a type can be read from, each different from the one before."""
+    """Builds plain values that a type can be decoded from; numbers and texts are all different."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -171,13 +171,13 @@
         return self.count
 
     def names(self, kind: Any) -> Any:
-        """Return the names of a type's fields, each with those of its own type."""
+        """Return the names of a type's fields, each with the names of the fields of its own type."""
         if isinstance(kind, inspect.Metadata):
             return self.names(kind.type)
         if isinstance(kind, (inspect.StructType, inspect.DataclassType)):
             return {field.encode_name: self.names(field.type) for field in kind.fields}
         if isinstance(kind, inspect.UnionType):
-            return [self.names(one) for one in kind.types]
+            return [self.names(member) for member in kind.types]
         if isinstance(kind, (inspect.ListType, inspect.VarTupleType)):
             return [self.names(kind.item_type)]
         if isinstance(kind, inspect.DictType):
@@ -193,7 +193,9 @@
         if isinstance(kind, inspect.DataclassType):
             return {field.encode_name: self.build(field.type) for field in kind.fields}
         if isinstance(kind, inspect.UnionType):
-            return self.build(next(one for one in kind.types if not isinstance(one, inspect.NoneType)))
+            return self.build(
+                next(member for member in kind.types if not isinstance(member, inspect.NoneType))
+            )
         if isinstance(kind, inspect.EnumType):
             return list(kind.cls)[-1].value
         if isinstance(kind, inspect.LiteralType):
@@ -210,7 +212,7 @@
         if isinstance(kind, (inspect.ListType, inspect.VarTupleType)):
             return [self.build(kind.item_type)]
         if isinstance(kind, inspect.TupleType):
-            return [self.build(one) for one in kind.item_types]
+            return [self.build(item) for item in kind.item_types]
         if isinstance(kind, inspect.DictType):
             return {self.build(kind.key_type): self.build(kind.value_type)}
         return self._scalar(kind)
@@ -230,7 +232,7 @@
             return f"2026-01-01T00:00:{self.number() % 60:02d}Z"
         if isinstance(kind, inspect.AnyType):
             return f"any-{self.number()}"
-        raise TypeError(f"no example of {kind}")
+        raise TypeError(f"no example value is defined for type {kind}")
 
 
 def example(form: Form) -> bytes:
@@ -242,7 +244,7 @@
 
 
 def make_store(path: Path) -> None:
-    """Make a log with a snapshot."""
+    """Make a store file with three records and a snapshot after the second."""
     engine = StorageEngine(path)
     engine.append([b"first", b"second"])
     engine.write_snapshot(b"state after two")
@@ -254,14 +256,14 @@
 
 
 def result() -> SimulationResult:
-    """Return a day's result, each field with a value of its own."""
+    """Return a simulation result with a different value in each field."""
     kinds: dict[str, Callable[[int], Any]] = {"str": lambda n: f"text-{n}", "int": int, "float": float}
     names = SimulationResult.__dataclass_fields__.items()
-    return SimulationResult(**{name: kinds[str(one.type)](n) for n, (name, one) in enumerate(names, 1)})
+    return SimulationResult(**{name: kinds[str(field.type)](n) for n, (name, field) in enumerate(names, 1)})
 
 
 def make_results(path: Path) -> None:
-    """Make a file of one result."""
+    """Make a result file with one result."""
     store = Store(path)
     store.add(CELL, result())
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -269,16 +271,16 @@
 
 
 def main() -> None:
-    """Write all examples."""
+    """Rewrite all examples."""
     GOLDEN.mkdir(exist_ok=True)
-    found = {name: base64.b64encode(example(form)).decode() for name, form in FORMS.items()}
-    found["fleet.claim"] = base64.b64encode(wire.pack(members.encode_state(CLAIM))).decode()
-    found["fleet.sealed"] = base64.b64encode(wire.seal(KEYS, "north", SEALED)).decode()
-    (GOLDEN / "forms.json").write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
+    examples = {name: base64.b64encode(example(form)).decode() for name, form in FORMS.items()}
+    examples["fleet.claim"] = base64.b64encode(wire.pack(members.encode_state(CLAIM))).decode()
+    examples["fleet.sealed"] = base64.b64encode(wire.seal(KEYS, "north", SEALED)).decode()
+    (GOLDEN / "forms.json").write_bytes(msgspec.json.format(msgspec.json.encode(examples), indent=1) + b"\n")
     for name, make in (("store.db", make_store), ("results.db", make_results)):
         (GOLDEN / name).unlink(missing_ok=True)
         make(GOLDEN / name)
-    print(len(found), asdict(result()))
+    print(len(examples), asdict(result()))
 
 
 if __name__ == "__main__":
--- a/tests/test_in_service.py
+++ b/tests/test_in_service.py
@@ -1,4 +1,4 @@
-"""What operators do with a node in service: calls, maintenance, clients sent away."""
+"""Operators' actions on a node in service: admin calls, maintenance, and standby."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from tests.net import LIMITS, ROOT, NodeFixture, admission_headers, free_port, node_fixture, run_scenario
 from tests.support import entry, settings
 
-Scene = Callable[[NodeFixture], Awaitable[None]]
+Scenario = Callable[[NodeFixture], Awaitable[None]]
 
 
-def in_service(folder: Path, scene: Scene, program: bool = False) -> None:
-    """Play a scene with a node of two servers that operators can call."""
+def run_in_service(folder: Path, scenario: Scenario, program: bool = False) -> None:
+    """Run a scenario with a node that has two servers and accepts admin calls."""
 
-    async def whole() -> None:
+    async def main() -> None:
         async with node_fixture(folder) as s:
             s.admin_port = free_port()
             s.add_server("s-1")
             s.add_server("s-2")
             await s.start(program)
-            await scene(s)
+            await scenario(s)
 
-    run_scenario(whole)
+    run_scenario(main)
 
 
 CALLS = [
@@ -58,48 +58,54 @@
 ]
 
 
-def test_each_call_has_one_line_also_beside_callers_who_say_nothing(tmp_path: Path) -> None:
-    """Forty connections without a word neither keep others out nor delay them."""
+def test_each_admin_call_gets_one_line_despite_silent_connections(tmp_path: Path) -> None:
+    """Forty admin connections that send nothing neither block nor delay other callers."""
 
-    async def scene(s: NodeFixture) -> None:
+    async def scenario(s: NodeFixture) -> None:
         silent = [await trio.open_tcp_stream("127.0.0.2", s.admin_port) for _ in range(40)]
         for line, word in CALLS:
             with trio.fail_after(1):
                 answer = await s.admin_call(line)
             assert answer.startswith(word) and answer.count("\n") == 1, (line, answer)
-        with trio.fail_after(1):  # the first have made room, and are not waited for
+        with trio.fail_after(1):  # the oldest connections were closed at once to make room for others
             assert await silent[0].receive_some(1) == b""
         for stream in silent:
             await stream.aclose()
 
-    in_service(tmp_path, scene)
+    run_in_service(tmp_path, scenario)
 
 
-def test_the_command_line_makes_calls(tmp_path: Path) -> None:
-    """The answer's line, and an exit status that scripts can use."""
+def test_command_line_makes_admin_calls(tmp_path: Path) -> None:
+    """The command prints the line of the answer and exits with a status that scripts can use."""
 
-    async def scene(s: NodeFixture) -> None:
-        for at, words, status, line in [
+    async def scenario(s: NodeFixture) -> None:
+        for at, arguments, status, line in [
             (s.admin_port, ["maint-on", "s-1"], 0, "SUCCESS"),
             (s.admin_port, ["maint-off", "x"], 9, "FAILURE nobody"),
             (free_port(), ["status"], 8, "merlinbay: cannot reach the node"),
         ]:
-            done = await trio.run_process(
-                [sys.executable, "-m", "merlinbay", "operate", "--at", f"127.0.0.2:{at}", *words],
+            completed = await trio.run_process(
+                [sys.executable, "-m", "merlinbay", "operate", "--at", f"127.0.0.2:{at}", *arguments],
                 cwd=ROOT,
                 check=False,
                 capture_stdout=True,
                 capture_stderr=True,
             )
-            assert (done.returncode, (done.stdout + done.stderr).decode()[: len(line)]) == (status, line)
+            assert (completed.returncode, (completed.stdout + completed.stderr).decode()[: len(line)]) == (
+                status,
+                line,
+            )
+
+    run_in_service(tmp_path, scenario)
 
-    in_service(tmp_path, scene)
 
+def test_server_in_maintenance_gets_no_request_whatever_discovery_lists(tmp_path: Path) -> None:
+    """From the answer to ``maint-on`` the server gets nothing, even if discovery lists it as restarted.
 
-def test_nothing_goes_to_a_server_in_maintenance_whatever_is_listed(tmp_path: Path) -> None:
-    """From the yes on, also when discovery lists it anew; after the call that ends it it is used again."""
+    After ``maint-off`` it is used again.
+    """
 
-    async def scene(s: NodeFixture) -> None:
+    async def scenario(s: NodeFixture) -> None:
         assert (await s.admin_call("maint-on s-1")).startswith("SUCCESS")
         before = len(s.server("s-1").targets())
         for number in range(20):
@@ -109,18 +115,22 @@
         assert (await s.admin_call("maint-on s-2")).startswith("SUCCESS")
         assert (await s.admit("nowhere")).status == 503
         assert (await s.admin_call("maint-off s-1")).startswith("SUCCESS")
-        tries = 0
-        while (await s.admit(f"again-{tries}")).status != 200:  # a cold server's first turn is not at once
-            tries += 1
+        attempts = 0
+        # A warming server does not get its first request at once.
+        while (await s.admit(f"again-{attempts}")).status != 200:
+            attempts += 1
             await trio.sleep(0.05)
-        assert tries < 20 and len(s.server("s-1").targets()) == before + 1
+        assert attempts < 20 and len(s.server("s-1").targets()) == before + 1
 
-    in_service(tmp_path, scene)
+    run_in_service(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("listed", [True, False])
-def test_a_server_back_from_maintenance_is_cold(listed: bool) -> None:
-    """It was restarted: whether discovery says so or not, it soon gets something, by a cold one's part."""
+def test_server_warms_up_after_maintenance(listed: bool) -> None:
+    """The server may have been restarted, whether discovery reports it or not.
+
+    It soon gets requests, but only within the budget of a warming server.
+    """
     now, slots, rng = 1_000_000, 4.0, Random(5)
     conf = settings(balancers=1)
     balancer = Balancer(conf, 7, now)
@@ -130,7 +140,7 @@
     if listed:
         balancer.handle(now, [EndpointsChanged("changes", [entry(0, ready=now - 1_000_000)])])
     balancer.handle(now, [MaintenanceChanged("w0", False)])
-    back, sent = now, []
+    ended_at, sent = now, []
     for number in range(300):
         now += int(rng.expovariate(1 / 3_000))
         for action in balancer.handle(now, [RequestReceived(number, "safe", 5_000_000)]):
@@ -141,13 +151,17 @@
                     now,
                     [AttemptEnded(number, 0, Outcome.OK, 50_000, False, [0.0, slots], action.endpoint)],
                 )
-    assert sent and sent[0] - back < 500_000
-    most = conf.safety.tip_multiple * slots * (now - back) / 50_000  # the cold budget, all of it
-    assert len(sent) < most * 0.5
+    assert sent and sent[0] - ended_at < 500_000
+    # The whole budget of a warming server.
+    warming_budget = conf.safety.tip_multiple * slots * (now - ended_at) / 50_000
+    assert len(sent) < warming_budget * 0.5
 
 
-def test_a_ban_stands_above_every_list_and_is_lifted_by_one_call() -> None:
-    """Full lists, changes, a removal and a return in between; nobody else's ban is touched."""
+def test_maintenance_outlasts_endpoint_lists_and_ends_with_one_call() -> None:
+    """Full lists, changes, a removal and a new listing do not end the maintenance of a server.
+
+    The other server stays up throughout.
+    """
     balancer = Balancer(settings(balancers=1), 7, 0)
     balancer.handle(0, [EndpointsChanged("all", [entry(0), entry(2)])])
     balancer.handle(0, [MaintenanceChanged("w0", True)])
@@ -163,9 +177,9 @@
         assert balancer.knows("w0") and balancer.parts.endpoints.by_name["w2"].state == "up"
         job += 1
         placed = [
-            a.endpoint
-            for a in balancer.handle(0, [RequestReceived(job, "safe", 5_000_000)])
-            if isinstance(a, Dispatch)
+            action.endpoint
+            for action in balancer.handle(0, [RequestReceived(job, "safe", 5_000_000)])
+            if isinstance(action, Dispatch)
         ]
         assert placed == ["w2"]
         balancer.handle(0, [AttemptEnded(job, 0, Outcome.OK, 50_000, False, None, "w2")])
@@ -173,10 +187,14 @@
     assert balancer.parts.endpoints.by_name["w0"].state == "up"
 
 
-def test_clients_are_sent_away_without_a_request_lost_and_taken_back(tmp_path: Path) -> None:
-    """The check says no at once; connections end with an answer, idle ones soon; those of servers stay."""
+def test_standby_closes_client_connections_without_losing_a_request(tmp_path: Path) -> None:
+    """In standby the readiness check fails at once, and client connections are closed after an answer.
+
+    Idle client connections are closed soon afterwards, and those of servers stay open. New clients are still
+    served, and ``active`` ends the standby.
+    """
 
-    async def scene(s: NodeFixture) -> None:
+    async def scenario(s: NodeFixture) -> None:
         address = f"127.0.0.2:{s.port}"
         busy, idle, server = [await ClientConnection.connect(address, LIMITS) for _ in range(3)]
         event = b'{"id": "x", "from": "s-1", "state": "running"}'
@@ -197,10 +215,9 @@
             assert (
                 await busy.exchange("POST", "/admit", admission_headers(f"busy-{jobs}"), b"seat")
             ).status == 200
-        assert (
-            trio.current_time() - began > LIMITS.standby_arrivals_for_s - 0.1 and idle.is_available()
-        )  # these end later
-        assert (await s.admit("late")).status == 200  # whoever comes all the same is served
+        # Idle connections are closed later.
+        assert trio.current_time() - began > LIMITS.standby_arrivals_for_s - 0.1 and idle.is_available()
+        assert (await s.admit("late")).status == 200  # new connections are still served
         await trio.sleep(began + 2.0 - trio.current_time())
         assert not idle.is_available() and server.is_available()
         assert (await s.admin_call("active")).startswith("SUCCESS")
@@ -210,20 +227,22 @@
         await trio.sleep(0.5)
         assert kept.is_available()
 
-    in_service(tmp_path, scene)
+    run_in_service(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
     ("name", "value"),
     [("LB_ACCEPT_FD", "x"), ("LB_ACCEPT_FD", "987"), ("LB_ACCEPT_FD", "0"), ("LB_ADMIN_ADDR", "here")],
 )
-def test_bad_words_in_the_environment_end_with_one_line(tmp_path: Path, name: str, value: str) -> None:
-    """Status 2, nothing bound."""
+def test_invalid_environment_value_ends_the_program_with_one_line(
+    tmp_path: Path, name: str, value: str
+) -> None:
+    """The program exits with status 2 and names the invalid value in one line."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with node_fixture(tmp_path) as s:
             environ = {**os.environ, **s.configure(), name: value}
-            done = await trio.run_process(
+            completed = await trio.run_process(
                 [sys.executable, "-B", "-m", "merlinbay"],
                 cwd=ROOT,
                 check=False,
@@ -231,7 +250,7 @@
                 capture_stderr=True,
                 env=environ,
             )
-            assert done.returncode == 2
-            assert len(done.stderr.splitlines()) == 1 and value in done.stderr.decode()
+            assert completed.returncode == 2
+            assert len(completed.stderr.splitlines()) == 1 and value in completed.stderr.decode()
 
-    run_scenario(scene)
+    run_scenario(scenario)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,6 +1,7 @@
-"""What earlier programs have stored or send is read, and what is written now is what they read.
+"""Stored and sent data stays compatible with earlier versions of the program, in both directions.
 
-The examples under ``tests/golden`` were written by the program before its types were renamed.
+The examples under ``tests/golden`` were written by the program before its types were renamed. A renamed field
+or a changed order would make data of earlier versions unreadable, or new data unreadable to them.
 """
 
 from __future__ import annotations
@@ -26,42 +27,42 @@
 
 
 def tables(path: Path) -> list[tuple[str, str]]:
-    """Return the tables of a file as they were created."""
+    """Return the names of the tables in a file and the statements that created them."""
     with sqlite3.connect(path) as db:
         return list(db.execute("SELECT name, sql FROM sqlite_master WHERE type = 'table' ORDER BY name"))
 
 
-def test_every_example_has_its_type() -> None:
-    """None is left behind by a rename."""
+def test_every_example_has_a_type() -> None:
+    """A rename must not leave an example without a type that reads it."""
     assert set(FORMS) == set(EXAMPLES) - {"fleet.claim", "fleet.sealed"}
 
 
 @pytest.mark.parametrize("name", [name for name, form in FORMS.items() if form.encoding != "names"])
-def test_an_example_is_read_and_written_as_it_was(name: str) -> None:
-    """Every field of it is known, by the same name and in the same order."""
+def test_example_is_decoded_and_encoded_unchanged(name: str) -> None:
+    """The type has every field of the example, with the same name and in the same order."""
     assert FORMS[name].encode(FORMS[name].decode(EXAMPLES[name])) == EXAMPLES[name]
 
 
 @pytest.mark.parametrize("name", FORMS)
-def test_a_type_has_no_other_fields_than_its_example(name: str) -> None:
-    """What is written now by the same rule is the same: nothing was added that older programs refuse."""
+def test_type_has_only_the_fields_of_its_example(name: str) -> None:
+    """An example built now is the same as the recorded one: no field was added that older programs reject."""
     assert stored_forms.example(FORMS[name]) == EXAMPLES[name]
 
 
-def test_a_claim_is_read_and_written_as_it_was() -> None:
-    """Members of both versions are in one fleet while it is upgraded."""
+def test_member_state_is_decoded_and_encoded_unchanged() -> None:
+    """A fleet has members of both versions while it is being upgraded."""
     assert members.decode_state(msgspec.msgpack.decode(EXAMPLES["fleet.claim"])) == CLAIM
     assert wire.pack(members.encode_state(CLAIM)) == EXAMPLES["fleet.claim"]
 
 
-def test_a_sealed_message_is_read_and_written_as_it_was() -> None:
-    """Its head, its signature and its body."""
+def test_sealed_message_is_opened_and_sealed_unchanged() -> None:
+    """The header, the signature and the body of the message are the same as before."""
     assert wire.open_sealed(KEYS, "north", EXAMPLES["fleet.sealed"]) == SEALED
     assert wire.seal(KEYS, "north", SEALED) == EXAMPLES["fleet.sealed"]
 
 
-def test_a_log_on_disk_is_read_and_continued(tmp_path: Path) -> None:
-    """Records, the chain of their checksums, a snapshot; a new file has the same tables."""
+def test_log_file_of_an_earlier_version_is_read_and_continued(tmp_path: Path) -> None:
+    """Records, their chained checksums and a snapshot are read; a new file has the same tables."""
     shutil.copy(GOLDEN / "store.db", tmp_path / "store.db")
     engine = StorageEngine(tmp_path / "store.db")
     assert engine.verify() == (1, 3)
@@ -73,12 +74,14 @@
     assert tables(tmp_path / "new.db") == tables(GOLDEN / "store.db")
 
 
-def test_results_on_disk_are_read(tmp_path: Path) -> None:
-    """An experiment goes on in a file of an earlier program; a new file has the same table."""
+def test_result_file_of_an_earlier_version_is_read(tmp_path: Path) -> None:
+    """An experiment resumes with an earlier program's result file; a new file has the same table and rows."""
     shutil.copy(GOLDEN / "results.db", tmp_path / "results.db")
     store = Store(tmp_path / "results.db")
     assert store.done() == {CELL.key}
-    assert store.column("figure", "monday", "{}", "module")[3] == 0.0  # it names a broken rule
+    assert (
+        store.column("figure", "monday", "{}", "module")[3] == 0.0
+    )  # the recorded result names a broken rule
     store.close()
     stored_forms.make_results(tmp_path / "new.db")
     assert tables(tmp_path / "new.db") == tables(GOLDEN / "results.db")
