--- a/merlinbay/store/health.py
+++ b/merlinbay/store/health.py
@@ -15,7 +15,7 @@
 
 
 class StoreState(Enum):
-    """State of the store. The values appear in error texts that operators and callers see."""
+    """State of the store. The values appear in texts that operators and callers see."""
 
     OPEN = "open"  # records are accepted
     FAILED = "failed"  # a write failed; the file will be reopened
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -79,9 +79,8 @@
     shutil.copy(GOLDEN / "results.db", tmp_path / "results.db")
     store = Store(tmp_path / "results.db")
     assert store.done() == {CELL.key}
-    assert (
-        store.column("figure", "monday", "{}", "module")[3] == 0.0
-    )  # the recorded result names a broken rule
+    # The figure is 0 because the recorded result names a broken rule.
+    assert store.column("figure", "monday", "{}", "module")[3] == 0.0
     store.close()
     stored_forms.make_results(tmp_path / "new.db")
     assert tables(tmp_path / "new.db") == tables(GOLDEN / "results.db")
