--- a/merlinbay/control/fanout/assembly.py
+++ b/merlinbay/control/fanout/assembly.py
@@ -1,4 +1,4 @@
-"""Collects the parts of a large delta or snapshot."""
+"""Collects the parts of a large delta or snapshot, up to a bound in bytes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PartOutOfOrderError(Exception):
-    """A part does not follow the one before it, or makes the whole too large."""
+    """A part does not follow the one before it, or makes the whole message too large."""
 
 
 class WholeMessage(msgspec.Struct, frozen=True):
@@ -30,21 +30,21 @@
         self.clear()
 
     def clear(self) -> None:
-        """Drop what was collected."""
+        """Discard the parts collected so far."""
         self._first: MessagePart | None = None
         self._entries: list[WireEntry] = []
         self._next = 0
         self._size = 0
 
     def add(self, part: MessagePart, size: int) -> WholeMessage | None:
-        """Add a part whose frame had ``size`` bytes; return the whole message with the last part."""
+        """Add a part whose frame had ``size`` bytes; return the whole message once its last part is there."""
         if self._first is None and part.count == 1 and part.index == 0:
             return WholeMessage(part, part.entries)
         if part.index != self._next or part.index >= part.count or not self._continues(part):
-            raise PartOutOfOrderError(f"part {part.index} of {part.count}, wanted {self._next}")
+            raise PartOutOfOrderError(f"got part {part.index} of {part.count}, expected part {self._next}")
         self._size += size
         if self._size > self._max_bytes:
-            raise PartOutOfOrderError(f"more than {self._max_bytes} bytes")
+            raise PartOutOfOrderError(f"message exceeds {self._max_bytes} bytes")
         self._first = self._first or part
         self._next += 1
         self._entries.extend(part.entries)
--- a/merlinbay/control/fanout/follower.py
+++ b/merlinbay/control/fanout/follower.py
@@ -1,4 +1,8 @@
-"""The watching side: one watch at one upstream at a time, and the state received through it."""
+"""The watching side: one watch at one upstream at a time, and the state received through it.
+
+A host calls ``Follower`` for each event of a stream and for each due tick, and carries out its effects. A
+malformed or misplaced message closes the stream and leaves the state unchanged; another attempt follows.
+"""
 
 from __future__ import annotations
 
@@ -67,10 +71,10 @@
         generation: Generation = NO_GENERATION,
         saved: StateSnapshot | None = None,
     ) -> None:
-        """Begin with the state ``saved`` of ``generation``, or with none."""
+        """Begin with the state ``saved`` of ``generation``, or with the empty state."""
         self.member, self.location, self.role, self.settings = member, location, role, settings
         self.counters = FollowerCounters()
-        self.summary: Summary | None = None  # a relay's, sent with the next report
+        self.summary: Summary | None = None  # set by a relay; sent with the next report
         self._random = random
         self._replica = Replica(generation, saved)
         self._effects: list[UpstreamEffect] = []
@@ -80,56 +84,56 @@
         self._report_at = math.inf
 
     def start(self, now: float) -> None:
-        """Look for an upstream."""
+        """Plan the first attempt to watch an upstream."""
         self._watches.start(now)
 
     def stop(self, now: float) -> None:
-        """End the watch; the state stays readable."""
+        """Close all streams; the state stays readable."""
         self._watches.stop()
         self._report_at = math.inf
 
     def set_upstreams(self, upstreams: Iterable[Upstream], now: float) -> None:
-        """Replace the list of upstreams; a watch at one that is no longer the best moves."""
+        """Replace the list of upstreams; if the current one is no longer the best, plan a move."""
         self._watches.set_upstreams(self.member, self.location, upstreams, now)
 
     # Streams.
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt is open."""
-        link = self._watches.trying
-        if link is not None and link.attempt == attempt:
-            link.open = True
+        """Send the watch request on the stream of an attempt, which is now open."""
+        watch = self._watches.trying
+        if watch is not None and watch.attempt == attempt:
+            watch.open = True
             zone = self.location.zone
             request = WatchRequest(self.member, self.role, zone, self.generation, self.revision)
-            self._watches.send(link, request)
+            self._watches.send(watch, request)
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
-        """Process a frame; one that is malformed ends the attempt."""
-        link = self._watches.find(attempt)
-        if link is None:
+        """Process a frame from upstream; a malformed one ends the attempt."""
+        watch = self._watches.find(attempt)
+        if watch is None:
             return
         self.counters.messages_received += 1
         self.counters.bytes_received += len(frame)
         try:
-            self._process(link, decode_from_server(frame), len(frame), now)
+            self._process(watch, decode_from_server(frame), len(frame), now)
         except (MalformedMessageError, InvalidEntriesError):
             self.counters.malformed += 1
-            self._abandon(link, GoodbyeReason.PROTOCOL, now)
+            self._abandon(watch, GoodbyeReason.PROTOCOL, now)
         except (PartOutOfOrderError, RevisionGapError):
             self.counters.out_of_order += 1
-            self._abandon(link, GoodbyeReason.PROTOCOL, now)
+            self._abandon(watch, GoodbyeReason.PROTOCOL, now)
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt has ended or could not be opened."""
-        link = self._watches.find(attempt)
-        if link is not None:
-            self._watches.fail(link, now)
+        """Record that the stream of an attempt has ended or could not be opened."""
+        watch = self._watches.find(attempt)
+        if watch is not None:
+            self._watches.fail(watch, now)
             self._stop_reports_without_watch()
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the timeouts, attempts and reports that are due."""
         self._watches.tick(now)
         self._stop_reports_without_watch()
         if now >= self._report_at:
@@ -145,7 +149,7 @@
         self._effects.clear()
         return effects
 
-    # The state.
+    # State.
 
     def get(self, key: str) -> KeyValue | None:
         """Return a key's value and revision, None if it does not exist."""
@@ -176,69 +180,71 @@
 
     # Messages.
 
-    def _process(self, link: WatchAttempt, message: ServerMessage, size: int, now: float) -> None:
+    def _process(self, watch: WatchAttempt, message: ServerMessage, size: int, now: float) -> None:
         if isinstance(message, WatchAccepted):
-            self._accepted(link, message, now)
+            self._process_accepted(watch, message, now)
         elif isinstance(message, (WatchRejected, Goodbye)):
-            self._sent_away(link, message, now)
-        elif link is not self._watches.current:
-            raise MalformedMessageError("data before the watch was accepted")
+            self._process_rejection(watch, message, now)
+        elif watch is not self._watches.current:
+            raise MalformedMessageError("received data before the watch was accepted")
         else:
-            link.deadline = now + self.settings.keepalive_timeout
+            watch.deadline = now + self.settings.keepalive_timeout
             if isinstance(message, KeepAlive):
-                self._confirm(link, message.revision, message.staleness_ms, now)
+                self._confirm(watch, message.revision, message.staleness_ms, now)
             else:
-                self._apply(link, message, size, now)
+                self._apply(watch, message, size, now)
 
-    def _accepted(self, link: WatchAttempt, message: WatchAccepted, now: float) -> None:
+    def _process_accepted(self, watch: WatchAttempt, message: WatchAccepted, now: float) -> None:
         if not self._replica.acceptable(message.generation):
             self.counters.refused += 1
-            self._watches.block(link, now + self.settings.busy_most, ())
-            self._abandon(link, GoodbyeReason.FOREIGN, now)
+            self._watches.block(watch, now + self.settings.busy_most, ())
+            self._abandon(watch, GoodbyeReason.FOREIGN, now)
             return
-        if link is self._watches.trying:
+        if watch is self._watches.trying:
             if not self._is_better(message, now):
-                self._watches.decline(link, now)
+                self._watches.decline(watch, now)
                 return
             self._watches.accept(now)
             self._report_by(now + self._random.uniform(0, self.settings.progress))
-        link.generation = message.generation
-        link.deadline = now + self.settings.keepalive_timeout
-        link.assembly.clear()
+        watch.generation = message.generation
+        watch.deadline = now + self.settings.keepalive_timeout
+        watch.assembly.clear()
         self._replica.join(message.generation)
-        self._confirm(link, message.revision, message.staleness_ms, now)
+        self._confirm(watch, message.revision, message.staleness_ms, now)
 
     def _is_better(self, message: WatchAccepted, now: float) -> bool:
         """Return whether to move the watch to the upstream that has accepted."""
         if self._watches.current is None or message.generation.number > self.generation.number:
             return True
-        theirs = seconds(message.staleness_ms)
+        offered_staleness = seconds(message.staleness_ms)
         limit = self.settings.stale_limit
-        return theirs < limit or theirs + self.settings.keepalive_timeout < self.staleness(now)
+        return offered_staleness < limit or (
+            offered_staleness + self.settings.keepalive_timeout < self.staleness(now)
+        )
 
-    def _sent_away(self, link: WatchAttempt, message: WatchRejected | Goodbye, now: float) -> None:
+    def _process_rejection(self, watch: WatchAttempt, message: WatchRejected | Goodbye, now: float) -> None:
         """End a stream whose upstream has rejected the watch or said goodbye."""
-        self._watches.closed_by_server(link)
+        self._watches.closed_by_server(watch)
         settings = self.settings
         if isinstance(message, Goodbye):
-            self._watches.block(link, now + settings.backoff_most, message.upstreams)
-            self._fail(link, now)
+            self._watches.block(watch, now + settings.backoff_most, message.upstreams)
+            self._fail(watch, now)
             return
         self.counters.busy += 1
         wait = min(seconds(message.retry_after_ms), settings.busy_most)
-        self._watches.block(link, now + wait, message.upstreams)
-        if link is self._watches.current or wait > settings.move_spread:
-            self._fail(link, now)
-        else:  # it accepts the watch soon: waiting is better than moving twice
+        self._watches.block(watch, now + wait, message.upstreams)
+        if watch is self._watches.current or wait > settings.move_spread:
+            self._fail(watch, now)
+        else:  # the upstream accepts the watch soon; waiting disturbs less than moving twice
             self._watches.retry(now, wait)
 
     def _apply(
-        self, link: WatchAttempt, message: DeltaMessage | SnapshotMessage, size: int, now: float
+        self, watch: WatchAttempt, message: DeltaMessage | SnapshotMessage, size: int, now: float
     ) -> None:
-        whole = link.assembly.add(message, size)
+        whole = watch.assembly.add(message, size)
         if whole is None:
             return
-        advanced = self._replica.take(link.generation, whole, now)
+        advanced = self._replica.take(watch.generation, whole, now)
         if advanced is None:
             self.counters.repeated += 1
             return
@@ -249,25 +255,25 @@
         self._effects.append(advanced)
         self._report_by(now + self._random.uniform(0, self.settings.progress))
 
-    def _confirm(self, link: WatchAttempt, revision: int, staleness_ms: int, now: float) -> None:
-        self._replica.confirm(link.generation, revision, staleness_ms, now)
+    def _confirm(self, watch: WatchAttempt, revision: int, staleness_ms: int, now: float) -> None:
+        self._replica.confirm(watch.generation, revision, staleness_ms, now)
         stale = seconds(staleness_ms) >= self.settings.stale_limit
-        if stale and not link.stale:  # later attempts are planned as this one fails
+        if stale and not watch.stale:  # attempts after this one are planned when it fails
             self._watches.attempt_by(now + self._random.uniform(0, self.settings.stale_limit))
-        link.stale = stale
+        watch.stale = stale
 
-    def _abandon(self, link: WatchAttempt, reason: GoodbyeReason, now: float) -> None:
-        self._watches.abandon(link, reason, now)
+    def _abandon(self, watch: WatchAttempt, reason: GoodbyeReason, now: float) -> None:
+        self._watches.abandon(watch, reason, now)
         self._stop_reports_without_watch()
 
-    def _fail(self, link: WatchAttempt, now: float) -> None:
-        self._watches.fail(link, now)
+    def _fail(self, watch: WatchAttempt, now: float) -> None:
+        self._watches.fail(watch, now)
         self._stop_reports_without_watch()
 
     # Reports.
 
     def report_now(self, now: float) -> None:
-        """Report at the next tick, as a relay does whose summary has changed."""
+        """Send a report at the next tick; a relay calls this when its summary has changed."""
         if self._watches.current is not None:
             self._report_by(now)
 
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -1,4 +1,8 @@
-"""A follower upstream and a server of watches downstream, with the recent changes between them."""
+"""A relay: follows an upstream and serves watches downstream, with the recent changes kept between the two.
+
+A host calls ``Relay`` for each event of a stream and for each due tick, and carries out its effects. While
+its upstream is lost, a relay goes on serving the state that it has, and reports how stale it is.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +21,11 @@
 
 
 class InvalidTierError(ValueError):
-    """An upstream of a relay is not of a lower tier: relays could follow each other in a ring."""
+    """An upstream of a relay is not of a lower tier, so relays could follow each other in a ring."""
 
 
 class RelayStore:
-    """The follower's state as its relay serves it, with deltas from the changes that it keeps."""
+    """Serves the state of a relay's follower, and makes deltas from the recent changes that it keeps."""
 
     def __init__(self, follower: Follower, settings: RelaySettings) -> None:
         self._follower = follower
@@ -33,7 +37,7 @@
         return self._follower.revision
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that is not kept or lies in the future."""
+        """Return the changes after ``revision``; None if they are not kept or it lies in the future."""
         return self._changes.after(revision)
 
     def snapshot(self) -> StateSnapshot:
@@ -41,7 +45,7 @@
         return self._follower.snapshot()
 
     def advanced(self, effect: StateAdvanced) -> None:
-        """Record what the follower has applied."""
+        """Record a change that the follower has applied."""
         if effect.replaced:
             self._changes.restart(effect.revision)
         else:
@@ -49,7 +53,7 @@
 
 
 class Relay:
-    """Follows an upstream and serves its state. Calls about upstream streams begin with ``upstream_``."""
+    """Follows an upstream and serves its state. Methods for upstream streams begin with ``upstream_``."""
 
     def __init__(
         self,
@@ -65,12 +69,12 @@
         generation: Generation = NO_GENERATION,
         saved: StateSnapshot | None = None,
     ) -> None:
-        """Follow ``upstreams``, all of a lower tier, so that no relay follows itself by way of others."""
+        """Follow ``upstreams``, all of a lower tier, so that no relay follows itself through others."""
         self.settings, self.tier = settings, tier
         self.follower = Follower(
             member,
             location,
-            self._checked(upstreams),
+            self._check_tiers(upstreams),
             settings.follower,
             rng,
             role=WatcherRole.RELAY,
@@ -81,75 +85,75 @@
         generation = self.follower.generation
         self.server = WatchServer(self.store, generation, settings.server, rng, now, others)
         self._effects: list[RelayEffect] = []
-        self._reports_sent = 0  # the server's count of changed reports, as of the last summary
+        self._reports_sent = 0  # the server's count of changed reports at the last summary
         self._summary_at = math.inf
         self._summary_sent_at = -math.inf
 
     def start(self, now: float) -> None:
-        """Look for an upstream; watches are accepted once there is a state."""
+        """Plan the first attempt to watch an upstream; watches are accepted once the state is there."""
         self.follower.start(now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def drain(self, now: float) -> None:
-        """Send all watches to other upstreams and end the relay's own watch."""
+        """Direct all watches to other upstreams and end the relay's own watch."""
         self.server.drain(now)
         self.follower.stop(now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def set_upstreams(self, upstreams: Iterable[Upstream], now: float) -> None:
-        """Take a new list of upstreams."""
-        self.follower.set_upstreams(self._checked(upstreams), now)
-        self._after(now)
+        """Replace the list of upstreams."""
+        self.follower.set_upstreams(self._check_tiers(upstreams), now)
+        self._exchange_effects(now)
 
     # Upstream.
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt is open."""
+        """Process that the stream of an attempt is open."""
         self.follower.upstream_connected(attempt, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
-        """Take a frame from upstream."""
+        """Process a frame from upstream."""
         self.follower.upstream_received(attempt, frame, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt has ended or could not be opened."""
+        """Process that the stream of an attempt has ended or could not be opened."""
         self.follower.upstream_closed(attempt, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     # Downstream.
 
     def opened(self, connection: int, now: float) -> None:
-        """Take a new downstream stream."""
+        """Register a new downstream stream."""
         self.server.opened(connection, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def received(self, connection: int, frame: bytes, now: float) -> None:
-        """Take a frame from downstream."""
+        """Process a frame from downstream."""
         self.server.received(connection, frame, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def written(self, connection: int, size: int, now: float) -> None:
-        """Take it that a frame of ``size`` bytes was written."""
+        """Record that a frame of ``size`` bytes was written."""
         self.server.written(connection, size, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def closed(self, connection: int, now: float) -> None:
-        """Take it that a downstream stream has ended."""
+        """Record that a downstream stream has ended."""
         self.server.closed(connection, now)
-        self._after(now)
+        self._exchange_effects(now)
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the timeouts, attempts and reports that are due."""
         if now >= self._summary_at:
             self._summarize(now)
         self.follower.tick(now)
-        self._after(now)
+        self._exchange_effects(now)
         self.server.tick(now)
-        self._after(now)
+        self._exchange_effects(now)
 
     def next_deadline(self) -> float:
         """Return when ``tick`` is due; infinity if never."""
@@ -160,8 +164,8 @@
         effects, self._effects = self._effects, []
         return effects
 
-    def _after(self, now: float) -> None:
-        """Pass the effects of one side to the other."""
+    def _exchange_effects(self, now: float) -> None:
+        """Apply the follower's changes to the server, and collect the effects of both."""
         for effect in self.follower.take_effects():
             if isinstance(effect, StateAdvanced):
                 self._advanced(effect, now)
@@ -178,9 +182,9 @@
         self.server.advanced(now)
 
     def _confirm(self, now: float) -> None:
-        """Pass on how old the state is; an empty state of a known generation is served as well."""
-        known = self.follower.staleness(now) < math.inf
-        if known and self.server.generation == NO_GENERATION:
+        """Give the server the state's staleness; an empty state of a known generation is served as well."""
+        has_data = self.follower.staleness(now) < math.inf
+        if has_data and self.server.generation == NO_GENERATION:
             self.server.reset(self.follower.generation, now)
         self.server.confirm(now, self.follower.staleness(now))
 
@@ -191,11 +195,11 @@
         self.follower.summary = self.server.summary(now)
         self.follower.report_now(now)
 
-    def _checked(self, upstreams: Iterable[Upstream]) -> list[Upstream]:
+    def _check_tiers(self, upstreams: Iterable[Upstream]) -> list[Upstream]:
         listed = list(upstreams)
         for upstream in listed:
             if upstream.tier >= self.tier:
                 raise InvalidTierError(
-                    f"{upstream.name} of tier {upstream.tier} above a relay of tier {self.tier}"
+                    f"expected upstreams below tier {self.tier}, got {upstream.name} of tier {upstream.tier}"
                 )
         return listed
--- a/merlinbay/control/fanout/replica.py
+++ b/merlinbay/control/fanout/replica.py
@@ -1,4 +1,7 @@
-"""A follower's state, its generation and its age."""
+"""A follower's state with its generation and staleness.
+
+Decides which deltas and snapshots are applied. Invalid ones raise an error and change nothing.
+"""
 
 from __future__ import annotations
 
@@ -27,47 +30,49 @@
         self.state = ReplicaState(saved)
         self._current_at = -math.inf  # when the state was known to be the latest
 
-    def acceptable(self, theirs: Generation) -> bool:
-        """Return whether state of that generation may be taken: of the same one, or after a reset."""
-        return theirs == self.generation or theirs.number > self.generation.number
+    def acceptable(self, generation: Generation) -> bool:
+        """Return whether state of that generation is accepted: the same one, or a later one after a reset."""
+        return generation == self.generation or generation.number > self.generation.number
 
-    def join(self, theirs: Generation) -> None:
-        """Adopt a generation if there is none so far; after a reset, its snapshot comes first."""
+    def join(self, generation: Generation) -> None:
+        """Adopt a generation if there is none yet; one that follows a reset is adopted with its snapshot."""
         if self.generation == NO_GENERATION:
-            self.generation = theirs
+            self.generation = generation
 
-    def confirm(self, theirs: Generation, revision: int, staleness_ms: int, now: float) -> None:
-        """Take it that ``revision`` was the latest ``staleness_ms`` ago."""
-        if theirs == self.generation and self.state.revision >= revision:
+    def confirm(self, generation: Generation, revision: int, staleness_ms: int, now: float) -> None:
+        """Record that ``revision`` was the latest ``staleness_ms`` ago, if the state has reached it."""
+        if generation == self.generation and self.state.revision >= revision:
             self._current_at = max(self._current_at, now - seconds(staleness_ms))
 
     def staleness(self, now: float) -> float:
         """Return how long ago the state was known to be the latest."""
         return max(0.0, now - self._current_at)
 
-    def take(self, theirs: Generation, whole: WholeMessage, now: float) -> StateAdvanced | None:
-        """Apply a delta or snapshot of a generation; return the change, None if it has nothing new."""
+    def take(self, generation: Generation, whole: WholeMessage, now: float) -> StateAdvanced | None:
+        """Apply a delta or snapshot of a generation; return the change, None if it contains no change."""
         message = whole.last
         if isinstance(message, DeltaMessage):
-            return self._delta(theirs, message, whole.entries, now)
-        return self._snapshot(theirs, message.revision, whole.entries)
+            return self._delta(generation, message, whole.entries, now)
+        return self._snapshot(generation, message.revision, whole.entries)
 
     def _delta(
-        self, theirs: Generation, message: DeltaMessage, entries: tuple[WireEntry, ...], now: float
+        self, generation: Generation, message: DeltaMessage, entries: tuple[WireEntry, ...], now: float
     ) -> StateAdvanced | None:
-        if theirs != self.generation:
-            raise InvalidEntriesError("a delta of another generation")
+        if generation != self.generation:
+            raise InvalidEntriesError(
+                f"expected a delta of generation {self.generation.number}, got {generation.number}"
+            )
         changed = self.state.apply(message.after_revision, message.revision, entries)
-        self.confirm(theirs, message.revision, message.staleness_ms, now)
+        self.confirm(generation, message.revision, message.staleness_ms, now)
         return None if changed is None else StateAdvanced(message.revision, tuple(changed))
 
     def _snapshot(
-        self, theirs: Generation, revision: int, entries: tuple[WireEntry, ...]
+        self, generation: Generation, revision: int, entries: tuple[WireEntry, ...]
     ) -> StateAdvanced | None:
-        if theirs == self.generation and revision <= self.state.revision:
+        if generation == self.generation and revision <= self.state.revision:
             return None
         self.state.replace(revision, entries)
-        if theirs != self.generation:
+        if generation != self.generation:
             self._current_at = -math.inf
-            self.generation = theirs
+            self.generation = generation
         return StateAdvanced(revision, (), replaced=True)
--- a/merlinbay/control/fanout/upstream_watches.py
+++ b/merlinbay/control/fanout/upstream_watches.py
@@ -1,7 +1,8 @@
 """The streams of a follower: the watch that it holds, the attempt at another one, and when to try next.
 
-While a watch is held, a second stream may be opened to a better upstream, or to any if the data is old; the
-first is closed only once the second is accepted and no staler.
+While a watch is held, a second stream may be opened to a better upstream, or to any upstream if the data is
+old. The first stream is closed only once the second is accepted and its data is no staler. A stream that
+fails is counted against its upstream, and the next attempt is planned after a random wait.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
         counters: FollowerCounters,
         effects: list[UpstreamEffect],
     ) -> None:
-        """Effects are appended to ``effects``."""
+        """Append the effects of all calls to ``effects``."""
         self._selector, self._settings, self._random = selector, settings, random
         self._counters, self._effects = counters, effects
         self.current: WatchAttempt | None = None  # the watch that is held
@@ -60,42 +61,42 @@
     def stop(self) -> None:
         """Close all streams and plan no further attempts."""
         self._running = False
-        for link in (self.current, self.trying):
-            if link is not None:
-                self._close(link, GoodbyeReason.STOPPING)
+        for watch in (self.current, self.trying):
+            if watch is not None:
+                self._close(watch, GoodbyeReason.STOPPING)
         self.current = self.trying = None
         self._attempt_at = math.inf
 
     def set_upstreams(
         self, member: str, location: Location, upstreams: Iterable[Upstream], now: float
     ) -> None:
-        """Replace the list; a watch at an upstream that is no longer the best moves."""
+        """Replace the list of upstreams; if the current one is no longer the best, plan a move."""
         self._selector.set(member, location, upstreams)
         current = self.current
         if self._running and current is not None and self._selector.rank(current.upstream) > 0:
             self.attempt_by(now + self._random.uniform(0, self._settings.move_spread))
 
     def find(self, attempt: int) -> WatchAttempt | None:
-        """Return the stream of an attempt, None if it was closed."""
-        for link in (self.current, self.trying):
-            if link is not None and link.attempt == attempt:
-                return link
+        """Return the attempt with this number, None if its stream was closed."""
+        for watch in (self.current, self.trying):
+            if watch is not None and watch.attempt == attempt:
+                return watch
         return None
 
     # Time.
 
     def tick(self, now: float) -> None:
         """Abandon streams whose deadline has passed, and make the attempt that is due."""
-        for link in (self.trying, self.current):
-            if link is not None and now >= link.deadline:
-                self.abandon(link, GoodbyeReason.SILENT, now)
+        for watch in (self.trying, self.current):
+            if watch is not None and now >= watch.deadline:
+                self.abandon(watch, GoodbyeReason.SILENT, now)
         if now >= self._attempt_at:
             self._attempt_at = math.inf
             self._try(now)
 
     def next_deadline(self) -> float:
         """Return when ``tick`` is due; infinity if never."""
-        deadlines = [link.deadline for link in (self.current, self.trying) if link is not None]
+        deadlines = [watch.deadline for watch in (self.current, self.trying) if watch is not None]
         return min([self._attempt_at, *deadlines])
 
     def attempt_by(self, moment: float) -> None:
@@ -107,20 +108,20 @@
     def _try(self, now: float) -> None:
         if self.trying is not None or not self._running:
             return
-        held = self.current.upstream if self.current is not None else None
-        everyone = len(self._selector.ordered)
-        below = everyone
+        held_upstream = self.current.upstream if self.current is not None else None
+        upstream_count = len(self._selector.ordered)
+        below = upstream_count
         if self.current is not None and not self.current.stale:
-            below = min(everyone, self._selector.rank(self.current.upstream))
-        chosen = self._selector.choose(now, below, other_than=held)
-        if chosen is None:
+            below = min(upstream_count, self._selector.rank(self.current.upstream))
+        upstream = self._selector.choose(now, below, other_than=held_upstream)
+        if upstream is None:
             self._plan(now)
             return
         self._last_attempt += 1
         self._counters.attempts += 1
         deadline = now + self._settings.connect_timeout
-        self.trying = WatchAttempt(self._last_attempt, chosen, deadline, self._settings.snapshot_bytes)
-        self._effects.append(ConnectUpstream(self._last_attempt, chosen))
+        self.trying = WatchAttempt(self._last_attempt, upstream, deadline, self._settings.snapshot_bytes)
+        self._effects.append(ConnectUpstream(self._last_attempt, upstream))
 
     def _plan(self, now: float) -> None:
         """Plan the next attempt after one has failed."""
@@ -131,13 +132,13 @@
         self._attempt_at = max(now, self._selector.free_at(now)) + wait
 
     def _plan_better(self, now: float) -> None:
-        """Plan a second stream if a better upstream is known, or the data is old."""
-        link = self.current
-        if link is not None and (link.stale or self._selector.rank(link.upstream) > 0):
+        """Plan a second stream if the list has a better upstream, or if the data is old."""
+        watch = self.current
+        if watch is not None and (watch.stale or self._selector.rank(watch.upstream) > 0):
             self._attempt_at = now + self._settings.prefer_again * self._random.uniform(1, 2)
 
     def accept(self, now: float) -> None:
-        """Make the attempt the current watch, in place of the one before."""
+        """Make the attempt the current watch and close the former one."""
         if self.current is not None:
             self._close(self.current, GoodbyeReason.MOVED)
             self._counters.moves += 1
@@ -146,18 +147,18 @@
         self._selector.accepted()
         self._plan_better(now)
 
-    def decline(self, link: WatchAttempt, now: float) -> None:
+    def decline(self, watch: WatchAttempt, now: float) -> None:
         """Close an attempt whose upstream is no better than the current one."""
-        self._close(link, GoodbyeReason.STALE)
+        self._close(watch, GoodbyeReason.STALE)
         self.trying = None
         self._plan_better(now)
 
-    # Ends.
+    # Ending.
 
-    def fail(self, link: WatchAttempt, now: float) -> None:
-        """Plan what follows after a stream has ended that was not closed on purpose."""
-        self._selector.failed(link.upstream)
-        if link is self.trying:
+    def fail(self, watch: WatchAttempt, now: float) -> None:
+        """Count the failure of a stream that was not closed on purpose, and plan the next attempt."""
+        self._selector.failed(watch.upstream)
+        if watch is self.trying:
             self.trying = None
             self._plan(now)
             return
@@ -165,32 +166,32 @@
         self.current = None
         self.attempt_by(now + self._random.uniform(0, self._settings.move_spread))
 
-    def abandon(self, link: WatchAttempt, reason: GoodbyeReason, now: float) -> None:
+    def abandon(self, watch: WatchAttempt, reason: GoodbyeReason, now: float) -> None:
         """Close a stream that cannot be used."""
-        self._close(link, reason)
-        self.fail(link, now)
+        self._close(watch, reason)
+        self.fail(watch, now)
 
-    def block(self, link: WatchAttempt, until: float, hinted: Iterable[str]) -> None:
-        """Do not try this upstream before ``until``; try the ``hinted`` ones first."""
-        self._selector.busy(link.upstream, until, hinted)
+    def block(self, watch: WatchAttempt, until: float, hinted: Iterable[str]) -> None:
+        """Make no attempt at this upstream before ``until``, and prefer the ``hinted`` ones."""
+        self._selector.busy(watch.upstream, until, hinted)
 
-    def closed_by_server(self, link: WatchAttempt) -> None:
-        """Close the stream of an attempt whose upstream has said goodbye or rejected the watch."""
-        self._effects.append(CloseUpstream(link.attempt))
+    def closed_by_server(self, watch: WatchAttempt) -> None:
+        """Close the stream of an attempt whose upstream has sent ``Goodbye`` or rejected the watch."""
+        self._effects.append(CloseUpstream(watch.attempt))
 
     def retry(self, now: float, wait: float) -> None:
-        """Drop the attempt and try again after ``wait``: its upstream accepts the watch then."""
+        """Drop the attempt and plan another after ``wait``, when its upstream accepts the watch."""
         self.trying = None
         self.attempt_by(now + wait + self._random.uniform(0, self._settings.backoff_first))
 
-    def _close(self, link: WatchAttempt, reason: GoodbyeReason) -> None:
-        if link.open:
-            self.send(link, Goodbye(reason))
-        self._effects.append(CloseUpstream(link.attempt))
+    def _close(self, watch: WatchAttempt, reason: GoodbyeReason) -> None:
+        if watch.open:
+            self.send(watch, Goodbye(reason))
+        self._effects.append(CloseUpstream(watch.attempt))
 
-    def send(self, link: WatchAttempt, message: FollowerMessage) -> None:
+    def send(self, watch: WatchAttempt, message: FollowerMessage) -> None:
         """Send a message upstream."""
         frame = encode(message)
         self._counters.messages_sent += 1
         self._counters.bytes_sent += len(frame)
-        self._effects.append(SendUpstream(link.attempt, frame))
+        self._effects.append(SendUpstream(watch.attempt, frame))
--- a/merlinbay/control/fanout/watch_attempt.py
+++ b/merlinbay/control/fanout/watch_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a follower to watch an upstream, until the end of its stream."""
+"""The state of one attempt of a follower to watch an upstream, until its stream ends."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class WatchAttempt:
-    """The stream of one attempt."""
+    """One attempt and its stream; after acceptance it is the follower's watch."""
 
     __slots__ = ("assembly", "attempt", "deadline", "generation", "open", "stale", "upstream")
 
     def __init__(self, attempt: int, upstream: Upstream, deadline: float, max_bytes: int) -> None:
         self.attempt, self.upstream = attempt, upstream
-        self.deadline = deadline  # when it is abandoned, unless a message comes before
+        self.deadline = deadline  # time at which it is abandoned, unless a message arrives before
         self.open = False
-        self.stale = False  # its upstream last reported data older than the limit
-        self.generation = NO_GENERATION  # set with Accepted
+        self.stale = False  # whether its upstream last reported data older than the limit
+        self.generation = NO_GENERATION  # set by ``WatchAccepted``
         self.assembly = MessageAssembly(max_bytes)
--- a/merlinbay/control/fanout/watch_sender.py
+++ b/merlinbay/control/fanout/watch_sender.py
@@ -1,4 +1,4 @@
-"""The sending side of a watch server: frames that bring each watch to the current revision."""
+"""The sending side of a watch server: queues the frames that bring each watch to the current revision."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         effects: list[DownstreamEffect],
         staleness: Callable[[float], float],
     ) -> None:
-        """Effects are appended to ``effects``; ``staleness`` returns the age of the store at a time."""
+        """Append to ``effects``; ``staleness`` returns the staleness of the store at a given time."""
         self.counters = counters
         self._store, self._frames, self._settings = store, frames, settings
         self._effects, self._staleness = effects, staleness
@@ -49,20 +49,20 @@
                 return
             self.send(downstream, transfer.frames[downstream.next_part], now)
             if downstream.finish_part():
-                self._transferred(downstream, transfer, now)
+                self._finish_transfer(downstream, transfer, now)
 
     def _next_transfer(self, downstream: DownstreamWatch, now: float) -> EncodedUpdate | None:
         transfer = None
         if not downstream.wants_snapshot:
             if downstream.queued_revision >= self._store.revision:
                 return None
-            age = milliseconds(self._staleness(now))
-            transfer = self._frames.delta(downstream.queued_revision, age, now)
+            staleness_ms = milliseconds(self._staleness(now))
+            transfer = self._frames.delta(downstream.queued_revision, staleness_ms, now)
         transfer = transfer or self._frames.snapshot()
         downstream.start_transfer(transfer)
         return transfer
 
-    def _transferred(self, downstream: DownstreamWatch, transfer: EncodedUpdate, now: float) -> None:
+    def _finish_transfer(self, downstream: DownstreamWatch, transfer: EncodedUpdate, now: float) -> None:
         downstream.finish_transfer()
         if not transfer.snapshot:
             self.counters.deltas_sent += 1
@@ -72,9 +72,9 @@
             self.send(downstream, self.keepalive(now), now)
 
     def send_accepted(self, downstream: DownstreamWatch, generation: Generation, now: float) -> None:
-        """Accept a watch."""
-        age_ms = milliseconds(self._staleness(now))
-        self.send(downstream, encode(WatchAccepted(generation, self._store.revision, age_ms)), now)
+        """Send that the watch is accepted."""
+        staleness_ms = milliseconds(self._staleness(now))
+        self.send(downstream, encode(WatchAccepted(generation, self._store.revision, staleness_ms)), now)
 
     def send_rejected(
         self,
@@ -84,13 +84,13 @@
         others: tuple[str, ...],
         now: float,
     ) -> None:
-        """Reject a watch; ``retry_after`` is in seconds."""
+        """Send that the watch is rejected; ``retry_after`` is in seconds."""
         self.send(downstream, encode(WatchRejected(reason, milliseconds(retry_after), others)), now)
 
     def send_goodbye(
         self, downstream: DownstreamWatch, reason: GoodbyeReason, others: tuple[str, ...], now: float
     ) -> None:
-        """Announce the end of a stream."""
+        """Send the last message of a stream."""
         self.send(downstream, encode(Goodbye(reason, others)), now)
 
     def keepalive(self, now: float) -> bytes:
--- a/merlinbay/control/fanout/watch_server.py
+++ b/merlinbay/control/fanout/watch_server.py
@@ -1,4 +1,9 @@
-"""The serving side of watches, for voters and relays alike."""
+"""The serving side of watches, for voters and relays alike.
+
+A host calls ``WatchServer`` for each event of a stream, for each change of the store and for each due tick,
+and carries out its effects. Streams that are malformed, silent or too slow are closed alone; the other
+watches are not affected.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +37,8 @@
 from merlinbay.control.fanout.store import RevisionStore
 from merlinbay.control.fanout.watch_sender import WatchSender
 
-SWEEPS_PER_KEEPALIVE = 4  # checks for due keep-alives and timeouts in one interval
-MAX_STREAMS_PER_WATCH = 2  # new streams are closed above so many times ``max_watches``
+SWEEPS_PER_KEEPALIVE = 4  # checks for due keep-alives and timeouts in one keep-alive interval
+MAX_STREAMS_PER_WATCH = 2  # above ``max_watches`` times this, new streams are closed
 
 
 class WatchServer:
@@ -48,11 +53,11 @@
         now: float,
         others: Iterable[str] = (),
     ) -> None:
-        """Serve ``store``; ``others`` are upstreams named to watches that are rejected."""
+        """Serve ``store``; rejected watches are told ``others``, the names of other upstreams."""
         self.store, self.generation, self.settings = store, generation, settings
         self.others = tuple(others)[:MAX_NAMES]
         self.counters = ServerCounters()
-        self.reports = 0  # changes of the summary since the start
+        self.reports = 0  # number of changes of the summary since the start
         self.frames = FrameCache(store, settings.chunk_bytes, settings.keepalive)
         self._rng = rng
         self._effects: list[DownstreamEffect] = []
@@ -61,7 +66,7 @@
         self._by_member: dict[str, DownstreamWatch] = {}
         self._absent = AbsentMembers(settings.absent_for)
         self._admission = AdmissionBucket(settings.admit_rate, settings.admit_burst, now)
-        self._current_at = -math.inf  # the store's state was known to be the latest then
+        self._current_at = -math.inf  # time at which the store's state was known to be the latest
         self._flushed_at = -math.inf
         self._flush_at = math.inf
         self._sweep_at = math.inf
@@ -70,7 +75,7 @@
     # Streams.
 
     def opened(self, connection: int, now: float) -> None:
-        """Take a new stream; its first message has to come within ``first_message`` seconds."""
+        """Register a new stream; its first message has to arrive within ``first_message`` seconds."""
         if len(self._downstreams) >= MAX_STREAMS_PER_WATCH * self.settings.max_watches:
             self._effects.append(CloseDownstream(connection))
             return
@@ -79,7 +84,7 @@
             self._sweep_at = now + self.settings.keepalive / SWEEPS_PER_KEEPALIVE
 
     def received(self, connection: int, frame: bytes, now: float) -> None:
-        """Take a frame; one that is malformed ends the watch."""
+        """Process a frame; a malformed one ends the watch."""
         downstream = self._downstreams.get(connection)
         if downstream is None:
             return
@@ -104,7 +109,7 @@
             self._end(downstream, GoodbyeReason.PROTOCOL, now)
 
     def written(self, connection: int, size: int, now: float) -> None:
-        """Take it that a frame of ``size`` bytes was written."""
+        """Record that a frame of ``size`` bytes was written, and queue what now has room."""
         downstream = self._downstreams.get(connection)
         if downstream is None:
             return
@@ -113,23 +118,23 @@
             self._sender.pump(downstream, now)
 
     def closed(self, connection: int, now: float) -> None:
-        """Take it that a stream has ended."""
+        """Record that a stream has ended without a goodbye."""
         downstream = self._downstreams.get(connection)
         if downstream is not None:
             self._lose(downstream, now)
 
-    # The state that is served.
+    # Served state.
 
     def advanced(self, now: float) -> None:
-        """Take it that the store has a new revision."""
+        """Plan the sending of the store's new revision."""
         self._flush_at = min(self._flush_at, max(now, self._flushed_at + self.settings.coalesce))
 
     def confirm(self, now: float, staleness: float = 0.0) -> None:
-        """Take it that the store's state was the latest ``staleness`` seconds ago."""
+        """Record that the store's state was the latest ``staleness`` seconds ago."""
         self._current_at = max(self._current_at, now - staleness)
 
     def reset(self, generation: Generation, now: float) -> None:
-        """Serve another generation: every watch starts again with a snapshot."""
+        """Serve another generation; every watch starts again with a snapshot."""
         self.generation = generation
         self._current_at = -math.inf
         self.frames.clear()
@@ -140,7 +145,7 @@
         self.advanced(now)
 
     def drain(self, now: float) -> None:
-        """Send all watches to other upstreams and accept no new ones: the process is going to end."""
+        """Direct all watches to other upstreams and accept no new ones, as the process is going to end."""
         self._draining = True
         for downstream in list(self._downstreams.values()):
             self._end(downstream, GoodbyeReason.STOPPING, now)
@@ -148,7 +153,7 @@
     # Time.
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send the pending changes and keep-alives that are due, and cut slow or silent streams."""
         if now >= self._flush_at:
             self._flush_at = math.inf
             self._flushed_at = now
@@ -170,17 +175,17 @@
     # The followers below.
 
     def summary(self, now: float) -> Summary:
-        """Return the revisions that the followers below have applied; ``status.force_status`` reads it."""
+        """Return the revisions that the followers below have applied, for ``status.force_status``."""
         self._absent.expire(now)
         most, names = self.settings.summary_counts, self.settings.summary_laggards
         direct = status.summarize(
-            (one.last_known() for one in self._by_member.values() if one.role is WatcherRole.FOLLOWER),
+            (watch.last_known() for watch in self._by_member.values() if watch.role is WatcherRole.FOLLOWER),
             self.store.revision,
             most,
             names,
             self._absent,
         )
-        below = [one.summary for one in self._by_member.values() if one.summary is not None]
+        below = [watch.summary for watch in self._by_member.values() if watch.summary is not None]
         return status.merge([direct, *below], most, names) if below else direct
 
     @property
@@ -195,18 +200,18 @@
     # Accepting a watch.
 
     def _watch(self, downstream: DownstreamWatch, watch: WatchRequest, now: float) -> None:
-        same = watch.generation == self.generation
+        same_generation = watch.generation == self.generation
         if watch.version != PROTOCOL_VERSION:
             self._end(downstream, GoodbyeReason.VERSION, now)
         elif self._draining:
             self._end(downstream, GoodbyeReason.STOPPING, now)
         elif self.generation == NO_GENERATION:
             self._reject(downstream, RejectionReason.NO_DATA, now)
-        elif not same and watch.generation.number == self.generation.number:
+        elif not same_generation and watch.generation.number == self.generation.number:
             self.counters.foreign += 1
             self._end(downstream, GoodbyeReason.FOREIGN, now)
         elif watch.generation.number > self.generation.number or (
-            same and watch.revision > self.store.revision
+            same_generation and watch.revision > self.store.revision
         ):
             self.counters.from_the_future += 1
             self._reject(downstream, RejectionReason.BEHIND, now)
@@ -218,9 +223,9 @@
             self._admit(downstream, watch, now)
 
     def _admit(self, downstream: DownstreamWatch, watch: WatchRequest, now: float) -> None:
-        former = self._by_member.get(watch.member)
-        if former is not None:
-            self._end(former, GoodbyeReason.REPLACED, now)
+        former_watch = self._by_member.get(watch.member)
+        if former_watch is not None:
+            self._end(former_watch, GoodbyeReason.REPLACED, now)
         self.counters.admitted += 1
         self.reports += 1
         self._absent.discard(watch.member)
@@ -237,7 +242,7 @@
             wait = self._admission.retry_after(now, least, most)
         elif reason is RejectionReason.FULL:
             wait = most
-        else:  # until this side has caught up
+        else:  # this server may have caught up by then
             wait = least * (1 + self._rng.random())
         self._sender.send_rejected(downstream, reason, wait, self.others, now)
         self._effects.append(CloseDownstream(downstream.connection))
@@ -245,7 +250,7 @@
 
     def _progress(self, downstream: DownstreamWatch, progress: ProgressReport) -> None:
         if progress.generation != self.generation.number:
-            return  # sent before the reset reached it
+            return  # the watcher sent this before the reset reached it
         revision = min(progress.revision, self.store.revision)
         if (revision, progress.summary) == (downstream.reported_revision, downstream.summary):
             return
@@ -261,30 +266,30 @@
         keepalive = self._sender.keepalive(now)
         for downstream in list(self._downstreams.values()):
             stuck_since = downstream.stuck_since()
-            patience = self.settings.silence if downstream.watching else self.settings.first_message
+            silence_limit = self.settings.silence if downstream.watching else self.settings.first_message
             if stuck_since is not None and now - stuck_since > self.settings.write_timeout:
                 self.counters.cut_slow += 1
                 self._abort(downstream, GoodbyeReason.SLOW, now)
-            elif now - downstream.heard_at > patience:
+            elif now - downstream.heard_at > silence_limit:
                 self.counters.cut_silent += 1
                 self._abort(downstream, GoodbyeReason.SILENT, now)
             elif downstream.watching and downstream.last_sent <= due and not downstream.unwritten_messages:
                 self._sender.send(downstream, keepalive, now)
 
     def _end(self, downstream: DownstreamWatch, reason: GoodbyeReason, now: float) -> None:
-        """End a stream with a last message."""
+        """End a stream with a goodbye."""
         others = self.others if reason is GoodbyeReason.STOPPING else ()
         self._sender.send_goodbye(downstream, reason, others, now)
         self._effects.append(CloseDownstream(downstream.connection, reason))
         self._drop(downstream)
 
     def _abort(self, downstream: DownstreamWatch, reason: GoodbyeReason, now: float) -> None:
-        """End a stream that is too slow or silent."""
+        """End a stream that is too slow or silent, without a goodbye."""
         self._effects.append(CloseDownstream(downstream.connection, reason))
         self._lose(downstream, now)
 
     def _lose(self, downstream: DownstreamWatch, now: float) -> None:
-        """Forget a stream that ended without a goodbye; its member counts as absent for some time."""
+        """Remove a stream that ended without a goodbye; its member counts as absent for some time."""
         self._drop(downstream)
         if not downstream.watching:
             return
