--- a/merlinbay/control/fanout/absent_members.py
+++ b/merlinbay/control/fanout/absent_members.py
@@ -1,4 +1,4 @@
-"""The members whose watch was lost recently, for the summary."""
+"""Members whose watch was lost recently. A watch server names them in its summary."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 from merlinbay.control.fanout.messages import Laggard
 
-MAX_MEMBERS = 1024  # the oldest is forgotten first
+MAX_MEMBERS = 1024  # above this the member that was lost first is forgotten
 
 
 class AbsentMembers:
-    """Lost members with the revision that they reported last, each for a limited time."""
+    """Keeps lost members with the revision that they reported last, each for a limited time."""
 
     def __init__(self, keep_for: float) -> None:
-        """``keep_for``: seconds."""
+        """Keep each member for ``keep_for`` seconds."""
         self._keep_for = keep_for
-        self._members: dict[str, tuple[float, Laggard]] = {}  # oldest first, with the time of expiry
+        self._members: dict[str, tuple[float, Laggard]] = {}  # expiry and report, oldest first
 
     def add(self, lost: Laggard, now: float) -> None:
-        """Remember a member whose watch ended without a goodbye."""
+        """Add a member whose watch ended without a goodbye."""
         self._members.pop(lost.member, None)
         self._members[lost.member] = now + self._keep_for, lost
         if len(self._members) > MAX_MEMBERS:
             del self._members[next(iter(self._members))]
 
     def discard(self, member: str) -> None:
-        """Forget a member that watches again."""
+        """Remove a member that watches again."""
         self._members.pop(member, None)
 
     def expire(self, now: float) -> None:
-        """Forget the members that were lost too long ago."""
+        """Remove the members that were lost too long ago."""
         while self._members:
-            member, (until, _) = next(iter(self._members.items()))
-            if until > now:
+            member, (expires_at, _) = next(iter(self._members.items()))
+            if expires_at > now:
                 return
             del self._members[member]
 
--- a/merlinbay/control/fanout/changes.py
+++ b/merlinbay/control/fanout/changes.py
@@ -1,4 +1,7 @@
-"""The last change of each key in the order of revisions, bounded; deltas are made from it."""
+"""The last change of each key in the order of revisions, bounded in number and bytes.
+
+Voters and relays make deltas from it. Where a delta would need older changes, a watch gets a snapshot.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,12 @@
 
 
 class RecentChanges:
-    """Deltas from any revision at or above ``floor`` up to ``revision``; older changes were compacted."""
+    """Makes deltas from any revision between ``floor`` and ``revision``; older changes are compacted."""
 
     def __init__(self, max_changes: int, max_bytes: int, revision: int = 0) -> None:
         self.max_changes, self.max_bytes = max_changes, max_bytes
         self.floor = self.revision = revision
-        self._last: dict[str, KeyValue] = {}  # oldest first: a key that changes again moves to the end
+        self._last: dict[str, KeyValue] = {}  # oldest first; a key that changes again moves to the end
         self._bytes = 0
 
     def __len__(self) -> int:
@@ -32,13 +35,13 @@
             self.floor = oldest.revision
 
     def restart(self, revision: int) -> None:
-        """Start again at a state whose history is not known."""
+        """Drop all changes and start again at a state whose history is not known."""
         self._last.clear()
         self._bytes = 0
         self.floor = self.revision = revision
 
     def after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
+        """Return the changes after ``revision``; None if they were compacted or it lies in the future."""
         if not self.floor <= revision <= self.revision:
             return None
         changed = []
--- a/merlinbay/control/fanout/downstream_watch.py
+++ b/merlinbay/control/fanout/downstream_watch.py
@@ -1,4 +1,4 @@
-"""One downstream watch at its server, with its bounded send queue."""
+"""The state of one downstream stream at its server, with the size of its send queue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DownstreamWatch:
-    """A connection: first without a watch, then with one."""
+    """One downstream stream. It holds no watch until its ``WatchRequest`` is accepted."""
 
     __slots__ = (
         "connection",
@@ -32,22 +32,20 @@
         self.member = ""
         self.role = WatcherRole.FOLLOWER
         self.watching = False
-        self.heard_at = now  # when the last message came
-        self.last_sent = now  # when the last frame was queued
-        self.written_at = now  # when a frame was last written, or the queue was empty
+        self.heard_at = now  # time at which the last message arrived
+        self.last_sent = now  # time at which the last frame was queued
+        self.written_at = now  # time of the last written frame, or of the first one in an empty queue
         self.unwritten_messages = 0
         self.unwritten_bytes = 0
-        self.queued_revision = 0  # the member has this revision once the queue is written
+        self.queued_revision = 0  # revision that the member has once the queue is written
         self.wants_snapshot = False
-        self.transfer: EncodedUpdate | None = (
-            None  # the update under way; its frames before ``next_part`` are queued
-        )
-        self.next_part = 0
-        self.reported_revision = 0  # that the member has applied
-        self.summary: Summary | None = None  # of a relay
+        self.transfer: EncodedUpdate | None = None  # update whose frames are being queued
+        self.next_part = 0  # index of the first frame of ``transfer`` that is not queued yet
+        self.reported_revision = 0  # revision that the member has reported as applied
+        self.summary: Summary | None = None  # last summary of a relay
 
     def begin(self, watch: WatchRequest, wants_snapshot: bool) -> None:
-        """Start the watch."""
+        """Start the accepted watch at the member's revision, or with a snapshot."""
         self.watching = True
         self.member, self.role = watch.member, watch.role
         self.wants_snapshot = wants_snapshot
@@ -55,18 +53,18 @@
         self.reported_revision = self.queued_revision
 
     def restart(self) -> None:
-        """Start again with a snapshot: the generation has changed."""
+        """Start again with a snapshot, as the generation has changed."""
         self.wants_snapshot = True
         self.transfer = None
         self.queued_revision = self.reported_revision = 0
         self.summary = None
 
     def record_received(self, now: float) -> None:
-        """Record that a message came."""
+        """Record that a message arrived."""
         self.heard_at = now
 
     def record_report(self, revision: int, summary: Summary | None) -> None:
-        """Record the revision that the member has applied; a relay's summary goes with it."""
+        """Record the revision that the member has applied, and a relay's summary."""
         self.reported_revision = revision
         if self.role is WatcherRole.RELAY:
             self.summary = summary
@@ -82,7 +80,7 @@
         return self.next_part == len(self.transfer.frames)
 
     def finish_transfer(self) -> None:
-        """Take it that all frames of the update are queued."""
+        """Record that all frames of the update are queued."""
         assert self.transfer is not None
         self.queued_revision = self.transfer.revision
         self.transfer = None
@@ -107,7 +105,7 @@
         self.written_at = now
 
     def stuck_since(self) -> float | None:
-        """Return since when no frame was written though some wait; None if none waits."""
+        """Return the time since which no frame was written although some wait; None if none waits."""
         return self.written_at if self.unwritten_messages else None
 
     def last_known(self) -> Laggard:
--- a/merlinbay/control/fanout/effects.py
+++ b/merlinbay/control/fanout/effects.py
@@ -1,4 +1,4 @@
-"""The effects of the fan-out. A host carries them out in order."""
+"""The effects that followers, relays and watch servers return. A host carries them out in order."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class SendDownstream(msgspec.Struct, frozen=True, gc=False):
-    """Write a frame to a watch; call ``written`` once it has left the process's own buffer."""
+    """Write a frame to a watch; the host calls ``written`` once it has left the process's own buffer."""
 
     connection: int
     frame: bytes
 
 
 class CloseDownstream(msgspec.Struct, frozen=True, gc=False):
-    """End a watch after the frames before this, without waiting for them long. No ``closed`` is wanted."""
+    """Close a watch after the frames before this, without waiting long for them. ``closed`` is not called."""
 
     connection: int
-    reason: GoodbyeReason | None = None  # None: it was not accepted
+    reason: GoodbyeReason | None = None  # None if the watch was not accepted
 
 
 class ConnectUpstream(msgspec.Struct, frozen=True):
-    """Open a stream to an upstream; call ``connected`` or ``closed`` with the attempt's number."""
+    """Open a stream to an upstream; the host calls ``connected`` or ``closed`` with the attempt's number."""
 
     attempt: int
     upstream: Upstream
@@ -38,15 +38,16 @@
 
 
 class CloseUpstream(msgspec.Struct, frozen=True, gc=False):
-    """End the stream of an attempt, also one that is still connecting. No ``closed`` is wanted."""
+    """Close the stream of an attempt, even if it is still connecting. ``closed`` is not called."""
 
     attempt: int
 
 
 class StateAdvanced(msgspec.Struct, frozen=True):
-    """The follower's state is at ``revision`` now; ``replaced``: by a snapshot, and all keys may differ.
+    """The follower's state is now at ``revision``.
 
-    ``changed`` are the keys that a delta changed (value None: deleted); after a snapshot read ``entries()``.
+    ``changed`` holds the entries that a delta changed; the value None means that the key was deleted.
+    ``replaced`` means that a snapshot replaced the state, so all keys may differ; read ``snapshot()`` then.
     """
 
     revision: int
--- a/merlinbay/control/fanout/state.py
+++ b/merlinbay/control/fanout/state.py
@@ -1,4 +1,4 @@
-"""A follower's copy of the state: changed by whole deltas and snapshots, or not at all."""
+"""A follower's copy of the state. A delta or snapshot is applied whole, or raises and changes nothing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RevisionGapError(Exception):
-    """A delta begins after the current revision: changes between are missing."""
+    """A delta begins after the current revision, so the changes between are missing."""
 
 
 class InvalidEntriesError(Exception):
@@ -26,7 +26,7 @@
         self._values = {entry.key: entry for entry in saved.entries} if saved else {}
 
     def get(self, key: str) -> KeyValue | None:
-        """Return a key's value and revision, None if it does not exist."""
+        """Return a key's value and revision, None if the key does not exist."""
         return self._values.get(key)
 
     def snapshot(self) -> StateSnapshot:
@@ -36,15 +36,15 @@
     def apply(
         self, after_revision: int, revision: int, entries: Sequence[WireEntry]
     ) -> list[KeyValue] | None:
-        """Apply a delta; return what it changed, or None if it has nothing new.
+        """Apply a delta; return the changed entries, or None if it contains no later revision.
 
-        A delta that begins below the current revision is applied from there on: it has the last state of each
-        key, and those with a later revision are the changes since.
+        Of a delta that begins below the current revision, only the entries with a later revision are applied.
+        They are all the changes since, as a delta holds the last state of each key.
         """
         if after_revision > self.revision:
-            raise RevisionGapError(f"delta after {after_revision}, held {self.revision}")
+            raise RevisionGapError(f"delta begins after {after_revision}, state is at {self.revision}")
         if any(not after_revision < entry.revision <= revision for entry in entries):
-            raise InvalidEntriesError(f"delta {after_revision} to {revision} with a revision outside")
+            raise InvalidEntriesError(f"delta {after_revision} to {revision} has an entry outside its range")
         if revision <= self.revision:
             return None
         changed = [
@@ -61,11 +61,13 @@
         return changed
 
     def replace(self, revision: int, entries: Iterable[WireEntry]) -> None:
-        """Replace the whole state."""
+        """Replace the whole state by that of a snapshot."""
         values = {}
         for entry in entries:
             if entry.value is None or entry.revision > revision:
-                raise InvalidEntriesError(f"snapshot at {revision} with {entry.key} at {entry.revision}")
+                raise InvalidEntriesError(
+                    f"snapshot at {revision} has a deleted or later entry: {entry.key} at {entry.revision}"
+                )
             values[entry.key] = KeyValue(entry.key, entry.value, entry.revision)
         self._values = values
         self.revision = revision
--- a/merlinbay/control/fanout/status.py
+++ b/merlinbay/control/fanout/status.py
@@ -1,4 +1,4 @@
-"""At how many followers a revision is in force, from summaries that are merged upwards."""
+"""Counts the followers at which a revision is in force, from summaries that relays merge and send up."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class ForceStatus(msgspec.Struct, frozen=True):
-    """How many followers have ``revision`` in force, as last reported. Never too many, perhaps too few."""
+    """How many followers have ``revision`` in force by their last reports: never too many, perhaps too few."""
 
     revision: int
-    followers: int  # that hold a watch somewhere below
-    in_force: int  # of these at ``revision`` or later
-    oldest: int  # the oldest revision that one of them has; ``revision`` where there is none
-    laggards: tuple[Laggard, ...]  # some of those that lack it, oldest first
-    absent: tuple[Laggard, ...]  # some that have lost their watch a short time ago; not counted above
-    expected: int = 0  # members by another source, such as the view of the fleet; 0: not known
+    followers: int  # followers that hold a watch at this server or at a relay below it
+    in_force: int  # followers of these that are at ``revision`` or later
+    oldest: int  # the oldest revision of any of these followers; ``revision`` if there is none
+    laggards: tuple[Laggard, ...]  # some of the followers that lack ``revision``, oldest first
+    absent: tuple[Laggard, ...]  # some members whose watch was lost recently; not counted in ``followers``
+    expected: int = 0  # number of members by another source, such as the view of the fleet; 0 if not known
 
     @property
     def lacking(self) -> int:
-        """Return how many lack the revision, those that hold no watch among them."""
+        """Return how many followers lack the revision, including expected ones that hold no watch."""
         return max(self.followers, self.expected) - self.in_force
 
     @property
     def everywhere(self) -> bool:
-        """Return whether every follower that is known or expected has it."""
+        """Return whether every known or expected follower has the revision."""
         return self.lacking == 0
 
 
@@ -41,10 +41,10 @@
     absent: Iterable[Laggard] = (),
 ) -> Summary:
     """Return the summary of followers by their last reported revision; laggards are below ``current``."""
-    known = list(followers)
+    reports = list(followers)
     return _bounded(
-        ((one.revision, 1) for one in known),
-        (one for one in known if one.revision < current),
+        ((report.revision, 1) for report in reports),
+        (report for report in reports if report.revision < current),
         absent,
         max_counts,
         max_laggards,
@@ -52,25 +52,25 @@
 
 
 def merge(summaries: Iterable[Summary], max_counts: int, max_laggards: int) -> Summary:
-    """Return one summary of several that count different followers."""
-    known = list(summaries)
+    """Return the sum of several summaries that count different followers."""
+    parts = list(summaries)
     return _bounded(
-        ((count.revision, count.followers) for one in known for count in one.counts),
-        (laggard for one in known for laggard in one.laggards),
-        (laggard for one in known for laggard in one.absent),
+        ((count.revision, count.followers) for summary in parts for count in summary.counts),
+        (laggard for summary in parts for laggard in summary.laggards),
+        (laggard for summary in parts for laggard in summary.absent),
         max_counts,
         max_laggards,
     )
 
 
 def force_status(summary: Summary, revision: int, expected: int = 0) -> ForceStatus:
-    """Read from the summary of everything how far ``revision`` is in force."""
+    """Return from a summary how many followers have ``revision`` in force."""
     return ForceStatus(
         revision=revision,
         followers=sum(count.followers for count in summary.counts),
         in_force=sum(count.followers for count in summary.counts if count.revision >= revision),
         oldest=min((count.revision for count in summary.counts), default=revision),
-        laggards=tuple(one for one in summary.laggards if one.revision < revision),
+        laggards=tuple(laggard for laggard in summary.laggards if laggard.revision < revision),
         absent=summary.absent,
         expected=expected,
     )
@@ -88,7 +88,7 @@
         by_revision[revision] += followers
     newest_first = sorted(by_revision.items(), reverse=True)
     kept, rest = newest_first[: max_counts - 1], newest_first[max_counts - 1 :]
-    if rest:  # under the oldest revision of all: a follower is never counted for one that it lacks
+    if rest:  # counted under the oldest revision, so that no follower is counted for one that it lacks
         kept.append((rest[-1][0], sum(followers for _, followers in rest)))
     return Summary(
         tuple(RevisionCount(revision, followers) for revision, followers in kept),
@@ -97,8 +97,10 @@
     )
 
 
-def _oldest(named: Iterable[Laggard], most: int) -> tuple[Laggard, ...]:
-    """Return the oldest; of one member that was named twice, the newest."""
-    by_member = sorted(named, key=lambda one: (one.member, -one.revision))
-    once = [next(same) for _, same in groupby(by_member, key=lambda one: one.member)]
-    return tuple(sorted(once, key=lambda one: (one.revision, one.member))[:most])
+def _oldest(laggards: Iterable[Laggard], max_laggards: int) -> tuple[Laggard, ...]:
+    """Return the laggards with the oldest revisions; of a member listed twice, its newest revision counts."""
+    by_member = sorted(laggards, key=lambda laggard: (laggard.member, -laggard.revision))
+    newest_reports = [next(group) for _, group in groupby(by_member, key=lambda laggard: laggard.member)]
+    return tuple(
+        sorted(newest_reports, key=lambda laggard: (laggard.revision, laggard.member))[:max_laggards]
+    )
--- a/merlinbay/control/fanout/store.py
+++ b/merlinbay/control/fanout/store.py
@@ -15,7 +15,7 @@
         """Return the revision of the state."""
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
+        """Return the changes after ``revision``; None if they were compacted or it lies in the future."""
 
     def snapshot(self) -> StateSnapshot:
         """Return the whole state."""
--- a/merlinbay/control/fanout/topology.py
+++ b/merlinbay/control/fanout/topology.py
@@ -1,4 +1,4 @@
-"""Which upstreams a member may watch, and in which order it tries them."""
+"""The upstreams that a member may watch, and the order in which it tries them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Location(msgspec.Struct, frozen=True):
-    """A zone, and the region that it lies in."""
+    """A zone and its region."""
 
     region: str
     zone: str
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """A voter or relay that serves watches. ``tier`` is 0 for a voter, else one above its upstreams'."""
+    """A voter (``tier`` 0) or relay (``tier`` one above its upstreams') that serves watches."""
 
     name: str
     address: str
@@ -27,10 +27,10 @@
 def ordered_candidates(
     member: str, location: Location, upstreams: Iterable[Upstream]
 ) -> tuple[Upstream, ...]:
-    """Return the upstreams by nearness: same zone, same region, others; within each spread by name.
+    """Return the upstreams by distance: those of the same zone, then of the same region, then all others.
 
-    The order within a class is by rendezvous hashing: the same at every start, different from member to
-    member, so that the members of a lost upstream spread over those that are left.
+    Upstreams at the same distance are ordered by rendezvous hashing. The order is the same at every start
+    and differs from member to member, so the members of a lost upstream spread over the remaining ones.
     """
     return tuple(
         sorted(
