--- a/merlinbay/control/fanout/fleet_measurements.py
+++ b/merlinbay/control/fanout/fleet_measurements.py
@@ -1,4 +1,4 @@
-"""What is measured of a simulated fleet. Times are seconds."""
+"""Measurements of a simulated fleet. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 @dataclass(slots=True)
 class FleetMeasurements:
-    """What followers went through."""
+    """Propagation times of changes, load of the relays, and violations."""
 
-    times_to_force: list[float] = field(default_factory=list)  # of every change at every follower
-    times_disturbed: list[float] = field(default_factory=list)  # the same, at those that lost something
-    broken: list[str] = field(default_factory=list)  # what must not be
-    most_watches: int = 0  # at one relay at a time
-    admissions: Counter[tuple[str, int]] = field(default_factory=Counter)  # by relay and second
+    times_to_force: list[float] = field(default_factory=list)  # of each change at each undisturbed follower
+    times_disturbed: list[float] = field(default_factory=list)  # of each change at each disturbed follower
+    broken: list[str] = field(default_factory=list)  # violations: followers whose revision did not increase
+    most_watches: int = 0  # maximum of the watches held by one relay at a time
+    # Watches admitted so far, by relay and second.
+    admissions: Counter[tuple[str, int]] = field(default_factory=Counter)
 
     def most_admissions(self, since: float) -> int:
-        """Return the most watches that one relay took within a second of the clock."""
-        taken = self.admissions
+        """Return the maximum of the watches that one relay admitted within a second of the clock."""
+        admitted = self.admissions
         return max(
             (
-                count - taken[name, second - 1]
-                for (name, second), count in list(taken.items())
+                count - admitted[name, second - 1]
+                for (name, second), count in list(admitted.items())
                 if second > since
             ),
             default=0,
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -200,6 +200,6 @@
         for upstream in listed:
             if upstream.tier >= self.tier:
                 raise InvalidTierError(
-                    f"expected upstreams below tier {self.tier}, got {upstream.name} of tier {upstream.tier}"
+                    f"upstream {upstream.name} has tier {upstream.tier}, expected a tier below {self.tier}"
                 )
         return listed
--- a/merlinbay/control/fanout/simulate.py
+++ b/merlinbay/control/fanout/simulate.py
@@ -1,7 +1,7 @@
 """Simulated figures of the fan-out: ``python -m merlinbay.control.fanout.simulate --followers 1000``.
 
-The code that runs is the code of followers, relays and servers; streams, delays and the log are played in
-virtual time (``simulated_network``, ``simulated_fleet``). Nothing is said of processor time.
+Followers, relays and servers run their real code; streams, delays and the log are simulated in virtual time
+(``simulated_network``, ``simulated_fleet``). The figures do not include processor time.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from merlinbay.control.fanout.counters import FollowerCounters, ServerCounters
 from merlinbay.control.fanout.simulated_fleet import FRAME_HEADER_BYTES, FleetPlan, SimulatedFleet
 
-SETTLE_S = 30.0  # after the last start, after the last change, and after trouble
-POLL_INTERVAL_S = 0.25  # between checks whether a condition holds
-CUT_REGION = "r2"  # has one voter of five
-DEAD_RELAY = "relay5"  # alone in its zone
+SETTLE_S = 30.0  # wait after the last start and after the last change
+POLL_INTERVAL_S = 0.25  # time between checks whether a condition holds
+CUT_REGION = "r2"  # region with one voter of five
+DEAD_RELAY = "relay5"  # the only relay of its zone
 LOST_ZONE = "z5"
-RESTARTS_SHARE = 700 / 2500  # of the members, within ten minutes
+RESTARTS_SHARE = 700 / 2500  # share of the members that restart within ``RESTARTS_WITHIN_S``
 RESTARTS_WITHIN_S = 600.0
 
 
 class ChangeLoad(msgspec.Struct, frozen=True):
-    """The rate of changes, and how fast the followers start."""
+    """The load of a run. Times are in seconds."""
 
-    rate: float = 1.0  # changes a second
-    duration: float = 300.0
-    burst: int = 100  # changes at once, after three quarters of the time
-    start_within: float = 60.0
-    cut: float = 3600.0  # how long a region is cut off
+    rate: float = 1.0  # changes per second
+    duration: float = 300.0  # time during which changes are made
+    burst: int = 100  # changes made at once after three quarters of the duration
+    start_within: float = 60.0  # time within which all followers start
+    cut: float = 3600.0  # time for which a region is cut off
 
 
 class PropagationTimes(msgspec.Struct, frozen=True):
-    """Seconds from a change's request to its being in force, over all changes and followers."""
+    """Seconds from the request of a change until it is in force, over all changes and followers."""
 
     samples: int
     p50: float
@@ -44,7 +44,7 @@
 
 
 class TrafficTotals(msgspec.Struct, frozen=True):
-    """Bytes and messages of one process, each message with the length before it, without TCP's headers."""
+    """Bytes and messages of one process, with the length prefix of each message, without TCP headers."""
 
     sent_bytes: float
     received_bytes: float
@@ -53,7 +53,7 @@
 
 
 class RoleTraffic(msgspec.Struct, frozen=True):
-    """A role's bytes and messages a second: the mean of its processes, and the most, each by itself."""
+    """A role's bytes and messages per second: mean and maximum over its processes, each column by itself."""
 
     mean: TrafficTotals
     most: TrafficTotals
@@ -66,41 +66,41 @@
     followers: int
     seed: int
     times: PropagationTimes | None
-    # At followers whose relay, zone, region or process was taken away.
+    # Times at followers whose relay, zone, region or process was taken away.
     times_disturbed: PropagationTimes | None
     started_after: float  # from the last start until every follower held a state
     watched_after: float  # from the fault, or its end, until every running follower held a watch
-    known_after: float  # from the last change until the voters' summaries said that it is in force everywhere
-    most_watches: int  # at one relay at a time
-    most_admissions: int  # new watches at one relay in one second, after the start
-    most_admissions_start: int
-    traffic: dict[str, RoleTraffic]  # while changes come
-    differing: int  # followers that held another state than the log's in the end
-    broken: tuple[str, ...]
+    known_after: float  # from the last change until the voters' summaries showed it in force everywhere
+    most_watches: int  # maximum of the watches held by one relay at a time
+    most_admissions: int  # maximum of the new watches at one relay in one second, after the start
+    most_admissions_start: int  # the same during the start
+    traffic: dict[str, RoleTraffic]  # by role, while changes are made
+    differing: int  # followers whose final state differed from the log's
+    broken: tuple[str, ...]  # violations: followers whose revision did not increase
 
 
 def play(scenario: str, plan: FleetPlan, load: ChangeLoad, seed: int) -> SimulatedRun:
-    """Start a fleet, change keys, inject the scenario's fault half-way, and measure."""
+    """Start a fleet, make changes, inject the scenario's fault after half of the duration, and measure."""
     fleet = SimulatedFleet(plan, seed)
     network = fleet.network
     for number in range(plan.followers):
         moment = 1.0 + fleet.rng.uniform(0, load.start_within)
         network.at(moment, lambda number=number: fleet.start_follower(number))  # type: ignore[misc]
     network.run(1.0 + load.start_within)
-    started_after = _wait(fleet, lambda: all(one.revision for one in fleet.followers.values()))
+    started_after = _wait(fleet, lambda: all(follower.revision for follower in fleet.followers.values()))
     network.run(network.now + SETTLE_S)
     admissions_start = fleet.measured.most_admissions(0.0)
 
-    began, before = network.now, _totals(fleet)
+    began_at, before = network.now, _totals(fleet)
     _schedule_changes(fleet, load)
-    network.run(began + load.duration / 2)
+    network.run(began_at + load.duration / 2)
     watched_after = SCENARIOS[scenario](fleet, load)
-    network.run(max(network.now, began + load.duration))
-    traffic = _traffic(before, _totals(fleet), network.now - began)
+    network.run(max(network.now, began_at + load.duration))
+    traffic = _traffic(before, _totals(fleet), network.now - began_at)
 
     fleet.change()
-    last = len(fleet.log)
-    known_after = _wait(fleet, lambda: fleet.force_status(last).in_force == fleet.alive())
+    last_revision = len(fleet.log)
+    known_after = _wait(fleet, lambda: fleet.force_status(last_revision).in_force == fleet.alive())
     network.run(network.now + SETTLE_S)
     return SimulatedRun(
         scenario=scenario,
@@ -112,7 +112,7 @@
         watched_after=watched_after,
         known_after=known_after,
         most_watches=fleet.measured.most_watches,
-        most_admissions=fleet.measured.most_admissions(began),
+        most_admissions=fleet.measured.most_admissions(began_at),
         most_admissions_start=admissions_start,
         traffic=traffic,
         differing=len(fleet.differing()),
@@ -120,30 +120,30 @@
     )
 
 
-# Faults: each returns how long it took until all running followers held a watch again.
+# Faults. Each function returns the time until all running followers held a watch again.
 
 
 def quiet(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """Let nothing happen."""
+    """Inject no fault."""
     return _wait(fleet, lambda: fleet.without_watch() == 0)
 
 
 def relay_killed(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """End a relay's process: its streams are closed."""
+    """Kill a relay's process; its system closes the streams."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
     fleet.stop(DEAD_RELAY, closes_streams=True)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
 def relay_lost(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """Lose a relay's machine: no stream is closed."""
+    """Lose a relay's machine; no stream is closed."""
     fleet.disturb(lambda follower: follower.upstream is not None and follower.upstream.name == DEAD_RELAY)
     fleet.stop(DEAD_RELAY, closes_streams=False)
     return _wait(fleet, lambda: fleet.without_watch() == 0 and not fleet.watching(DEAD_RELAY))
 
 
 def zone_lost(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """Lose a zone with its relay and its followers; they are back after a minute, all at once."""
+    """Lose a zone with its relay and its followers; all of them start again at once after a minute."""
     lost = [name for name, host in fleet.network.hosts.items() if host.location.zone == LOST_ZONE]
     fleet.disturb(lambda follower: follower.location.zone == LOST_ZONE)
     for name in lost:
@@ -157,7 +157,7 @@
 
 
 def region_cut(fleet: SimulatedFleet, load: ChangeLoad) -> float:
-    """Cut a region off, and heal it."""
+    """Cut a region off for the load's ``cut`` time, then reconnect it."""
     fleet.disturb(lambda follower: follower.location.region == CUT_REGION)
     fleet.network.cut_regions.add(CUT_REGION)
     fleet.network.run(fleet.network.now + load.cut)
@@ -197,12 +197,12 @@
         network.at(network.now + 0.75 * load.duration, lambda: fleet.change(load.burst))
 
 
-def _wait(fleet: SimulatedFleet, reached: Callable[[], bool], most: float = 300.0) -> float:
-    """Advance time until a condition holds; return how long it took, at most ``most``."""
-    began = fleet.network.now
-    while not reached() and fleet.network.now < began + most:
+def _wait(fleet: SimulatedFleet, reached: Callable[[], bool], max_wait: float = 300.0) -> float:
+    """Advance time until a condition holds, or for ``max_wait`` at most; return the time that passed."""
+    began_at = fleet.network.now
+    while not reached() and fleet.network.now < began_at + max_wait:
         fleet.network.run(fleet.network.now + POLL_INTERVAL_S)
-    return fleet.network.now - began
+    return fleet.network.now - began_at
 
 
 def _times(times: Iterable[float]) -> PropagationTimes | None:
@@ -222,18 +222,20 @@
 def _totals(fleet: SimulatedFleet) -> dict[str, list[TrafficTotals]]:
     """Return the counters of every process by role; restarted processes count from zero."""
     return {
-        "follower": [_counted(one.counters) for one in fleet.followers.values()],
-        "relay": [_counted(one.follower.counters, one.server.counters) for one in fleet.relays.values()],
-        "voter": [_counted(voter.server.counters) for voter in fleet.voters],
+        "follower": [_sum_counters(follower.counters) for follower in fleet.followers.values()],
+        "relay": [
+            _sum_counters(relay.follower.counters, relay.server.counters) for relay in fleet.relays.values()
+        ],
+        "voter": [_sum_counters(voter.server.counters) for voter in fleet.voters],
     }
 
 
-def _counted(*counters: FollowerCounters | ServerCounters) -> TrafficTotals:
-    sent = sum(one.messages_sent for one in counters)
-    received = sum(one.messages_received for one in counters)
+def _sum_counters(*counters: FollowerCounters | ServerCounters) -> TrafficTotals:
+    sent = sum(group.messages_sent for group in counters)
+    received = sum(group.messages_received for group in counters)
     return TrafficTotals(
-        sum(one.bytes_sent for one in counters) + FRAME_HEADER_BYTES * sent,
-        sum(one.bytes_received for one in counters) + FRAME_HEADER_BYTES * received,
+        sum(group.bytes_sent for group in counters) + FRAME_HEADER_BYTES * sent,
+        sum(group.bytes_received for group in counters) + FRAME_HEADER_BYTES * received,
         sent,
         received,
     )
@@ -260,7 +262,7 @@
 
 
 def main() -> None:
-    """Run the scenarios of the command line; print a line of JSON for each."""
+    """Run the scenarios given on the command line; print a line of JSON for each."""
     parser = argparse.ArgumentParser(description="Simulated figures of the fan-out (virtual time).")
     parser.add_argument("--followers", type=int, default=250)
     parser.add_argument("--scenario", choices=SCENARIOS, action="append", help="may be given several times")
--- a/merlinbay/control/fanout/simulated_fleet.py
+++ b/merlinbay/control/fanout/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of voters, relays and followers in virtual time, with what is measured of it.
+"""A fleet of voters, relays and followers in virtual time, with its measurements.
 
-The consensus is not played: a change is in force at the leader after one round to the next region and back,
-and reaches each other voter one way later, also by a heartbeat. Followers' members may be restarted.
+Consensus is not simulated. A change is in force at the leader after one round trip to another region, and
+reaches each other voter one message delay later, also by a heartbeat. Followers may be restarted.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 from merlinbay.control.fanout.watch_server import WatchServer
 
 GENERATION = Generation(1, "simulated")
-HEARTBEAT_S = 0.25  # from the leader to the other voters
-COMMIT_DELAY_S = 2 * OTHER_REGION_DELAY_S  # to a majority and back
-FRAME_HEADER_BYTES = 4  # bytes of the length before each message
+HEARTBEAT_S = 0.25  # time between two heartbeats of the leader to the other voters
+COMMIT_DELAY_S = 2 * OTHER_REGION_DELAY_S  # round trip to a majority
+FRAME_HEADER_BYTES = 4  # length prefix of each message
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,19 +46,19 @@
     relays: int = 16
     keys: int = 200
     value_bytes: int = 64
-    kept_changes: int = 10_000  # at a voter; changes before these are compacted
+    kept_changes: int = 10_000  # changes that a voter keeps; older ones are compacted
     server: WatchServerSettings = WatchServerSettings()
     follower: FollowerSettings = FollowerSettings()
 
     def location(self, number: int) -> Location:
-        """Return the place of the so many-th machine of a kind."""
+        """Return the location of the machine with this number among its kind."""
         zone = number % self.zones
         return Location(f"r{zone % self.regions}", f"z{zone}")
 
 
 @dataclass(slots=True)
 class SimulatedVoter:
-    """A voter's store and what serves it."""
+    """A voter: its store, its watch server and its machine."""
 
     store: SourceStore
     server: WatchServer
@@ -66,34 +66,34 @@
 
 
 class SimulatedFleet:
-    """Voters, relays, followers and the log."""
+    """Runs voters, relays and followers over one log."""
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
         self.plan = plan
         self.network: FanoutNetwork[SimulatedMachine] = FanoutNetwork(seed)
         self.rng = Random(seed + 1)
         self.log: list[KeyValue] = []
-        self.proposed_at: list[float] = []  # by revision: when the change was proposed
-        self.disturbed: set[str] = set()  # followers whose relay, zone, region or process was taken away
+        self.proposed_at: list[float] = []  # by revision: time at which the change was proposed
+        self.disturbed: set[str] = set()  # names of followers whose relay, zone, region or process is lost
         self.measured = FleetMeasurements()
         self.voters = [self._voter(number) for number in range(plan.voters)]
         self.relays: dict[str, Relay] = {}
         self.followers: dict[str, Follower] = {}
-        self._seen: dict[str, int] = {}  # the last revision of a follower's process
+        self._seen: dict[str, int] = {}  # by follower: the last revision of its process
         for _ in range(plan.keys):
             self._append(len(self.log))
         for voter in self.voters:
             self._catch_up(voter, len(self.log), 0.0)
-        self._relays_listed = self._relay_upstreams()
-        for upstream in self._relays_listed:
+        self._upstreams = self._relay_upstreams()
+        for upstream in self._upstreams:
             self.start_relay(upstream.name)
         self.network.at(0.0, self._heartbeat)
-        self.network.at(0.5, self._watch_over)
+        self.network.at(0.5, self._sample_relays)
 
     # Processes.
 
     def start_relay(self, name: str) -> None:
-        """Start a relay, or start it again with nothing."""
+        """Start a relay without a state, also again after its end."""
         number = int(name.removeprefix("relay"))
         upstreams = [Upstream(voter.host.name, "", voter.host.location, tier=0) for voter in self.voters]
         settings = RelaySettings(server=self.plan.server, follower=self.plan.follower)
@@ -105,11 +105,9 @@
         host.done()
 
     def start_follower(self, number: int) -> None:
-        """Start a follower, or start it again with nothing."""
+        """Start a follower without a state, also again after its end."""
         name = f"member{number}"
-        follower = Follower(
-            name, self.plan.location(number), self._relays_listed, self.plan.follower, self.rng
-        )
+        follower = Follower(name, self.plan.location(number), self._upstreams, self.plan.follower, self.rng)
         self.followers[name] = follower
         self._seen[name] = 0
         host = follower_machine(self.network, follower, self._on_advance)
@@ -117,20 +115,20 @@
         host.done()
 
     def restart_follower(self, number: int) -> None:
-        """End a follower's process and start it anew."""
+        """End a follower's process and start it again without a state."""
         self.network.hosts[f"member{number}"].die(closes_streams=True)
         self.start_follower(number)
 
     def stop(self, name: str, closes_streams: bool = True) -> None:
-        """End a process: ``closes_streams`` if its machine still runs."""
+        """End a process; ``closes_streams`` if its machine still runs."""
         self.network.hosts[name].die(closes_streams)
 
-    # The log.
+    # Log.
 
     def change(self, keys: int = 1) -> None:
-        """Ask for changes of so many keys now; they are in force at the leader a little later."""
+        """Propose changes of ``keys`` keys now; they are in force at the leader after the commit delay."""
         first = len(self.log)
-        self.network.at(self.network.now + COMMIT_DELAY_S, lambda: self._spread(first + keys))
+        self.network.at(self.network.now + COMMIT_DELAY_S, lambda: self._replicate(first + keys))
         for _ in range(keys):
             self._append(self.rng.randrange(self.plan.keys))
 
@@ -140,8 +138,8 @@
         self.log.append(KeyValue(f"team/{key}/limit", None if deleted else value, len(self.log) + 1))
         self.proposed_at.append(self.network.now)
 
-    def _spread(self, revision: int) -> None:
-        """Let the leader apply the log and tell the other voters."""
+    def _replicate(self, revision: int) -> None:
+        """Apply the log at the leader now, and at the other voters after their message delay."""
         now = self.network.now
         leader = self.voters[0]
         self._catch_up(leader, revision, now)
@@ -150,7 +148,7 @@
             self.network.at(now + delay, lambda to=voter: self._catch_up(to, revision, now))  # type: ignore[misc]
 
     def _heartbeat(self) -> None:
-        self._spread(self.voters[0].store.revision)
+        self._replicate(self.voters[0].store.revision)
         self.network.at(self.network.now + HEARTBEAT_S, self._heartbeat)
 
     def _catch_up(self, voter: SimulatedVoter, revision: int, sent_at: float) -> None:
@@ -163,32 +161,32 @@
         voter.server.confirm(now, now - sent_at)
         voter.host.done()
 
-    # What is measured.
+    # Measurements.
 
     def _on_advance(self, host: SimulatedMachine, effect: StateAdvanced) -> None:
         name, now = host.name, self.network.now
         if self.network.hosts[name] is not host:
             return
-        seen = self._seen[name]
-        if effect.revision <= seen:
-            self.measured.broken.append(f"{name} went from {seen} to {effect.revision}")
-        if seen:  # its first state is no measure of a change's time
-            times = [now - proposed for proposed in self.proposed_at[seen : effect.revision]]
+        last_revision = self._seen[name]
+        if effect.revision <= last_revision:
+            self.measured.broken.append(f"{name} went from {last_revision} to {effect.revision}")
+        if last_revision:  # the first state after a start does not measure the propagation of a change
+            times = [now - proposed for proposed in self.proposed_at[last_revision : effect.revision]]
             if name in self.disturbed:
                 self.measured.times_disturbed += times
             else:
                 self.measured.times_to_force += times
         self._seen[name] = effect.revision
 
-    def _watch_over(self) -> None:
+    def _sample_relays(self) -> None:
         second = int(self.network.now)
         for name, relay in self.relays.items():
             self.measured.most_watches = max(self.measured.most_watches, relay.server.watches)
             self.measured.admissions[name, second] = relay.server.counters.admitted
-        self.network.at(self.network.now + 0.5, self._watch_over)
+        self.network.at(self.network.now + 0.5, self._sample_relays)
 
     def differing(self) -> list[str]:
-        """Return the followers that run and hold another state than the log's."""
+        """Return the running followers whose state differs from the log's."""
         state: dict[str, KeyValue] = {}
         for entry in self.log:
             if entry.value is None:
@@ -203,13 +201,13 @@
         ]
 
     def force_status(self, revision: int) -> ForceStatus:
-        """Return the status from the summaries of all voters."""
+        """Return the force status of ``revision`` from the summaries of all voters."""
         now = self.network.now
         summaries = [voter.server.summary(now) for voter in self.voters]
         return force_status(merge(summaries, 8, 16), revision, expected=len(self.followers))
 
     def disturb(self, chosen: Callable[[Follower], bool]) -> None:
-        """Count these followers' times apart from now on."""
+        """Measure the times of the chosen followers separately from now on."""
         self.disturbed |= {name for name, follower in self.followers.items() if chosen(follower)}
 
     def alive(self) -> int:
@@ -225,7 +223,7 @@
         )
 
     def watching(self, relay: str) -> int:
-        """Return how many followers hold, or believe that they hold, a watch at a relay."""
+        """Return how many followers hold a watch at a relay; one whose stream silently ended counts too."""
         upstreams = (follower.upstream for follower in self.followers.values())
         return sum(upstream is not None and upstream.name == relay for upstream in upstreams)
 
--- a/merlinbay/control/fanout/simulated_machine.py
+++ b/merlinbay/control/fanout/simulated_machine.py
@@ -1,4 +1,4 @@
-"""A process in virtual time: its core's effects become messages on simulated streams."""
+"""A process in virtual time. It calls its core for events and ticks, and sends its effects as messages."""
 
 from __future__ import annotations
 
@@ -24,45 +24,45 @@
 
 
 class TimedCore(Protocol):
-    """What a simulated process runs."""
+    """The core that a simulated process runs: a follower, relay or watch server."""
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run what is due."""
 
     def next_deadline(self) -> float:
         """Return when ``tick`` is due."""
 
     def take_effects(self) -> Sequence[RelayEffect]:
-        """Return what is to be done, once."""
+        """Return the effects since the last call."""
 
 
 class WatchingCore(Protocol):
-    """The calls about the streams of a core's own attempts: of a follower or relay."""
+    """The calls for the streams of a core's own attempts; a follower or relay has them."""
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt is open."""
+        """Process that the stream of an attempt is open."""
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
-        """Take a frame from upstream."""
+        """Process a frame from upstream."""
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt has ended or could not be opened."""
+        """Record that the stream of an attempt has ended or could not be opened."""
 
 
 class ServingCore(Protocol):
-    """The calls about the streams that a core serves: of a relay or watch server."""
+    """The calls for the streams that a core serves; a relay or watch server has them."""
 
     def opened(self, connection: int, now: float) -> None:
-        """Take a new stream."""
+        """Register a new stream."""
 
     def received(self, connection: int, frame: bytes, now: float) -> None:
-        """Take a frame from downstream."""
+        """Process a frame from downstream."""
 
     def written(self, connection: int, size: int, now: float) -> None:
-        """Take it that a frame was written."""
+        """Record that a frame was written."""
 
     def closed(self, connection: int, now: float) -> None:
-        """Take it that a stream has ended."""
+        """Record that a stream has ended."""
 
 
 class SimulatedStream:
@@ -76,11 +76,11 @@
         self.number, self.client, self.attempt, self.server = number, client, attempt, server
         self.delay = delay
         self.open = True
-        self.up_free = self.down_free = 0.0  # when the last message each way arrives: order is kept
+        self.up_free = self.down_free = 0.0  # arrival of the last message each way, so that order is kept
 
 
 class SimulatedMachine:
-    """A process at a location: ticks its core when due, and carries out its effects."""
+    """A process at a location. Ticks its core when due, and carries out its effects."""
 
     def __init__(
         self,
@@ -94,10 +94,10 @@
     ) -> None:
         self.network, self.name, self.location, self.core = network, name, location, core
         self.alive = True
-        self.refuses = True  # after its end: connecting to it fails at once, since its system still runs
+        self.refuses = True  # connecting to it after its end fails at once, since its system still runs
         self._up, self._down, self._on_advance = up, down, on_advance
-        self._attempts: dict[int, SimulatedStream] = {}  # own ones
-        self._served: dict[int, SimulatedStream] = {}  # those of others, by number
+        self._attempts: dict[int, SimulatedStream] = {}  # streams of its own attempts, by attempt
+        self._served: dict[int, SimulatedStream] = {}  # streams that it serves, by number
         self._timer = math.inf
         network.hosts[name] = self
 
@@ -111,12 +111,12 @@
             self.network.at(max(deadline, self.network.now), lambda: self._wake(deadline))
 
     def die(self, closes_streams: bool) -> None:
-        """End at once. ``closes_streams``: its system closes the streams; otherwise they stay silent."""
+        """End at once. If ``closes_streams``, its system closes the streams; otherwise they stay silent."""
         self.alive = False
         self.refuses = closes_streams
         for stream in [*self._attempts.values(), *self._served.values()]:
             if closes_streams:
-                self.network.at(self.network.now + stream.delay, lambda ended=stream: _hang_up(ended))  # type: ignore[misc]
+                self.network.at(self.network.now + stream.delay, lambda ended=stream: _notify_ended(ended))  # type: ignore[misc]
 
     def _wake(self, timer: float) -> None:
         if timer != self._timer or not self.alive:
@@ -137,7 +137,7 @@
             case CloseUpstream(attempt):
                 self._close(self._attempts.pop(attempt, None), after_frames=True)
             case CloseDownstream(connection, reason):
-                orderly = reason is not GoodbyeReason.SLOW  # what is queued to a slow client is lost
+                orderly = reason is not GoodbyeReason.SLOW  # frames queued for a slow client are lost
                 self._close(self._served.pop(connection, None), orderly)
             case StateAdvanced() if self._on_advance is not None:
                 self._on_advance(self, effect)
@@ -155,7 +155,7 @@
         if stream.attempt not in self._attempts:
             return
         if not stream.server.alive and stream.server.refuses:
-            _hang_up(stream)
+            _notify_ended(stream)
         elif self.network.reachable(self, stream.server):
             stream.server._opened(stream)
             assert self._up is not None
@@ -172,9 +172,9 @@
         stream = self._attempts.get(attempt)
         if stream is not None:
             stream.up_free = self.network.arrival(stream.delay, stream.up_free)
-            self.network.at(stream.up_free, lambda: stream.server._from_below(stream, frame))
+            self.network.at(stream.up_free, lambda: stream.server._receive_up(stream, frame))
 
-    def _from_below(self, stream: SimulatedStream, frame: bytes) -> None:
+    def _receive_up(self, stream: SimulatedStream, frame: bytes) -> None:
         if stream.number in self._served and self.network.reachable(stream.client, self):
             assert self._down is not None
             self._down.received(stream.number, frame, self.network.now)
@@ -184,9 +184,9 @@
         stream = self._served.get(number)
         if stream is not None:
             stream.down_free = self.network.arrival(stream.delay, stream.down_free)
-            self.network.at(stream.down_free, lambda: stream.client._from_above(stream, frame))
+            self.network.at(stream.down_free, lambda: stream.client._receive_down(stream, frame))
 
-    def _from_above(self, stream: SimulatedStream, frame: bytes) -> None:
+    def _receive_down(self, stream: SimulatedStream, frame: bytes) -> None:
         server = stream.server
         if not self.network.reachable(server, self) or self.name in self.network.slow:
             return
@@ -200,13 +200,13 @@
             server.done()
 
     def _close(self, stream: SimulatedStream | None, after_frames: bool) -> None:
-        """End a stream; its other side is notified if it can be reached then."""
+        """Close a stream; the other side is notified if it can be reached at that time."""
         if stream is None:
             return
         moment = self.network.now + stream.delay
         if after_frames:
             moment = max(moment, stream.up_free, stream.down_free)
-        self.network.at(moment, lambda: _hang_up(stream))
+        self.network.at(moment, lambda: _notify_ended(stream))
 
     def _ended(self, stream: SimulatedStream) -> None:
         now = self.network.now
@@ -219,8 +219,8 @@
         self.done()
 
 
-def _hang_up(stream: SimulatedStream) -> None:
-    """Notify both sides that run, unless their regions are cut from each other."""
+def _notify_ended(stream: SimulatedStream) -> None:
+    """Notify both sides that run of the stream's end, unless their regions are cut off from each other."""
     network = stream.client.network
     regions = {stream.client.location.region, stream.server.location.region}
     if len(regions) > 1 and regions & network.cut_regions:
--- a/merlinbay/control/fanout/simulated_source.py
+++ b/merlinbay/control/fanout/simulated_source.py
@@ -1,4 +1,4 @@
-"""The store of a simulated voter: a log that is applied up to some revision."""
+"""The store of a simulated voter: the state after the log has been applied up to some revision."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SourceStore:
-    """The state of a voter, which has applied the log up to some revision."""
+    """The state of a voter that has applied the log up to some revision."""
 
     def __init__(self, kept_changes: int) -> None:
         self.values: dict[str, KeyValue] = {}
@@ -19,7 +19,7 @@
         return self.changes.revision
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
+        """Return the changes after ``revision``; None if they were compacted or it lies in the future."""
         return self.changes.after(revision)
 
     def snapshot(self) -> StateSnapshot:
@@ -27,7 +27,7 @@
         return StateSnapshot(self.revision, tuple(self.values.values()))
 
     def restore(self, other: SourceStore) -> None:
-        """Take the state of another store, as an operator's reset does."""
+        """Replace the state by that of another store, as an operator's reset does."""
         self.values, self.changes = other.values, other.changes
 
     def apply(self, entry: KeyValue) -> None:
--- a/merlinbay/control/fanout/status.py
+++ b/merlinbay/control/fanout/status.py
@@ -12,7 +12,7 @@
 
 
 class ForceStatus(msgspec.Struct, frozen=True):
-    """How many followers have ``revision`` in force by their last reports: never too many, perhaps too few."""
+    """How many followers last reported ``revision`` as in force; may be too low, but is never too high."""
 
     revision: int
     followers: int  # followers that hold a watch at this server or at a relay below it
