--- a/merlinbay/control/fanout/downstream_watch.py
+++ b/merlinbay/control/fanout/downstream_watch.py
@@ -87,7 +87,7 @@
         self.wants_snapshot = False
 
     def has_room(self, messages: int, size: int) -> bool:
-        """Return whether the queue has room for one more frame; an empty queue takes any size."""
+        """Return whether the queue has room for one more frame; an empty queue accepts any size."""
         return self.unwritten_messages < messages and self.unwritten_bytes < size
 
     def queued(self, size: int, now: float) -> None:
--- a/merlinbay/control/fanout/follower.py
+++ b/merlinbay/control/fanout/follower.py
@@ -223,7 +223,7 @@
         )
 
     def _process_rejection(self, watch: WatchAttempt, message: WatchRejected | Goodbye, now: float) -> None:
-        """End a stream whose upstream has rejected the watch or said goodbye."""
+        """End a stream whose upstream has rejected the watch or sent ``Goodbye``."""
         self._watches.closed_by_server(watch)
         settings = self.settings
         if isinstance(message, Goodbye):
--- a/merlinbay/control/fanout/replica.py
+++ b/merlinbay/control/fanout/replica.py
@@ -21,14 +21,14 @@
 
 
 class Replica:
-    """The state by generation and revision. Within a generation the revision never goes back."""
+    """The state by generation and revision. Within a generation the revision never decreases."""
 
     __slots__ = ("_current_at", "generation", "state")
 
     def __init__(self, generation: Generation, saved: StateSnapshot | None) -> None:
         self.generation = generation if saved else NO_GENERATION
         self.state = ReplicaState(saved)
-        self._current_at = -math.inf  # when the state was known to be the latest
+        self._current_at = -math.inf  # time at which the state was known to be the latest
 
     def acceptable(self, generation: Generation) -> bool:
         """Return whether state of that generation is accepted: the same one, or a later one after a reset."""
--- a/merlinbay/control/fanout/watch_server.py
+++ b/merlinbay/control/fanout/watch_server.py
@@ -1,8 +1,8 @@
 """The serving side of watches, for voters and relays alike.
 
 A host calls ``WatchServer`` for each event of a stream, for each change of the store and for each due tick,
-and carries out its effects. Streams that are malformed, silent or too slow are closed alone; the other
-watches are not affected.
+and carries out its effects. A stream that is silent, too slow or sends a malformed message is closed; the
+other watches are not affected.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
             self._end(downstream, GoodbyeReason.PROTOCOL, now)
 
     def written(self, connection: int, size: int, now: float) -> None:
-        """Record that a frame of ``size`` bytes was written, and queue what now has room."""
+        """Record that a frame of ``size`` bytes was written, and queue further frames if there is room."""
         downstream = self._downstreams.get(connection)
         if downstream is None:
             return
