--- a/merlinbay/control/fanout/frames.py
+++ b/merlinbay/control/fanout/frames.py
@@ -46,7 +46,7 @@
         self._snapshot = None
 
     def delta(self, revision: int, staleness_ms: int, now: float) -> EncodedUpdate | None:
-        """Return the frames from ``revision`` to the store's revision; None if those were compacted."""
+        """Return the frames from ``revision`` to the store's revision; None if the changes were compacted."""
         if self._deltas_revision != self._store.revision or now - self._deltas_at > self.lifetime:
             self._deltas.clear()
             self._deltas_revision, self._deltas_at = self._store.revision, now
--- a/merlinbay/control/fanout/relay.py
+++ b/merlinbay/control/fanout/relay.py
@@ -108,7 +108,7 @@
     # Upstream.
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Process that the stream of an attempt is open."""
+        """Handle the opening of an attempt's stream."""
         self.follower.upstream_connected(attempt, now)
         self._exchange_effects(now)
 
@@ -118,7 +118,7 @@
         self._exchange_effects(now)
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Process that the stream of an attempt has ended or could not be opened."""
+        """Record that the stream of an attempt has ended or could not be opened."""
         self.follower.upstream_closed(attempt, now)
         self._exchange_effects(now)
 
--- a/merlinbay/control/fanout/simulated_machine.py
+++ b/merlinbay/control/fanout/simulated_machine.py
@@ -40,7 +40,7 @@
     """The calls for the streams of a core's own attempts; a follower or relay has them."""
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Process that the stream of an attempt is open."""
+        """Handle the opening of an attempt's stream."""
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
         """Process a frame from upstream."""
@@ -172,9 +172,9 @@
         stream = self._attempts.get(attempt)
         if stream is not None:
             stream.up_free = self.network.arrival(stream.delay, stream.up_free)
-            self.network.at(stream.up_free, lambda: stream.server._receive_up(stream, frame))
+            self.network.at(stream.up_free, lambda: stream.server._receive_from_downstream(stream, frame))
 
-    def _receive_up(self, stream: SimulatedStream, frame: bytes) -> None:
+    def _receive_from_downstream(self, stream: SimulatedStream, frame: bytes) -> None:
         if stream.number in self._served and self.network.reachable(stream.client, self):
             assert self._down is not None
             self._down.received(stream.number, frame, self.network.now)
@@ -184,9 +184,9 @@
         stream = self._served.get(number)
         if stream is not None:
             stream.down_free = self.network.arrival(stream.delay, stream.down_free)
-            self.network.at(stream.down_free, lambda: stream.client._receive_down(stream, frame))
+            self.network.at(stream.down_free, lambda: stream.client._receive_from_upstream(stream, frame))
 
-    def _receive_down(self, stream: SimulatedStream, frame: bytes) -> None:
+    def _receive_from_upstream(self, stream: SimulatedStream, frame: bytes) -> None:
         server = stream.server
         if not self.network.reachable(server, self) or self.name in self.network.slow:
             return
--- a/merlinbay/control/fanout/watch_sender.py
+++ b/merlinbay/control/fanout/watch_sender.py
@@ -24,7 +24,7 @@
 
 
 class WatchSender:
-    """Queues frames for watches, and counts them."""
+    """Queues frames for watches and counts the frames."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
             self.send(downstream, self.keepalive(now), now)
 
     def send_accepted(self, downstream: DownstreamWatch, generation: Generation, now: float) -> None:
-        """Send that the watch is accepted."""
+        """Queue the acceptance of a watch."""
         staleness_ms = milliseconds(self._staleness(now))
         self.send(downstream, encode(WatchAccepted(generation, self._store.revision, staleness_ms)), now)
 
@@ -84,13 +84,13 @@
         others: tuple[str, ...],
         now: float,
     ) -> None:
-        """Send that the watch is rejected; ``retry_after`` is in seconds."""
+        """Queue the rejection of a watch; ``retry_after`` is in seconds."""
         self.send(downstream, encode(WatchRejected(reason, milliseconds(retry_after), others)), now)
 
     def send_goodbye(
         self, downstream: DownstreamWatch, reason: GoodbyeReason, others: tuple[str, ...], now: float
     ) -> None:
-        """Send the last message of a stream."""
+        """Queue the last message of a stream."""
         self.send(downstream, encode(Goodbye(reason, others)), now)
 
     def keepalive(self, now: float) -> bytes:
--- a/merlinbay/control/fanout/watch_server.py
+++ b/merlinbay/control/fanout/watch_server.py
@@ -53,7 +53,7 @@
         now: float,
         others: Iterable[str] = (),
     ) -> None:
-        """Serve ``store``; rejected watches are told ``others``, the names of other upstreams."""
+        """Serve ``store``; rejections name ``others``, the upstreams to try instead."""
         self.store, self.generation, self.settings = store, generation, settings
         self.others = tuple(others)[:MAX_NAMES]
         self.counters = ServerCounters()
@@ -126,7 +126,7 @@
     # Served state.
 
     def advanced(self, now: float) -> None:
-        """Plan the sending of the store's new revision."""
+        """Schedule the sending of the store's new revision to all watches."""
         self._flush_at = min(self._flush_at, max(now, self._flushed_at + self.settings.coalesce))
 
     def confirm(self, now: float, staleness: float = 0.0) -> None:
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -523,7 +523,7 @@
         max_queued
         <= SERVER.queue_bytes + 2 * SERVER.chunk_bytes
         < 600_000
-        < sum(len(effect.frame) for effect in taken)
+        < sum(len(part.frame) for part in taken)
     )
     assert server.frames.snapshots_encoded == 1
 
@@ -625,7 +625,7 @@
     for message in (SnapshotMessage(3, (WireEntry("a", b"", 3),)), KeepAlive(3, 0)):
         relay.upstream_received(connect.attempt, messages.encode(message), 1.0)
     Watcher(relay.server, 2).watch(0, now=2.0)
-    assert [type(message) for message in sent(relay.server)] == [WatchAccepted, SnapshotMessage, KeepAlive]
+    assert [type(reply) for reply in sent(relay.server)] == [WatchAccepted, SnapshotMessage, KeepAlive]
 
 
 # The follower's watch.
@@ -807,7 +807,7 @@
     relay, connect = relay_watching()
     deliver_to_relay(relay, connect, delta(3, 4))
     Watcher(relay.server, 1).watch(3)
-    assert [type(message) for message in sent(relay.server)] == [WatchAccepted, DeltaMessage]
+    assert [type(reply) for reply in sent(relay.server)] == [WatchAccepted, DeltaMessage]
     deliver_to_relay(relay, connect, SnapshotMessage(9, ()), now=2.0)
     relay.server.tick(2.0)
     Watcher(relay.server, 2).watch(4)
@@ -821,7 +821,7 @@
     frames = [effect.frame for effect in relay.take_effects() if isinstance(effect, SendDownstream)]
     replaced = [messages.decode_from_server(frame) for frame in frames]
     assert replaced[:2] == [WatchAccepted(Generation(2, "restored"), 1, messages.NEVER_MS)] * 2
-    assert [type(message) for message in replaced[2:]] == [SnapshotMessage, KeepAlive] * 2
+    assert [type(reply) for reply in replaced[2:]] == [SnapshotMessage, KeepAlive] * 2
 
 
 def test_a_relay_sends_its_summary_upstream_at_a_bounded_rate() -> None:
