--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -331,7 +331,7 @@
 
 
 def test_a_delta_after_a_reset_is_not_applied_to_the_state_before_it() -> None:
-    """The revisions of a delta may fit by chance to the state of the former generation."""
+    """Its revisions may continue the state of the former generation by chance, so the stream is closed."""
     member = follower(saved=STATE)
     connect = watching(member, 3)
     effects = deliver(member, connect, WatchAccepted(Generation(2, "restored"), 5, 0), delta(3, 5))
@@ -373,7 +373,7 @@
 
 
 def test_data_before_acceptance_and_an_oversized_snapshot_are_rejected() -> None:
-    """An upstream must not replace the state unasked, or fill the memory with an unbounded snapshot."""
+    """An upstream must not replace the state before the watch is accepted, or fill the memory."""
     member = follower(saved=STATE)
     early = begin_attempt(member)
     assert CloseUpstream(early.attempt) in deliver(member, early, SnapshotMessage(9, ()))
@@ -583,7 +583,7 @@
 
 
 def test_a_draining_server_ends_all_watches_and_accepts_none() -> None:
-    """Its goodbye names other upstreams, which the followers try first."""
+    """Followers must not wait for a server that ends, so its goodbye names the upstreams to try first."""
     server = WatchServer(source(3), GENERATION, SERVER, Random(1), 0.0, ["third"])
     Watcher(server, 1).watch(3)
     sent(server)
@@ -898,7 +898,7 @@
 
 
 def test_recent_changes_are_bounded_and_make_deltas_from_their_floor_on() -> None:
-    """Deletions count as changes; a change larger than the bound leaves no delta over it."""
+    """A delta that lacks changes would corrupt a state; deletions and oversized changes count as well."""
     changes = RecentChanges(max_changes=4, max_bytes=1000)
     for number in range(1, 10):
         changes.add([KeyValue(f"k{number % 5}", None if number == 8 else b"v", number)], number)
@@ -933,7 +933,7 @@
 
 
 def test_a_burst_and_a_change_a_second_are_in_force_everywhere_in_time() -> None:
-    """The summaries show it as well, and a follower receives at most about one message per change."""
+    """Changes must not arrive late or cost more messages than changes; the summaries show them in force."""
     run = run_scenario("quiet", 200, seed=1)
     assert run.times is not None and run.times.samples == 200 * 161
     follower_traffic = run.traffic["follower"].most
