--- a/merlinbay/decision/attempt_timers.py
+++ b/merlinbay/decision/attempt_timers.py
@@ -41,7 +41,10 @@
             self._context.emit(SetTimer(delay, TIMER_TOKEN))
 
     def set_hedge_check(self, request: TrackedRequest) -> None:
-        """Schedule a check of the latest attempt if starts are reported and the request may be hedged."""
+        """Schedule a check of the latest attempt if starts are reported and the request may be hedged.
+
+        The delay grows with the number of attempts.
+        """
         settings = self._context.settings
         if (
             settings.tells_start
--- a/merlinbay/decision/capacity_learning.py
+++ b/merlinbay/decision/capacity_learning.py
@@ -43,8 +43,9 @@
         """Learn from a report of free slots and, if it shows them, of held slots."""
         capacity = endpoint.kind.capacity
         if held is not None and free >= max(held, 1.0):
-            # The endpoint is at least half empty, so nothing is queued and the two add up to all slots. If
-            # only empty endpoints counted, too few slots would be learned where none is ever empty.
+            # The endpoint is at least half empty, so nothing is queued and the two counts, free and held, add
+            # up to all slots. If only empty endpoints counted, too few slots would be learned where none is
+            # ever empty.
             capacity.half_empty_reports += 1
             weight = max(REPORT_WEIGHT, 1 / capacity.half_empty_reports)
             capacity.slots += (free + held - capacity.slots) * weight
@@ -104,13 +105,17 @@
     # Learning where no report shows slots.
 
     def learn_from_start(self, endpoint: Endpoint, was_late: bool, our_running: float) -> None:
-        """Learn from the start of a request; ``our_running``: slots of our requests that ran before it."""
+        """Learn from the start of a request.
+
+        ``was_late``: whether it came so late that no slot was free; ``our_running``: slots of our requests
+        that ran before it.
+        """
         if endpoint.kind.capacity.slots_are_reported:
             return
         # With many balancers our requests alone never fill an endpoint, so our running slots are multiplied
         # by the number of balancers. The share of late starts shows what part of the slots they fill, by
         # Sakasegawa's approximation of the probability that a request waits in a queue. The number of
-        # requests in flight cannot show it, since it includes queued requests.
+        # requests in flight cannot show that part, since it includes queued requests.
         self.starts += 1
         weight = max(START_WEIGHT, 1 / self.starts)
         self.late_start_share += (was_late - self.late_start_share) * weight
@@ -126,12 +131,14 @@
         capacity.most_running_slots = max(capacity.most_running_slots, endpoint.in_flight.running_slots)
         relative = capacity.relative_slots * (1 + START_WEIGHT * (self.late_start_share - was_late))
         capacity.relative_slots = min(max(relative, RELATIVE_SLOTS_LIMITS[0]), RELATIVE_SLOTS_LIMITS[1])
-        for each in (kind.capacity for kind in self._endpoints.kinds.values()):
-            if not each.slots_are_reported:
-                each.slots = max(each.most_running_slots, self.unreported_slots * each.relative_slots)
+        for learned in (kind.capacity for kind in self._endpoints.kinds.values()):
+            if not learned.slots_are_reported:
+                learned.slots = max(
+                    learned.most_running_slots, self.unreported_slots * learned.relative_slots
+                )
 
     def learn_from_rejection(self, endpoint: Endpoint, held: float) -> None:
-        """Learn from a rejection, if nothing else shows slots; ``held``: slots taken or queued for there."""
+        """Learn from a rejection if nothing else shows slots; ``held``: slots in use or waited for there."""
         capacity = endpoint.kind.capacity
         if not capacity.slots_are_reported and not capacity.most_running_slots:
             capacity.slots = max(capacity.slots, held * (1 - capacity.queued_share))
--- a/merlinbay/decision/costs.py
+++ b/merlinbay/decision/costs.py
@@ -67,7 +67,7 @@
         """
         spec, run_us, now_us = request.class_state.spec, run_us or request.run_time_us, self._context.now_us
         if not request.class_state.completed:
-            # A class without completed runs has its latency objective as run time. By that every request
+            # A class without completed runs has its latency objective as run time. With it every request
             # would be late from the start, so the run time is limited.
             run_us = min(run_us, UNSEEN_RUN_SHARE * spec.aim_us)
         in_time_us = request.arrived_at_us + spec.aim_us + (spec.stretch - 1) * run_us - now_us
@@ -168,15 +168,15 @@
     def loss_without_check(self, kind: Kind) -> float:
         """Return the mean loss of a request that is placed without a health check.
 
-        By stale estimates some requests go to endpoints without free slots, and wait for a departure there.
+        Where estimates are stale, some requests go to endpoints without free slots and wait for a departure.
         """
         chance = chance_that_wait_ends(self._load.departure_interval_us(kind), self._offered.mean_work_us)
         return self._reports.stale_estimate_rate * (1 - chance)
 
     def interval_us(self, kind: Kind, dispatches_per_us: float) -> float:
-        """Return the interval of health checks for an endpoint that gets so many dispatches; infinity: none.
+        """Return the interval of health checks for an endpoint that gets so many dispatches.
 
-        What a report shows is outdated after about a mean run time.
+        Infinity means that no health check pays. What a report shows is outdated after about a mean run time.
         """
         price, loss = self.check_cost(kind), self.loss_without_check(kind) * dispatches_per_us
         mean_us = self._offered.mean_work_us
--- a/merlinbay/decision/discovery_polling.py
+++ b/merlinbay/decision/discovery_polling.py
@@ -82,7 +82,7 @@
     ) -> list[Action]:
         """Plan the next poll after one that failed, or after a watch that ended or fell silent.
 
-        The time to poll runs from the last answer and does not start again with each failure. A poll that
+        The deadline of the poll counts from the last answer and is not set anew by a failure. A poll that
         timed out says nothing about how many balancers poll, so it does not count as one that has queued.
         """
         if self.is_polling:
@@ -118,6 +118,7 @@
         """
         if not self.is_polling:
             self.lease.watch_broke(now_us, answered_at_us)
+        # If a poll is planned beside an unanswered one, the unanswered one was sent to the former discovery.
         self.is_polling = self.is_polling and self.next_poll_at_us < 0
 
     def former_poll_answered(self, now_us: int) -> None:
@@ -186,7 +187,7 @@
         return True
 
     def _plan_poll(self, now_us: int, width_us: float) -> list[Action]:
-        """Plan the next poll at this balancer's place within a width that the lease bounds."""
+        """Plan the next poll at this balancer's place in the time over which the fleet's polls are spread."""
         # Spreads the polls of the fleet, because discovery also works through polls that have timed out and
         # notifies nobody meanwhile. Places by number, jittered within a place, are even, while random draws
         # would clump. The places change with each plan, or balancers with an early place would poll a failing
--- a/merlinbay/decision/eligibility.py
+++ b/merlinbay/decision/eligibility.py
@@ -5,7 +5,8 @@
 to an endpoint without calling ``eligible`` is faulty. No attempt begins while the endpoint list is overdue.
 
 ``may_begin`` repeats the check right before the first byte, because a dial may have taken long since the
-decision. ``may_reject`` is called before a rejection, after which the client sends the request again.
+decision; an attempt that fails it is not sent. ``may_reject`` is called before a rejection,
+after which the client sends the request again.
 """
 
 from __future__ import annotations
@@ -48,8 +49,9 @@
 
     def may_dispatch(self, request: TrackedRequest) -> bool:
         """Return whether the rules of its class permit another attempt now, at whichever endpoint."""
-        # Does not dispatch by an overdue list: any endpoint on it may be draining, and the node counts as
-        # notified of that. Polls are planned before the deadline, but their answers may not arrive by then.
+        # Dispatches nothing while the list is overdue: any endpoint on it may be draining, and the node
+        # counts as notified of that even if no notification has arrived. Polls are planned before the
+        # deadline, but their answers may not arrive by then.
         now_us = self._context.now_us
         if not self._lease.is_usable(now_us) or now_us >= request.deadline_at_us:
             return False
@@ -101,7 +103,7 @@
         ]
 
     def scope_of_repeat(self, request: TrackedRequest) -> list[Endpoint] | None:
-        """Return the usable endpoints that drop a repeat of the request, or None if any may take it."""
+        """Return the usable endpoints that drop a repeat, or None if no scope limits the choice."""
         spec, unresolved = request.class_state.spec, request.first_that_may_have_run
         if unresolved is None or request.idempotency is not Idempotency.BY_KEY or spec.group == "all":
             return None
--- a/merlinbay/decision/endpoint_state.py
+++ b/merlinbay/decision/endpoint_state.py
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, eq=False)
 class HealthCheckState:
-    """Health checks of an endpoint that no request waits for; written by ``HealthChecks``."""
+    """An endpoint's health checks for which no request waits; written by ``HealthChecks``."""
 
     health_check_at_us: int = NEVER_US  # time when the last one was sent
 
--- a/merlinbay/decision/endpoints.py
+++ b/merlinbay/decision/endpoints.py
@@ -24,7 +24,8 @@
         self.by_name: dict[str, Endpoint] = {}
         self.kinds = {name: Kind(name) for name in context.settings.kinds}
         self.usable: list[Endpoint] = []  # endpoints that are up, shuffled
-        # By index of the kind (-1: any kind), the endpoints of the own zone and those of other zones.
+        # By index of the kind (-1: any kind), the endpoints of the own zone and those of other zones. Where
+        # crossing zones has no price, all endpoints are in the first list.
         self.pools: dict[int, tuple[list[Endpoint], list[Endpoint]]] = {}
         self.by_zone: dict[str, list[Endpoint]] = {}
         self.by_cell: dict[int, list[Endpoint]] = {}
@@ -158,12 +159,12 @@
         for endpoint in self.usable:
             self.by_cell.setdefault(endpoint.cell, []).append(endpoint)
             self.by_zone.setdefault(endpoint.zone, []).append(endpoint)
-        by_price, own = settings.cross_zone_price > 0, settings.zone
+        splits_zones, own_zone = settings.cross_zone_price > 0, settings.zone
         for index, name in enumerate(["", *settings.kinds]):
             fitting = [usable for usable in self.usable if not index or usable.kind is self.kinds[name]]
             self.pools[index - 1] = (
-                [near for near in fitting if not by_price or near.zone == own],
-                [far for far in fitting if by_price and far.zone != own],
+                [near for near in fitting if not splits_zones or near.zone == own_zone],
+                [far for far in fitting if splits_zones and far.zone != own_zone],
             )
         self._on_reindex()
 
--- a/merlinbay/decision/health_checks.py
+++ b/merlinbay/decision/health_checks.py
@@ -1,8 +1,9 @@
 """Decides when endpoints are sent health checks, and which requests wait for the answers.
 
 Checks are sent only where endpoints report their load in answers to health checks and nowhere else
-(``Settings.asks_first``), and where the deployment permits them. An answer may get lost, so a request waits
-for a limited time and is then placed by the answers that have come.
+(``Settings.asks_first``), and where the deployment permits them. ``Balancer`` calls it before each first
+attempt and retry, and when a health check has ended or the wait is over. An answer may get lost, so a
+request waits for a limited time and is then placed by the answers that have come.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
         return True
 
     def _check_for(self, request: TrackedRequest) -> None:
-        """Send health checks for the request, which waits for the first endpoint that has free slots."""
+        """Send health checks for the request, which waits until an endpoint with free slots has answered."""
         for batch in self._placement.candidate_batches(request):
             chosen = self._eligibility.eligible(request, batch)[:CHECKS_PER_BATCH]
             self._context.emit_all(CheckHealth(endpoint.name) for endpoint in chosen)
--- a/merlinbay/decision/hedging.py
+++ b/merlinbay/decision/hedging.py
@@ -1,7 +1,8 @@
 """Hedges requests: sends another attempt if the first one waits too long or runs at a slow endpoint.
 
-Called when an attempt starts or resumes, which schedules a check, and when the timer of a check is due. Where
-no endpoint is better than the present one, the attempt is left alone or checked again later.
+Called when an attempt starts or resumes, which schedules a check, and when the timer of a check is due.
+``Dispatching`` schedules the check of an attempt that has not started. Where no endpoint is better than the
+present one, the attempt is left alone or checked again later.
 """
 
 from __future__ import annotations
--- a/merlinbay/decision/load_estimates.py
+++ b/merlinbay/decision/load_estimates.py
@@ -24,9 +24,11 @@
 
 UNCERTAINTY_MARGIN = 0.65  # share of the standard deviation of an unobserved count that counts as held
 MAX_PEER_REPORTS = 64  # maximum number of reports in the median of what peers hold
-PEER_REPORT_MEMORY_US = 2_000_000  # maximum age of a report that counts; a queue is gone within a second
+# Maximum age of a report that counts, since a queue is gone within a second.
+PEER_REPORT_MEMORY_US = 2_000_000
 MIN_MEAN_PEER_WEIGHT = 0.1  # minimum weight of one report in the mean of what peers hold at an endpoint
-PRIOR_REPORTS = 4  # reports that count as much as the prior: the configured balancers, or the mean load
+# Number of reports that weigh as much as the prior, which is the configured number of peers or the mean load.
+PRIOR_REPORTS = 4
 RECOUNT_INTERVAL_US = 200_000  # interval of counting all slots anew, since learned slots change meanwhile
 MIN_CAPACITY_SHARE = 0.1  # minimum share of its capacity that a warming endpoint counts with
 
@@ -140,7 +142,7 @@
     # Estimates.
 
     def peer_count(self) -> float:
-        """Return the peers' load as a multiple of ours: the configured number of peers, or less by reports.
+        """Return the peers' load as a multiple of ours: the configured number of peers, or less.
 
         The configured number is too high if we get more than our share of the traffic, or if most peers have
         died, so reports lower it. Their median is used because long queues at a few endpoints say nothing
@@ -160,7 +162,7 @@
 
     def _peer_slots(self, endpoint: Endpoint, weight: float) -> float:
         # The mean of our slots in flight is multiplied by the number of peers, not our slots at this
-        # endpoint: these are so few that a single request of ours there, multiplied, would close the gate.
+        # endpoint: these are so few that a single request of ours, multiplied, would make it look full.
         # An endpoint without reports is assumed to hold this mean, and an observation decays to it.
         load = endpoint.peer_load
         mean = (
@@ -198,7 +200,7 @@
         return slots - ours - endpoint.reserved_slots - peers - uncertainty_margin * deviation
 
     def utilization(self, kind: Kind) -> float:
-        """Return O2A's r: the offered load over the service rate."""
+        """Return r of the paper O2A (see ``admission.py``): the offered load over the service rate."""
         # A node that gets more than its share of the traffic would overestimate the fleet's load by its own
         # arrivals, so the peers' load as estimated from reports limits the result.
         own = self._offered.arrival_rate.per_us * self._offered.mean_work_us
--- a/merlinbay/decision/load_reports.py
+++ b/merlinbay/decision/load_reports.py
@@ -22,7 +22,7 @@
 RATE_WEIGHT = 0.05  # weight of one answer in the hit rate, and of one report in the stale rate
 HEALTH_CHECK_REPORT_AGE_US = 120_000  # assumed age of the load report in the answer to a health check
 UNAWAITED_REPORT_WEIGHT = 0.5  # weight of a report against the estimate, since reports are old and noisy
-FREE_MEMORY_RUNS = 1.0  # mean run times for which reported free memory counts; then others hold the memory
+FREE_MEMORY_RUNS = 1.0  # mean run times for which reported free memory counts; other requests hold it later
 
 
 class LoadReports:
@@ -41,7 +41,7 @@
         self._context, self._endpoints, self._requests = context, endpoints, requests
         self._offered, self._warm_up, self._capacity, self._load = offered, warm_up, capacity, load
         self.capacity_hit_rate = 1.0  # share of requests sent to apparently free slots that were accepted
-        self.stale_estimate_rate = 0.5  # share of reports that contradicted whether a slot was free
+        self.stale_estimate_rate = 0.5  # share of reports that contradicted the estimate of free slots
 
     def learn_capacity_hit(self, attempt: Attempt, outcome: int) -> None:
         """Learn whether an attempt that was sent to apparently free slots was accepted."""
--- a/merlinbay/decision/offered_load.py
+++ b/merlinbay/decision/offered_load.py
@@ -14,7 +14,7 @@
 from merlinbay.decision.request_state import TrackedRequest
 
 RATE_MEMORY_US = 2_000_000  # time constant of arrival rates: longer than a stall, shorter than a burst
-MIN_ARRIVALS = 20  # minimum requests in a mean; with fewer, a single request would close gates
+MIN_ARRIVALS = 20  # minimum requests in a mean; with fewer, a single request would stop admission
 MEAN_REQUEST_WEIGHT = 0.01  # minimum weight of one request in the mean request
 MIN_SLOTS = 0.01  # minimum slots that a request counts with
 MIN_PRIORITY_WEIGHT = 1e-9  # lower bound of the mean priority weight in a division
@@ -50,8 +50,8 @@
         """Count a request; return the factor by which a mean over about the last run time decays."""
         decay, rate = self.arrival_rate.add(self._context.now_us), self.arrival_rate.per_us
         self.offered_requests += 1
-        # A mean that reaches back longer than its requests last keeps gates closed or open for too long, so
-        # that admission swings.
+        # A mean that reaches back longer than its requests last keeps admission too strict or too lax for
+        # too long, so that it swings.
         span_us = max(self.mean_work_us, min(RATE_MEMORY_US, MIN_ARRIVALS / rate))
         return math.pow(decay, RATE_MEMORY_US / span_us)
 
--- a/merlinbay/decision/outlier_detection.py
+++ b/merlinbay/decision/outlier_detection.py
@@ -19,7 +19,8 @@
 EJECTION_US = 1_000_000  # duration of an ejection; it doubles with each failure in a row
 EJECTION_DOUBLINGS = 3  # maximum number of doublings, so that no endpoint is ejected for good
 TOLERATED_FAILURES = {Outcome.ERROR: 1, Outcome.RESET: 2}  # failures in a row that do not eject yet
-FAULTY_ERROR_SHARE = 0.1  # reported errors, as a share of a full endpoint's throughput, from which one ejects
+# Share of a full endpoint's throughput from which reported errors make any failure eject it.
+FAULTY_ERROR_SHARE = 0.1
 LOGGED_FAILURES = (2, 3)  # failures in a row at which an ejection is logged
 
 
@@ -58,8 +59,8 @@
         # without having to lose several requests of its own.
         settings = self._context.settings
         errors_per_s = settings.read(event.report or []).get(settings.errors_field, 0.0)
-        served_share = errors_per_s * self._offered.mean_work_us / 1e6
-        return served_share >= FAULTY_ERROR_SHARE * endpoint.kind.capacity.slots
+        error_slots = errors_per_s * self._offered.mean_work_us / 1e6
+        return error_slots >= FAULTY_ERROR_SHARE * endpoint.kind.capacity.slots
 
     def record_outcome(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Record the outcome of an attempt as an answer or a failure of its endpoint."""
@@ -92,7 +93,10 @@
             self._context.emit(LogNotice(f"ejected {endpoint.name}: {why}"))
 
     def note_health_check(self, endpoint: Endpoint, answered: bool) -> None:
-        """Eject an endpoint that does not answer a health check, for a time or until it answers one."""
+        """Eject an endpoint for a time if it does not answer a health check.
+
+        An answer ends the ejection, unless requests have failed there in a row.
+        """
         # Otherwise requests would be lost at a silent endpoint until the first of them is overdue.
         record = endpoint.failures
         if not answered:
--- a/merlinbay/decision/placement.py
+++ b/merlinbay/decision/placement.py
@@ -1,7 +1,7 @@
 """Chooses the endpoint of a request: by affinity, by free slots, by the queue limit, by the cross-zone price.
 
-It is asked at each first attempt, retry and hedge. It returns no endpoint where the request may wait at none;
-the caller then sheds the request, or leaves it with the attempts that it has.
+It is asked at each first attempt, retry and hedge. It returns None if no endpoint may be sent the
+request; the caller then sheds the request, or leaves it with the attempts that it has.
 """
 
 from __future__ import annotations
@@ -70,8 +70,9 @@
             preferred = self._eligibility.eligible(request, self._preferred(request.key, near, far))
             if preferred:
                 return [[endpoint] for endpoint in preferred]
-        # Puts recovering endpoints first: while they warm up, idle endpoints show more free slots, and nobody
-        # would try them. Warming endpoints come first while this balancer has a share of their budget left.
+        # Puts recovering endpoints first: while they warm up they show fewer free slots than idle endpoints,
+        # so nobody would try them otherwise. Warming endpoints come first while this balancer has a share of
+        # their budget left.
         warming, sample = self._slow_start.candidates(SAMPLE_SIZE), self._endpoints.sample
         return [
             self._endpoints.recovering,
@@ -90,7 +91,7 @@
         own_zone = self._context.settings.zone
         uses_checks = request.health_check_replies or request.pending_health_checks
         batches = self._health_checked(request) if uses_checks else self.candidate_batches(request)
-        queue_limits: dict[int, float] = {}  # by kind: how many requests may wait
+        queue_limits: dict[int, float] = {}  # by id() of the kind: how many requests may wait
         best, near, best_rank = None, None, (True, math.inf)
         for batch in batches:
             for endpoint in self._eligibility.eligible(request, batch):
@@ -119,10 +120,10 @@
         self, request: TrackedRequest, endpoint: Endpoint, free: float, queue_limits: dict[int, float]
     ) -> bool:
         """Return whether the queue limit admits the request. The limit is drawn once for each kind."""
-        kind = id(endpoint.kind)
-        if kind not in queue_limits:
-            queue_limits[kind] = self._admission.max_waiting(endpoint.kind, request)
-        return -free < queue_limits[kind]
+        kind_id = id(endpoint.kind)
+        if kind_id not in queue_limits:
+            queue_limits[kind_id] = self._admission.max_waiting(endpoint.kind, request)
+        return -free < queue_limits[kind_id]
 
     def _weigh_crossing(
         self, request: TrackedRequest, best: Candidate | None, near: Candidate | None
--- a/merlinbay/decision/run_times.py
+++ b/merlinbay/decision/run_times.py
@@ -19,7 +19,7 @@
 MIN_RUN_TIME_US = 1000.0  # lower bound of run times
 RUN_TIME_WEIGHT = 0.03  # minimum weight of one run time in a mean, since run times have long tails
 PACE_WEIGHT = 0.15  # weight of one request in its endpoint's pace; a few requests show a slowed machine
-PACE_MEMORY_US = 20_000_000  # time constant of forgetting a pace, as an endpoint passed over gets no requests
+PACE_MEMORY_US = 20_000_000  # time constant of forgetting a pace, since an avoided endpoint gets no requests
 SLOW_PACE = 1.9  # pace from which an endpoint is chosen last and its requests are hedged
 MIN_COMPLETED = 20  # completed requests of a class from which its run time shows that an endpoint is slow
 RATIO_LIMITS = (0.1, 10.0)  # bounds of ratios of run times
--- a/merlinbay/decision/slow_start.py
+++ b/merlinbay/decision/slow_start.py
@@ -105,7 +105,7 @@
         endpoint.slow_start.next_admission_at_us = learned.next_admission_at_us
 
     def _first_admission(self, endpoint: Endpoint) -> int:
-        """Return the time of our first admission from now on, or a lapsed time until it can be computed."""
+        """Return the time of our first admission from now on; if it cannot be computed yet, a lapsed time."""
         # A time computed from guessed run times would be far too early or too late. A lapsed time makes
         # ``may_admit`` compute it when a request asks.
         if not self._has_request_statistics():
@@ -114,10 +114,11 @@
 
     def _admission_after(self, endpoint: Endpoint, since_us: int) -> int:
         """Return the time of our first admission from ``since_us`` on."""
-        # The phase of our admissions follows from our number and the endpoint's name. So the balancers are
-        # spread evenly and do not send at once, and their order differs between endpoints. The phase does
-        # not depend on when the process started, so a restarted process does not admit again in a turn that
-        # its predecessor has used.
+        # We have one admission in each turn, the interval in which our share of the budget grows by a typical
+        # request. The phase of our admissions follows from our number and the endpoint's name. So the
+        # balancers are spread evenly and do not send at once, and their order differs between endpoints. The
+        # phase does not depend on when the process started, so a restarted process does not admit again in a
+        # turn that its predecessor has used.
         interval_us = self._typical_work_us() / self._our_share(endpoint)
         phase = self._phase(endpoint, self._context.settings.me * GOLDEN_FRACTION, salt=0)
         passed_turns = self._warm_up.cumulative_capacity_us(endpoint, since_us) / interval_us
@@ -143,7 +144,7 @@
         return (offset + zlib.crc32(endpoint.name.encode(), salt) / 2**32) % 1
 
     def _our_share(self, endpoint: Endpoint) -> float:
-        """Return our share of the work that a warming endpoint may get, as a number of its slots."""
+        """Return our share of the budget as a number of slots, as if the endpoint had its whole capacity."""
         settings, slots = self._context.settings, self._capacity.observed_slots(endpoint.kind)
         return settings.safety.tip_multiple * slots * BUDGET_SHARE / settings.balancers
 
@@ -167,7 +168,10 @@
         return max(mean_us, *run_times_us, self._oldest_attempt_age_us())
 
     def _oldest_attempt_age_us(self) -> float:
-        """Return the age of the first open attempt in the table of requests, 0 without one."""
+        """Return the age of the first open attempt in the table of requests, 0 without one.
+
+        The table is in the order in which requests were added, so this attempt is usually the oldest one.
+        """
         open_attempts = (
             attempt
             for request in self._requests.by_id.values()
--- a/merlinbay/decision/warm_up.py
+++ b/merlinbay/decision/warm_up.py
@@ -25,7 +25,7 @@
         return ready_at_us > 0 and self._context.now_us - ready_at_us < self._safety.cold_us
 
     def capacity_share(self, endpoint: Endpoint) -> float:
-        """Return the share of its capacity that an endpoint has now at least."""
+        """Return the minimum share of its capacity that an endpoint has now."""
         if not self.is_warming(endpoint):
             return 1.0
         safety, age_us = self._safety, max(0, self._context.now_us - endpoint.ready_at_us)
