--- a/merlinbay/control/simulation/checker.py
+++ b/merlinbay/control/simulation/checker.py
@@ -1,4 +1,8 @@
-"""The checks over a history. Each returns what it found broken, and none stops at another's finding."""
+"""Checks the history of a simulation run after the run has ended.
+
+Each check is a function that yields one text for each fault that it finds. All checks run over every history,
+also when an earlier one has found a fault.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +21,12 @@
 )
 from merlinbay.control.simulation.linearizability import Verdict, check_key
 
-FINAL_REASONS = ("conflict", "invalid")  # rejections that a repeat of the change cannot turn round
+FINAL_REASONS = ("conflict", "invalid")  # repeating the change cannot lead to another result
 
 
 @dataclass(frozen=True)
 class Violation:
-    """One broken promise: the name of the check, and what it saw."""
+    """A fault in a history: the name of the check that found it, and a description."""
 
     check: str
     detail: str
@@ -38,7 +42,7 @@
 
 
 def one_vote_per_term(history: History) -> Iterator[str]:
-    """Check that a voter, with its disk, votes for at most one candidate in a term."""
+    """Check that a voter votes for at most one candidate in a term, as long as it keeps its disk."""
     votes: dict[tuple[str, int], str] = {}
     for seen in history.votes:
         first = votes.setdefault((seen.voter, seen.term), seen.candidate)
@@ -47,7 +51,7 @@
 
 
 def log_matching(history: History) -> Iterator[str]:
-    """Check that entries of the same index and term are the same, and so are the terms before them."""
+    """Check that entries of the same index and term have the same content and follow the same term."""
     contents: dict[tuple[int, int], EntrySeen] = {}
     previous: dict[tuple[int, int], EntrySeen] = {}
     for seen in history.entries:
@@ -62,7 +66,7 @@
 
 
 def committed_entries_stay(history: History) -> Iterator[str]:
-    """Check that a committed entry is the same everywhere, and no voter's log ends before it again."""
+    """Check that a committed entry is the same at all voters, and that no voter's log loses it again."""
     committed: dict[int, EntrySeen] = {}
     for seen in history.entries:
         if not seen.committed:
@@ -73,17 +77,17 @@
                 f"committed entry {seen.index} is of term {first.term} at {first.voter} "
                 f"and of term {seen.term} at {seen.voter}"
             )
-    kept: dict[tuple[str, int], int] = {}
+    highest_commit: dict[tuple[str, int], int] = {}
     for log in history.logs:
-        before = kept.get((log.voter, log.disk), 0)
+        before = highest_commit.get((log.voter, log.disk), 0)
         if log.last_index < before:
             yield f"{log.voter} has committed {before} and at {log.time:.3f} its log ends at {log.last_index}"
-        kept[log.voter, log.disk] = max(before, log.commit_index)
+        highest_commit[log.voter, log.disk] = max(before, log.commit_index)
 
 
 def leader_completeness(history: History) -> Iterator[str]:
     """Check that the log of a leader reaches to the last entry committed in an earlier term."""
-    committed_by: dict[int, int] = {}  # by index, the earliest term in which a voter knew it as committed
+    committed_by: dict[int, int] = {}  # by index, the earliest term of a voter that had it committed
     for entry in history.entries:
         if entry.committed:
             before = committed_by.get(entry.index, entry.voter_term)
@@ -95,25 +99,25 @@
 
 
 def revision_names_one_state(history: History) -> Iterator[str]:
-    """Check that the keys are the same wherever a revision is seen, at a voter or a follower."""
+    """Check that all voters and followers have the same keys at the same revision."""
     first: dict[int, StateSeen] = {}
     for seen in (*history.states, *history.followers):
-        known = first.setdefault(seen.revision, seen)
-        if known.digest != seen.digest:
-            yield f"revision {seen.revision} differs between {known.place} and {seen.place}"
+        reference = first.setdefault(seen.revision, seen)
+        if reference.digest != seen.digest:
+            yield f"revision {seen.revision} differs between {reference.place} and {seen.place}"
 
 
 def commit_index_names_one_state(history: History) -> Iterator[str]:
     """Check that voters with the same commit index have the same state, ids of changes included."""
     first: dict[int, LogSeen] = {}
     for seen in history.logs:
-        known = first.setdefault(seen.commit_index, seen)
-        if known.state_digest != seen.state_digest:
-            yield f"the state at commit index {seen.commit_index} differs: {known.voter}, {seen.voter}"
+        reference = first.setdefault(seen.commit_index, seen)
+        if reference.state_digest != seen.state_digest:
+            yield f"the state at commit index {seen.commit_index} differs: {reference.voter}, {seen.voter}"
 
 
 def voters_go_forward(history: History) -> Iterator[str]:
-    """Check that what a voter has applied never goes back while it runs."""
+    """Check that the commit index of a voter never decreases while it runs."""
     latest: dict[tuple[str, int], int] = {}
     for seen in history.logs:
         before = latest.get((seen.voter, seen.start), 0)
@@ -123,7 +127,7 @@
 
 
 def followers_go_forward(history: History) -> Iterator[str]:
-    """Check that the revision at a follower never goes back."""
+    """Check that the revision at a follower never decreases."""
     latest: dict[str, int] = {}
     for seen in history.followers:
         before = latest.get(seen.place, 0)
@@ -133,12 +137,12 @@
 
 
 def acknowledged_changes_stay(history: History) -> Iterator[str]:
-    """Check that an acknowledged change is what made its revision, and that the end has not lost it."""
+    """Check that an acknowledged change made its revision, and that the final states contain it."""
     by_revision = {seen.entry.revision: seen.entry for seen in history.applied}
     for change_id, result, key, value in _acknowledged(history):
-        made = by_revision.get(result.revision)
-        if made is not None and (made.key, made.value) != (key, value):
-            yield f"{change_id} was acknowledged as revision {result.revision}, made by {made.key}"
+        entry = by_revision.get(result.revision)
+        if entry is not None and (entry.key, entry.value) != (key, value):
+            yield f"{change_id} was acknowledged as revision {result.revision}, made by {entry.key}"
         for final in history.finals:
             if final.revision < result.revision:
                 yield f"{change_id} is revision {result.revision}; {final.voter} ends at {final.revision}"
@@ -164,7 +168,7 @@
 
 
 def changes_are_applied_once(history: History) -> Iterator[str]:
-    """Check that a change has one revision: in all its answers, and among the applied entries."""
+    """Check that a change has one revision, both in all its answers and among the applied entries."""
     acknowledged: dict[str, int] = {}
     for attempt in history.attempts:
         if isinstance(attempt.result, ChangeApplied):
@@ -180,7 +184,7 @@
 
 
 def rejected_changes_have_no_effect(history: History) -> Iterator[str]:
-    """Check that a change rejected for good, or by every attempt, is never applied."""
+    """Check that a change is never applied if its rejection was final or every attempt was rejected."""
     values = {seen.entry.value for seen in history.applied}
     by_change: dict[str, list[ProposalAttempt]] = defaultdict(list)
     for attempt in history.attempts:
@@ -204,11 +208,12 @@
 
 def linearizable_by_key(history: History) -> Iterator[str]:
     """Check that each key is a linearizable register with compare-and-set."""
-    uncertain = _uncertain(history)
+    uncertain = _uncertain_changes(history)
     by_key: dict[str, list[Operation]] = defaultdict(list)
     for operation in history.operations:
         change = operation.change
-        # An open change that every attempt rejected, or that reached no voter, has no effect: another check.
+        # Leaves out open changes that had no effect: every attempt was rejected, or none reached a voter.
+        # ``rejected_changes_have_no_effect`` checks the rejected ones.
         if operation.is_complete or change is None or change.change_id in uncertain:
             by_key[operation.key].append(operation)
     for key, operations in by_key.items():
@@ -217,8 +222,8 @@
             yield f"{key}: {verdict.value} ({len(operations)} operations)"
 
 
-def _uncertain(history: History) -> set[str]:
-    """Return the ids of changes that a voter took without rejecting them."""
+def _uncertain_changes(history: History) -> set[str]:
+    """Return the ids of changes that reached a voter and were not rejected in at least one attempt."""
     return {
         attempt.change.change_id
         for attempt in history.attempts
@@ -227,7 +232,7 @@
 
 
 def voters_agree_at_the_end(history: History) -> Iterator[str]:
-    """Check that all voters come to one state after the faults, and take changes again."""
+    """Check that all voters reach the same state after the faults and that changes are applied again."""
     if not history.expected_finals:
         return
     if len(history.finals) < history.expected_finals:
@@ -237,13 +242,16 @@
     for final in history.finals:
         if not final.admitted:
             yield f"{final.voter} has no vote at the end"
-    last = [one for one in history.operations if one.client == "final"]
-    if not all(one.is_complete for one in last):
+    final_operations = [operation for operation in history.operations if operation.client == "final"]
+    if not all(operation.is_complete for operation in final_operations):
         yield "the log takes no changes or reads after the faults"
 
 
 def the_code_runs_on(history: History) -> Iterator[str]:
-    """Check that the code under test raised no exception, and sent no endless storm of messages."""
+    """Check that the code under test raised no exception and kept within the limit of steps.
+
+    The limit catches voters that answer each other endlessly.
+    """
     yield from history.failures
 
 
@@ -269,4 +277,4 @@
 
 def check(history: History) -> list[Violation]:
     """Return all violations of a history."""
-    return [Violation(one.__name__, detail) for one in CHECKS for detail in one(history)]
+    return [Violation(rule.__name__, detail) for rule in CHECKS for detail in rule(history)]
--- a/merlinbay/control/simulation/client.py
+++ b/merlinbay/control/simulation/client.py
@@ -1,4 +1,8 @@
-"""A simulated client: changes and linearizable reads, repeated until their outcome is known."""
+"""A simulated client of the control log.
+
+It makes changes and linearizable reads, one at a time, and repeats each until its outcome is known or the
+attempts are used up. Its operations and their outcomes go into the history.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +17,10 @@
 from merlinbay.control.simulation.scenario import KEYS
 from merlinbay.control.simulation.scheduler import Scheduler
 
-ANSWER_TIMEOUT_S = 1.5  # until a request is repeated at another voter
-RETRY_AFTER_S = 0.1  # after a rejection that is not final
+ANSWER_TIMEOUT_S = 1.5  # then the request is repeated at another voter
+RETRY_AFTER_S = 0.1  # mean pause after a rejection that is not final
 MAX_ATTEMPTS = 10
-REPEAT_SHARE = 0.15  # of the operations repeat an acknowledged change
+REPEAT_SHARE = 0.15  # share of operations that repeat an acknowledged change
 FINAL_REASONS = ("conflict", "invalid")
 
 Answer = ProposalDone | ReadDone
@@ -24,7 +28,7 @@
 
 
 class ClientEnvironment(Protocol):
-    """What a client needs of the simulation."""
+    """The parts of the simulation that a client uses."""
 
     scheduler: Scheduler
     history: History
@@ -48,37 +52,37 @@
 
 
 class SimulatedClient:
-    """Does one operation after the other until it is stopped."""
+    """Performs one operation after the other until it is stopped."""
 
     def __init__(
         self, name: str, world: ClientEnvironment, random: Random, voters: tuple[str, ...], think_time: float
     ) -> None:
-        """Create the client; ``start`` begins."""
+        """Create the client; ``start`` begins its operations."""
         self.name = name
         self.world = world
         self.random = random
         self.voters = voters
         self.think_time = think_time
         self.voter = random.choice(voters)
-        self.number = 0
+        self.number = 0  # changes drawn so far
         self.attempts = 0
-        self.request = 0  # the last request; answers to others are late
+        self.request = 0  # number of the current request; answers to earlier ones are ignored
         self.stopped = False
         self.operation: Operation | None = None
         self.repeating: Acknowledged | None = None
         self.acknowledged: list[Acknowledged] = []
-        self.known: dict[str, int] = dict.fromkeys(KEYS, 0)  # revision of each key, as last seen
+        self.known_revisions: dict[str, int] = dict.fromkeys(KEYS, 0)  # by key, as last seen
 
     def start(self) -> None:
-        """Begin with the first operation."""
+        """Plan the first operation."""
         self._think()
 
     def stop(self) -> None:
-        """Begin no further operation."""
+        """Begin no further operation on its own."""
         self.stopped = True
 
     def begin(self, operation: Operation) -> None:
-        """Do one operation."""
+        """Begin an operation and record it in the history."""
         self.world.history.operations.append(operation)
         self.operation = operation
         self.attempts = 0
@@ -106,11 +110,11 @@
         value = None if self.random.random() < 0.1 else change_id.encode()
         expected: int | None = None
         if self.random.random() < 0.5:
-            expected = 0 if self.random.random() < 0.1 else self.known[key]
+            expected = 0 if self.random.random() < 0.1 else self.known_revisions[key]
         return Change(change_id, key, value, expected)
 
     def _repeat(self) -> None:
-        """Repeat an acknowledged change, as after a lost answer."""
+        """Repeat an acknowledged change, as a client does whose answer was lost."""
         self.repeating = self.random.choice(self.acknowledged)
         self.operation = None
         self.attempts = 0
@@ -127,28 +131,30 @@
         if self.operation is not None:
             change = self.operation.change
         if change is not None:
-            self.world.request_change(self.name, self.voter, change, lambda got: self._take(request, got))
+            self.world.request_change(
+                self.name, self.voter, change, lambda reply: self._on_answer(request, reply)
+            )
         elif self.operation is not None:
             key = self.operation.key
-            self.world.request_read(self.name, self.voter, key, lambda got: self._take(request, got))
-        self.world.scheduler.after(ANSWER_TIMEOUT_S, lambda: self._late(request))
+            self.world.request_read(self.name, self.voter, key, lambda reply: self._on_answer(request, reply))
+        self.world.scheduler.after(ANSWER_TIMEOUT_S, lambda: self._on_timeout(request))
 
-    def _late(self, request: int) -> None:
+    def _on_timeout(self, request: int) -> None:
         if request == self.request:
             self._choose_voter("")
             self._try()
 
     def _choose_voter(self, hint: str) -> None:
         others = [name for name in self.voters if name != self.voter]
-        follows = hint in self.voters and self.random.random() < 0.9
-        self.voter = hint if follows else self.random.choice(others)
+        follows_hint = hint in self.voters and self.random.random() < 0.9
+        self.voter = hint if follows_hint else self.random.choice(others)
 
-    def _take(self, request: int, answer: Answer) -> None:
+    def _on_answer(self, request: int, answer: Answer) -> None:
         if request != self.request:
             return
         self.request += 1
         if isinstance(answer, ReadDone):
-            self._take_read(answer)
+            self._on_read(answer)
         elif isinstance(answer.result, ChangeApplied) or (
             isinstance(answer.result, ChangeRejected) and answer.result.reason in FINAL_REASONS
         ):
@@ -157,12 +163,12 @@
             leader = answer.result.leader if isinstance(answer.result, ChangeRejected) else ""
             self._retry(leader)
 
-    def _take_read(self, answer: ReadDone) -> None:
+    def _on_read(self, answer: ReadDone) -> None:
         if answer.failed:
             self._retry(answer.leader)
             return
         if self.operation is not None:
-            self.known[self.operation.key] = _revision(answer.value)
+            self.known_revisions[self.operation.key] = _revision(answer.value)
             self.operation.value = answer.value
             self.operation.returned = self.world.scheduler.time
         self._finish()
@@ -174,9 +180,11 @@
             operation.returned = self.world.scheduler.time
             if isinstance(result, ChangeApplied):
                 self.acknowledged.append(Acknowledged(operation.change, result.revision))
-                self.known[operation.key] = result.revision if operation.change.value is not None else 0
+                self.known_revisions[operation.key] = (
+                    result.revision if operation.change.value is not None else 0
+                )
             else:
-                self.known[operation.key] = result.current_revision
+                self.known_revisions[operation.key] = result.current_revision
         self._finish()
 
     def _retry(self, leader: str) -> None:
@@ -197,7 +205,7 @@
 
 
 def describe(operation: Operation) -> str:
-    """Return one line on an operation and its outcome."""
+    """Return one line that describes an operation and its outcome."""
     change = operation.change
     start = f"{operation.client} from {operation.invoked:.3f} {operation.key}"
     if change is None:
@@ -206,7 +214,7 @@
             "open" if not operation.is_complete else f"{seen.value!r}@{seen.revision}" if seen else "none"
         )
         return f"{start} read: {outcome}"
-    compared = "" if change.expected_revision is None else f" expecting {change.expected_revision}"
+    expectation = "" if change.expected_revision is None else f" expecting {change.expected_revision}"
     match operation.result:
         case ChangeApplied(revision=revision):
             outcome = f"applied as {revision}"
@@ -214,4 +222,4 @@
             outcome = f"{reason}, current {current}"
         case _:
             outcome = "open"
-    return f"{start} {'delete' if change.value is None else 'put'} {change.change_id}{compared}: {outcome}"
+    return f"{start} {'delete' if change.value is None else 'put'} {change.change_id}{expectation}: {outcome}"
--- a/merlinbay/control/simulation/fault_drawing.py
+++ b/merlinbay/control/simulation/fault_drawing.py
@@ -19,18 +19,20 @@
 )
 from merlinbay.control.simulation.regions import REGIONS
 
-FAST_RESTART_S = 0.03  # the least time that a process is down
-LEADERS_EFFECTS = (1, 1, 2, 3, 6, 9, 10, 11, 12, 14)  # stored and not sent; sent to some; then answers
-LONGEST_PAUSE_S = 20.0
+FAST_RESTART_S = 0.03  # the shortest time that a process is down
+# Effects of a new leader before its crash. Its first entry is then stored and not sent (the low counts), sent
+# to some of the voters, or already answered (the high counts).
+EFFECTS_BEFORE_LEADER_CRASH = (1, 1, 2, 3, 6, 9, 10, 11, 12, 14)
+MAX_PAUSE_S = 20.0
 
 
 @dataclass(frozen=True)
 class Profile:
-    """Which faults are drawn how often, and the mean seconds between two."""
+    """The relative frequency of each kind of fault, and the mean intervals to choose from."""
 
     crash: int = 0
     lose_disk: int = 0
-    lose_vote: int = 0  # the disk, just after a vote
+    lose_vote: int = 0  # a disk is lost just after a vote
     vote: int = 0
     leaders: int = 0
     pause: int = 0
@@ -39,7 +41,7 @@
     full: int = 0
     leadership: int = 0
     voters: int = 0
-    paces: tuple[float, ...] = (0.5, 1.0, 2.5, 5.0)
+    paces: tuple[float, ...] = (0.5, 1.0, 2.5, 5.0)  # mean seconds between two faults
 
 
 MIXED = Profile(6, 2, 2, 3, 3, 4, 4, 2, 1, 2, 4)
@@ -52,17 +54,22 @@
 def draw_faults(
     random: Random, profile: Profile, voters: tuple[str, ...], spares: tuple[str, ...], duration: float
 ) -> tuple[Fault, ...]:
-    """Draw faults over the duration, some every few seconds. Disks are lost by a minority in all."""
+    """Draw faults over the duration, at a mean interval that is drawn too.
+
+    In a whole scenario only a minority of the voters loses its disk.
+    """
     faults: list[Fault] = []
-    disks = len(voters) // 2
+    disks_to_lose = len(voters) // 2
     pace = random.choice(profile.paces)
     at = 2.0 + random.expovariate(1.0 / pace)
     while at < duration:
-        fault = _draw_fault(random, _draw_kind(random, profile, disks > 0, bool(spares)), voters + spares, at)
-        disks -= isinstance(fault, Crash | CrashAfterVote) and fault.loses_disk
+        fault = _draw_fault(
+            random, _draw_kind(random, profile, disks_to_lose > 0, bool(spares)), voters + spares, at
+        )
+        disks_to_lose -= isinstance(fault, Crash | CrashAfterVote) and fault.loses_disk
         faults.append(fault)
         if isinstance(fault, Crash) and random.random() < 0.2:
-            faults += _crash_others(random, voters, at)
+            faults += _crash_all(random, voters, at)
         at += random.expovariate(1.0 / pace)
     return tuple(faults)
 
@@ -84,19 +91,23 @@
             victim = random.choice(("", voter)) if kind == "crash" else voter
             return Crash(at, victim, random.randint(0, 20), down_for, kind == "lose_disk")
         case "vote":
-            some = tuple(random.sample(machines, random.randint(1, len(machines))))
-            return CrashAfterVote(at, some, FAST_RESTART_S)
+            victims = tuple(random.sample(machines, random.randint(1, len(machines))))
+            return CrashAfterVote(at, victims, FAST_RESTART_S)
         case "lose_vote":
             return CrashAfterVote(at, (voter,), FAST_RESTART_S, loses_disk=True)
         case "leaders":
-            victims = tuple(
-                (name, random.choice(LEADERS_EFFECTS), random.choice((FAST_RESTART_S, 0.5, 2.0, 4.0)))
+            crashes = tuple(
+                (
+                    name,
+                    random.choice(EFFECTS_BEFORE_LEADER_CRASH),
+                    random.choice((FAST_RESTART_S, 0.5, 2.0, 4.0)),
+                )
                 for name in machines
             )
-            return CrashLeaders(at, victims)
+            return CrashLeaders(at, crashes)
         case "pause":
-            longest = random.choice((1.0, 5.0, LONGEST_PAUSE_S))
-            return Pause(at, random.choice(("", voter)), random.uniform(0.3, 1.0) * longest)
+            max_pause = random.choice((1.0, 5.0, MAX_PAUSE_S))
+            return Pause(at, random.choice(("", voter)), random.uniform(0.3, 1.0) * max_pause)
         case "cut":
             return _draw_cut(random, machines, at, span)
         case "cut_off":
@@ -109,8 +120,8 @@
             return MoveVoter(at, tuple(random.random() for _ in range(random.randint(1, 4))))
 
 
-def _crash_others(random: Random, voters: tuple[str, ...], at: float) -> list[Fault]:
-    """Crash all at nearly the same time, as in a power failure."""
+def _crash_all(random: Random, voters: tuple[str, ...], at: float) -> list[Fault]:
+    """Crash all voters at nearly the same time, as in a power failure."""
     return [
         Crash(
             at + random.uniform(0.0, 0.05), voter, random.randint(0, 5), random.uniform(FAST_RESTART_S, 3.0)
--- a/merlinbay/control/simulation/fault_injection.py
+++ b/merlinbay/control/simulation/fault_injection.py
@@ -1,4 +1,8 @@
-"""Injects the faults of a scenario into a running simulation."""
+"""Injects the faults of a scenario into a running simulation.
+
+All faults are planned when the injector is created. Each is carried out at its time, unless the faults have
+been ended before.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +26,13 @@
 from merlinbay.control.simulation.scenario import ControlScenario
 from merlinbay.control.simulation.scheduler import Scheduler
 
-CUT_AFTER_TRANSFER_S = 0.005  # one sync, so that TimeoutNow has been sent
+CUT_AFTER_TRANSFER_S = 0.005  # longer than most syncs, so that TimeoutNow has been sent
 
 Pairs = list[tuple[str, str]]
 
 
 class FaultInjector:
-    """Plans all faults of a scenario; ``end`` undoes those that still hold."""
+    """Plans all faults of a scenario; ``end`` undoes those that are still in effect."""
 
     def __init__(
         self,
@@ -55,11 +59,11 @@
     def _plan(self, fault: Fault) -> None:
         def begin() -> None:
             if not self.over:
-                self._begin(fault)
+                self._inject(fault)
 
         self.scheduler.at(fault.at, begin)
 
-    def _begin(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         self.trace(repr(fault))
         match fault:
             case Crash():
@@ -143,7 +147,7 @@
             self.trace("a cut is healed")
 
     def end(self) -> None:
-        """End all faults: cuts, pauses, full disks, armed crashes; start the processes that are down."""
+        """End all cuts, pauses, full disks and armed crashes, and start the processes that are down."""
         self.over = True
         self.network.heal_all()
         for host in self.hosts.values():
--- a/merlinbay/control/simulation/fault_types.py
+++ b/merlinbay/control/simulation/fault_types.py
@@ -1,4 +1,7 @@
-"""The faults of a scenario, as data. Times are seconds; ``at`` is virtual time."""
+"""The faults of a scenario, as data.
+
+Times are in seconds. ``at`` is the virtual time at which the fault begins, ``span`` how long it lasts.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,10 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """End a process between two of its next effects, and start it again, perhaps on an empty disk.
+    """Crash a process before one of its next effects, and restart it after ``down_for``.
 
-    ``voter`` empty: the leader of that moment.
+    It crashes after it has carried out ``effects`` more effects. If ``loses_disk`` is set, it crashes at once
+    instead and restarts with an empty disk. An empty ``voter`` stands for the leader at that moment.
     """
 
     at: float
@@ -21,7 +25,7 @@
 
 @dataclass(frozen=True)
 class CrashAfterVote:
-    """End some processes each just after its next vote, and start them again, perhaps on an empty disk."""
+    """Crash each of some processes just after its next vote, and restart it, perhaps with an empty disk."""
 
     at: float
     voters: tuple[str, ...]
@@ -31,16 +35,19 @@
 
 @dataclass(frozen=True)
 class CrashLeaders:
-    """End each voter once it leads, between its first effects: its entries reach some or none."""
+    """Crash each voter after it becomes leader, before one of its first effects.
+
+    Its entries then reach some of the other voters or none.
+    """
 
     at: float
-    victims: tuple[tuple[str, int, float], ...]  # voter, effects that it carries out before, time down
-    spares_leader: bool = False  # the leader of that moment is none of them
+    victims: tuple[tuple[str, int, float], ...]  # voter, effects that it still carries out, time down
+    spares_leader: bool = False  # whether the leader at that moment is left out
 
 
 @dataclass(frozen=True)
 class Pause:
-    """Stop a process as by SIGSTOP; ``voter`` empty: the leader of that moment."""
+    """Suspend a process as by SIGSTOP. An empty ``voter`` stands for the leader at that moment."""
 
     at: float
     voter: str
@@ -49,19 +56,19 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """Let no message pass between ``inside`` and the other machines, or only in one direction."""
+    """Stop the messages between ``inside`` and the other machines, in one direction or both."""
 
     at: float
     span: float
     inside: tuple[str, ...]
-    with_leader: bool  # the leader of that moment is inside too
+    with_leader: bool  # whether the leader at that moment is inside too
     stops_outgoing: bool
     stops_incoming: bool
 
 
 @dataclass(frozen=True)
 class CutOff:
-    """Separate a region with all that is in it from the others."""
+    """Stop all messages between a region and the others."""
 
     at: float
     span: float
@@ -70,7 +77,7 @@
 
 @dataclass(frozen=True)
 class DiskFull:
-    """Let a voter's disk take no records for some time."""
+    """Fill a voter's disk, so that it accepts no records for some time."""
 
     at: float
     span: float
@@ -79,21 +86,21 @@
 
 @dataclass(frozen=True)
 class MoveLeadership:
-    """Ask the leader to hand its leadership over, and perhaps cut it from the others just after it did."""
+    """Ask the leader to hand its leadership over, and perhaps cut it off from the others just afterwards."""
 
     at: float
-    cut_for: float  # seconds; 0: it is not cut
+    cut_for: float  # seconds; 0: the old leader is not cut off
 
 
 @dataclass(frozen=True)
 class MoveVoter:
-    """Ask the leader for changes of one voter each, the next one when the last is answered.
+    """Ask the leader for changes of one voter each; the next one follows when the previous one is answered.
 
     The voters to change depend on the configuration at that moment.
     """
 
     at: float
-    choices: tuple[float, ...]  # each in [0, 1)
+    choices: tuple[float, ...]  # one for each change, in [0, 1)
 
 
 Fault = Crash | CrashAfterVote | CrashLeaders | Pause | Cut | CutOff | DiskFull | MoveLeadership | MoveVoter
--- a/merlinbay/control/simulation/follower.py
+++ b/merlinbay/control/simulation/follower.py
@@ -1,4 +1,8 @@
-"""A simulated follower of the revision stream: deltas from one voter, then from another."""
+"""A simulated follower of the revision stream.
+
+It polls one voter at a time for deltas or snapshots, changes the voter now and then, and records each state
+that it reaches in the history.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +17,14 @@
 from merlinbay.control.simulation.history import AppliedSeen, History, StateSeen
 from merlinbay.control.simulation.scheduler import Scheduler
 
-POLL_INTERVAL_S = 0.3  # mean
-MOVE_SHARE = 0.1  # of the polls go to another voter
+POLL_INTERVAL_S = 0.3  # mean pause between two polls
+MOVE_SHARE = 0.1  # share of polls that first choose a voter anew
 
 StateUpdate = Delta | StateSnapshot
 
 
 class FollowerEnvironment(Protocol):
-    """What a follower needs of the simulation."""
+    """The parts of the simulation that a follower uses."""
 
     scheduler: Scheduler
     history: History
@@ -28,25 +32,29 @@
     def request_update(
         self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
-        """Ask a voter for the changes after a revision; it does not answer if it has none."""
+        """Ask a voter for the changes after a revision; it does not answer if there are none."""
 
 
 def state_digest(entries: Iterable[KeyValue]) -> bytes:
     """Return a digest of all keys that exist, with their values and revisions."""
     existing = sorted(
-        ((one.key, one.value, one.revision) for one in entries if one.value is not None),
-        key=lambda entry: entry[0],
+        ((entry.key, entry.value, entry.revision) for entry in entries if entry.value is not None),
+        key=lambda item: item[0],
     )
     return hashlib.blake2b(msgspec.msgpack.encode(existing), digest_size=16).digest()
 
 
 class SimulatedFollower:
-    """Keeps a copy of all keys; the answer to the last request is applied unchecked, so that faults show."""
+    """Keeps a copy of all keys.
+
+    It applies the answer to its last request without checks of its own, so that wrong updates of a voter
+    become visible in the history.
+    """
 
     def __init__(
         self, name: str, world: FollowerEnvironment, random: Random, voters: tuple[str, ...]
     ) -> None:
-        """Start empty at revision 0."""
+        """Create the follower without keys, at revision 0."""
         self.name = name
         self.world = world
         self.random = random
@@ -64,13 +72,13 @@
         if self.random.random() < MOVE_SHARE:
             self.voter = self.random.choice(self.voters)
         self.world.request_update(
-            self.name, self.voter, self.revision, lambda update: self._take(request, update)
+            self.name, self.voter, self.revision, lambda update: self._on_update(request, update)
         )
         self.world.scheduler.after(POLL_INTERVAL_S * (0.5 + self.random.random()), self.poll)
 
-    def _take(self, request: int, update: StateUpdate) -> None:
+    def _on_update(self, request: int, update: StateUpdate) -> None:
         if request != self.request:
-            return  # late, or a second copy
+            return  # The answer is late, or a second copy.
         self.request += 1
         if isinstance(update, StateSnapshot):
             self.snapshots += 1
--- a/merlinbay/control/simulation/history.py
+++ b/merlinbay/control/simulation/history.py
@@ -1,7 +1,7 @@
 """The history of a run: the operations of clients, and the observed states of voters and followers.
 
-A history is plain data. The checks in ``checker`` judge it afterwards and know nothing of the simulation,
-so that tests can check histories made by hand.
+A history is plain data, filled while the simulation runs. The checks in ``checker`` read it afterwards and
+do not depend on the simulation, so that tests can check handwritten histories.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 class Operation:
     """One operation of one client, over all its retries.
 
-    A change is complete once it was applied, or rejected for good (conflict, invalid). An operation that its
+    A change is complete once it was applied, or rejected finally (conflict, invalid). An operation that its
     client gave up stays open: it may have taken effect at any time after ``invoked``, or never.
     """
 
@@ -34,8 +34,8 @@
     invoked: float
     change: Change | None = None
     returned: float = math.inf
-    result: ChangeApplied | ChangeRejected | None = None  # of a change
-    value: KeyValue | None = None  # of a read
+    result: ChangeApplied | ChangeRejected | None = None  # outcome of a change
+    value: KeyValue | None = None  # outcome of a read
 
     @property
     def is_complete(self) -> bool:
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class LeaderSeen:
-    """A voter that leads a term by its own account, and the last index of its log at that moment."""
+    """A voter that considers itself the leader of a term, and the last index of its log at that moment."""
 
     time: float
     voter: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class VoteSeen:
-    """A vote that a voter has sent; ``voter`` names its disk too."""
+    """A vote that a voter has sent. ``voter`` also identifies the voter's disk."""
 
     time: float
     voter: str
@@ -78,7 +78,7 @@
 class EntrySeen:
     """An entry in a voter's log. ``content`` identifies the payload.
 
-    ``voter_term`` is the voter's term: its committed entries were committed in that term or before.
+    ``voter_term`` is the voter's term: its committed entries were committed in that term or an earlier one.
     """
 
     time: float
@@ -86,14 +86,14 @@
     index: int
     term: int
     content: bytes
-    previous_term: int | None  # None where the entry before it was compacted
+    previous_term: int | None  # term of the entry before; None if that was compacted
     committed: bool
     voter_term: int = 0
 
 
 @dataclass(frozen=True)
 class LogSeen:
-    """The extent of a voter's log, and a digest of all that it has applied.
+    """The extent of a voter's log, and a digest of its applied state.
 
     ``disk`` and ``start`` count the disks that the voter has had, and its starts.
     """
@@ -134,7 +134,7 @@
     revision: int
     digest: bytes
     entries: tuple[KeyValue, ...]
-    admitted: bool = True  # whether its vote counts, with the disk that it has now
+    admitted: bool = True  # whether its vote counts with its current disk
 
 
 @dataclass
@@ -151,5 +151,5 @@
     applied: list[AppliedSeen] = field(default_factory=list)
     followers: list[StateSeen] = field(default_factory=list)
     finals: list[FinalState] = field(default_factory=list)
-    expected_finals: int = 0  # voters that have to agree at the end; 0: the end is not judged
-    failures: list[str] = field(default_factory=list)  # exceptions of the code under test
+    expected_finals: int = 0  # voters that have to agree at the end; 0: the end is not checked
+    failures: list[str] = field(default_factory=list)  # of the code under test; or too many steps
--- a/merlinbay/control/simulation/linearizability.py
+++ b/merlinbay/control/simulation/linearizability.py
@@ -1,10 +1,10 @@
-"""Linearizability of a register with compare-and-set, by the algorithm of Wing and Gong with Lowe's memory.
+"""Checks linearizability of a register with compare-and-set, by Wing and Gong's algorithm with Lowe's cache.
 
-The keys of the log are independent registers, and linearizability is local: a history is linearizable if it
-is so key by key. The search walks through the orders that respect real time, keeps the configurations (set of
-linearized operations, state of the register) that it has visited, and never visits one twice. Open operations
-may be linearized anywhere after their call, or nowhere. The search is bounded; a history that exceeds the
-bound is reported as undecided, never as linearizable.
+The keys of the log are independent registers, and linearizability is local: a history is linearizable if
+the operations of each key are. The search walks through the orders that respect real time. It keeps the
+configurations (set of linearized operations, state of the register) that it has visited, and never visits one
+twice. Open operations may be linearized anywhere after their call, or nowhere. The search is bounded; a
+history that exceeds the bound is reported as undecided, never as linearizable.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from merlinbay.control.entries import ChangeApplied, ChangeRejected
 from merlinbay.control.simulation.history import Operation, OperationKind
 
-MOST_CONFIGURATIONS = 200_000  # some 100 MB of visited configurations
-UNKNOWN = -1  # the revision of a change whose client never learned it
+MAX_CONFIGURATIONS = 200_000  # about 100 MB of memory
+UNKNOWN = -1  # revision of a change whose client did not receive it
 
 
 class Verdict(Enum):
-    """What the search found."""
+    """The result of the search; undecided if it exceeded its bound."""
 
     LINEARIZABLE = "linearizable"
     VIOLATED = "violated"
@@ -36,8 +36,8 @@
     revision: int = 0
 
 
-def _agrees(known: int, claimed: int) -> bool:
-    return known == claimed or UNKNOWN in (known, claimed)
+def _agrees(current: int, claimed: int) -> bool:
+    return current == claimed or UNKNOWN in (current, claimed)
 
 
 def _after_read(register: KeyRegister, operation: Operation) -> KeyRegister | None:
@@ -75,24 +75,28 @@
 
 
 def step(register: KeyRegister, operation: Operation) -> KeyRegister | None:
-    """Return the register after the operation, or None where the operation's outcome rules this out."""
+    """Return the register after the operation, or None if the outcome contradicts the register."""
     if operation.kind is OperationKind.READ:
         return _after_read(register, operation)
     return _after_change(register, operation)
 
 
-def check_key(operations: list[Operation], most: int = MOST_CONFIGURATIONS) -> Verdict:
-    """Search an order of one key's operations that explains all outcomes."""
+def check_key(operations: list[Operation], max_configurations: int = MAX_CONFIGURATIONS) -> Verdict:
+    """Search for an order of one key's operations that is consistent with all their outcomes."""
     ordered = sorted(
-        (one for one in operations if one.is_complete or one.kind is OperationKind.CHANGE),
-        key=lambda one: one.invoked,
+        (
+            operation
+            for operation in operations
+            if operation.is_complete or operation.kind is OperationKind.CHANGE
+        ),
+        key=lambda operation: operation.invoked,
     )
-    must = sum(1 << number for number, one in enumerate(ordered) if one.is_complete)
+    required = sum(1 << number for number, operation in enumerate(ordered) if operation.is_complete)
     stack = [(0, KeyRegister())]
     visited: set[tuple[int, KeyRegister]] = set(stack)
     while stack:
         done, register = stack.pop()
-        if done & must == must:
+        if done & required == required:
             return Verdict.LINEARIZABLE
         for number in _candidates(ordered, done):
             following = step(register, ordered[number])
@@ -102,23 +106,24 @@
             if configuration not in visited:
                 visited.add(configuration)
                 stack.append(configuration)
-        if len(visited) > most:
+        if len(visited) > max_configurations:
             return Verdict.UNDECIDED
     return Verdict.VIOLATED
 
 
 def _candidates(ordered: list[Operation], done: int) -> list[int]:
-    """Return the operations that may come next: called before every open operation has returned.
+    """Return the operations that may come next: those invoked before any remaining operation returned.
 
-    Complete operations are tried first (the stack takes the last one first), and the earliest return before.
+    They are sorted by return time, latest first. The search takes the last one from its stack first, so it
+    tries complete operations before open ones, in the order of their return.
     """
     deadline = math.inf
-    found: list[int] = []
+    remaining: list[int] = []
     for number, operation in enumerate(ordered):
         if operation.invoked > deadline:
             break
         if not done >> number & 1:
-            found.append(number)
+            remaining.append(number)
             deadline = min(deadline, operation.returned)
-    eligible = [number for number in found if ordered[number].invoked <= deadline]
+    eligible = [number for number in remaining if ordered[number].invoked <= deadline]
     return sorted(eligible, key=lambda number: -ordered[number].returned)
--- a/merlinbay/control/simulation/process.py
+++ b/merlinbay/control/simulation/process.py
@@ -1,9 +1,9 @@
-"""One simulated voter process: carries the core's effects out in order, and stops anywhere between them.
+"""A simulated voter process: carries out the core's effects in order, and may crash between any two of them.
 
-The rules of a host, which a real one has to keep too: effects are carried out in order, or all records first;
-the next input is handled only when all effects of the last are carried out; a record that cannot be made
-durable ends the voter, since what the core holds in memory is then ahead of its disk. A host may hand the
-inputs that wait to the core at once and take the effects of all of them (``batches``).
+It follows the rules that a real host has to follow too. Effects are carried out in order, or all records
+first. The next input is handled only when all effects of the previous one are carried out. A record that
+cannot be made durable ends the voter, because the core's memory is then ahead of its disk. A host may pass
+all waiting inputs to the core at once and then take their effects together (``batches``).
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from merlinbay.control.simulation.ports import CoreUnderTest, VoterPort, VoterStart
 from merlinbay.control.simulation.scheduler import Scheduler
 
-LEAST_TICK_S = 0.001  # between ticks, if a deadline stays in the past
-RESTART_AFTER_S = 1.0  # a process whose disk failed
+MIN_TICK_INTERVAL_S = 0.001  # least time between ticks, also if the deadline stays in the past
+RESTART_AFTER_S = 1.0  # after a failed disk or an exception of the code under test
 
 VoterInput = Callable[[VoterPort, float], None]
 
 
 class ProcessEnvironment(Protocol):
-    """What a process needs of the simulation."""
+    """The parts of the simulation that a process uses."""
 
     scheduler: Scheduler
 
@@ -70,16 +70,16 @@
         first_voters: tuple[str, ...],
         batches: bool,
     ) -> None:
-        """Set the process up; ``start`` starts it."""
+        """Create the process; ``start`` starts it."""
         self.name, self.core, self.world = name, core, world
         self.clock, self.random = clock, random
         self.first_voters = first_voters
-        self.batches = batches  # handles all inputs that wait at once
+        self.batches = batches  # whether all waiting inputs are handled at once
         self.disk = SimulatedDisk()
         self.voter: VoterPort | None = None
         self.starts = 0
         self.paused = self.syncing = False
-        self.working = False  # guards against re-entering ``_work``
+        self.working = False  # ``_work`` runs and is not entered again
         self.crashes = ArmedCrashes()
         self.effects: deque[VoterEffect] = deque()
         self.inputs: deque[VoterInput] = deque()
@@ -117,7 +117,7 @@
             return
         self.world.trace(f"{self.name} crashes with {len(self.effects)} effects left")
         if self.syncing:
-            self._maybe_durable(self.effects[0])
+            self._store_or_lose(self.effects[0])
         self.voter = None
         self.syncing = False
         self.paused = False
@@ -130,11 +130,11 @@
             self.world.scheduler.after(restart_after, self.start)
 
     def pause(self) -> None:
-        """Stop the process as by SIGSTOP: its inputs wait, its clock runs on."""
+        """Suspend the process as by SIGSTOP: its inputs wait while its clock continues."""
         self.paused = self.voter is not None
 
     def resume(self) -> None:
-        """Let a stopped process run on."""
+        """Resume a suspended process."""
         if self.paused:
             self.paused = False
             self._work()
@@ -165,14 +165,14 @@
         self._request(token, reply, lambda voter, now: voter.change_voters(now, add, remove, token))
 
     def _request(self, token: int, reply: ReplyTo, call: VoterInput) -> None:
-        def opened(voter: VoterPort, now: float) -> None:
+        def register_and_call(voter: VoterPort, now: float) -> None:
             self.requests.add(token, reply)
             call(voter, now)
 
-        self.give(opened)
+        self.give(register_and_call)
 
     def _work(self) -> None:
-        """Carry out the remaining effects, then handle inputs, until the process has to wait."""
+        """Carry out the remaining effects, then handle inputs until none is left or an effect has to wait."""
         if self.working:
             return
         self.working = True
@@ -187,14 +187,14 @@
             self._plan_tick()
 
     def _handle(self) -> None:
-        """Handle the next input, or all that wait, and take the effects."""
+        """Handle the next input, or all waiting inputs if ``batches`` is set, and take the effects."""
         if not self.batches:
             self._call([self.inputs.popleft()])
             return
         calls = list(self.inputs)
         self.inputs.clear()
         self._call(calls)
-        # Records first, so that one sync does for all of them.
+        # Puts the records first, as a real host does that makes all of them durable with one sync.
         self.effects = deque(sorted(self.effects, key=lambda effect: not isinstance(effect, Persist)))
 
     def _call(self, calls: list[VoterInput]) -> None:
@@ -213,26 +213,26 @@
 
     def _carry_out(self) -> None:
         while self.effects and self.voter is not None and not (self.paused or self.syncing):
-            if self._crashes_here():
+            if self._crash_if_due():
                 return
             effect = self.effects[0]
             if isinstance(effect, Persist):
                 self._sync(effect)
                 return
             self.effects.popleft()
-            self._carry_one(effect)
+            self._carry_out_effect(effect)
         if self.is_idle:
             self.world.observe(self)
 
-    def _crashes_here(self) -> bool:
+    def _crash_if_due(self) -> bool:
         if not self.crashes.is_due():
             return False
-        self._maybe_durable(self.effects[0])
+        self._store_or_lose(self.effects[0])
         self.crash(self.crashes.down_for)
         return True
 
-    def _maybe_durable(self, effect: VoterEffect) -> None:
-        """Let the record that was being written at a crash be durable or lost."""
+    def _store_or_lose(self, effect: VoterEffect) -> None:
+        """Decide at random whether the record being written at a crash is durable or lost."""
         if isinstance(effect, Persist) and not self.disk.full and self.random.random() < 0.5:
             self.disk.append(effect.record, effect.replaces_all)
 
@@ -243,7 +243,7 @@
 
     def _synced(self, effect: Persist, voter: VoterPort | None) -> None:
         if self.voter is not voter or not self.syncing:
-            return  # crashed meanwhile
+            return  # The process crashed before the sync ended.
         if self.disk.full:
             self._storage_failed()
             return
@@ -253,7 +253,7 @@
         self._work()
 
     def _storage_failed(self) -> None:
-        """Answer the open requests, then end the process."""
+        """Tell the core that a record was not stored, answer its open requests, then end the process."""
         dropped = tuple(self.effects)
         self.effects.clear()
         self.syncing = False
@@ -263,20 +263,20 @@
                 self.requests.answer(effect)
         self.crash(RESTART_AFTER_S)
 
-    def _carry_one(self, effect: VoterEffect) -> None:
+    def _carry_out_effect(self, effect: VoterEffect) -> None:
         match effect:
             case SendMessage():
-                voted = self.world.send(self.name, effect.receiver, effect.message)
-                if voted:
-                    self._has_voted()
+                is_vote = self.world.send(self.name, effect.receiver, effect.message)
+                if is_vote:
+                    self._crash_after_vote()
             case ProposalDone() | ReadDone():
                 self.requests.answer(effect)
 
-    def _has_voted(self) -> None:
-        after = self.crashes.at_vote
-        if after is not None:
-            self.crash(after.down_for)
-            if after.loses_disk:
+    def _crash_after_vote(self) -> None:
+        crash = self.crashes.at_vote
+        if crash is not None:
+            self.crash(crash.down_for)
+            if crash.loses_disk:
                 self.disk.lose()
 
     def _plan_tick(self) -> None:
@@ -284,7 +284,7 @@
         deadline = self.voter.next_deadline()
         if deadline == math.inf:
             return
-        moment = max(self.clock.moment(deadline), self.world.scheduler.time + LEAST_TICK_S)
+        moment = max(self.clock.moment(deadline), self.world.scheduler.time + MIN_TICK_INTERVAL_S)
         if moment < self.tick_at:
             self.tick_at = moment
             voter = self.voter
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -104,7 +104,7 @@
 def test_a_search_that_is_too_long_is_no_pass() -> None:
     """Beyond its bound the search says that it does not know."""
     operations = [put(number, 0) for number in range(1, 13)] + [read(1, 2, 99, 1)]
-    assert check_key(operations, most=500) is Verdict.UNDECIDED
+    assert check_key(operations, max_configurations=500) is Verdict.UNDECIDED
     history = History(operations=operations)
     history.attempts += [ProposalAttempt(0, "a", one.change) for one in operations if one.change is not None]
     assert [one.check for one in check(history)] == ["linearizable_by_key"]
