--- a/merlinbay/control/simulation/checker.py
+++ b/merlinbay/control/simulation/checker.py
@@ -140,9 +140,9 @@
     """Check that an acknowledged change made its revision, and that the final states contain it."""
     by_revision = {seen.entry.revision: seen.entry for seen in history.applied}
     for change_id, result, key, value in _acknowledged(history):
-        entry = by_revision.get(result.revision)
-        if entry is not None and (entry.key, entry.value) != (key, value):
-            yield f"{change_id} was acknowledged as revision {result.revision}, made by {entry.key}"
+        applied_entry = by_revision.get(result.revision)
+        if applied_entry is not None and (applied_entry.key, applied_entry.value) != (key, value):
+            yield f"{change_id} was acknowledged as revision {result.revision}, made by {applied_entry.key}"
         for final in history.finals:
             if final.revision < result.revision:
                 yield f"{change_id} is revision {result.revision}; {final.voter} ends at {final.revision}"
--- a/merlinbay/control/simulation/core_under_test.py
+++ b/merlinbay/control/simulation/core_under_test.py
@@ -1,4 +1,7 @@
-"""The consensus core as the code under test, with settings that make compaction frequent."""
+"""Starts the consensus core as the code under test, and reads its state for the checks.
+
+The settings make compaction frequent and batches small, so that a short run meets both.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,11 @@
 )
 from merlinbay.control.voter import Voter, VoterRole
 
-ONE_ENTRY = 150  # bytes of a batch into which two entries do not fit
+ONE_ENTRY_BATCH_BYTES = 150  # size of a batch that has no room for two entries
 
 
 def settings_of(seed: int, first_voters: tuple[str, ...]) -> VoterSettings:
-    """Draw how often a voter compacts, and how small batches are; the times are those of a real voter."""
+    """Draw how often a voter compacts and how small its batches are; its times are those of a real voter."""
     random = Random(f"control settings {seed}")
     keep = random.choice((0, 5, 20))
     return VoterSettings(
@@ -36,18 +39,21 @@
         keep_entries=keep,
         history_revisions=random.choice((5, 30, 1000)),
         max_change_bytes=64,
-        max_batch_bytes=random.choice((ONE_ENTRY, 512, 4096)),
+        max_batch_bytes=random.choice((ONE_ENTRY_BATCH_BYTES, 512, 4096)),
         max_messages_in_flight=random.choice((1, 8)),
     )
 
 
 def raft(seed: int, one_entry_a_message: bool = False) -> CoreUnderTest:
-    """Return the core under test, with the settings of a seed."""
+    """Return the core under test with the settings of a seed.
+
+    With ``one_entry_a_message``, a leader sends each entry in a message of its own, one at a time.
+    """
 
     def start(boot: VoterStart) -> VoterPort:
         settings = settings_of(seed, boot.first_voters)
         if one_entry_a_message:
-            settings = replace(settings, max_batch_bytes=ONE_ENTRY, max_messages_in_flight=1)
+            settings = replace(settings, max_batch_bytes=ONE_ENTRY_BATCH_BYTES, max_messages_in_flight=1)
         return Voter(boot.name, settings, boot.records, boot.random, boot.now)
 
     return CoreUnderTest(start, _snapshot, _leading_term, _voters, _admitted, _extent, _log, _vote)
@@ -93,7 +99,7 @@
 
 
 def _vote(sender: str, message: bytes) -> ObservedVote | None:
-    if b"vote" not in message:  # both kinds of message have it in their tag
+    if b"vote" not in message:  # the tags of vote requests and vote responses contain it
         return None
     envelope = decode(message)
     voter = f"{sender}/{envelope.incarnation}"
--- a/merlinbay/control/simulation/fault_types.py
+++ b/merlinbay/control/simulation/fault_types.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """Crash a process before one of its next effects, and restart it after ``down_for``.
+    """Crash a process between two of its next effects, and restart it after ``down_for``.
 
     It crashes after it has carried out ``effects`` more effects. If ``loses_disk`` is set, it crashes at once
     instead and restarts with an empty disk. An empty ``voter`` stands for the leader at that moment.
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class CrashLeaders:
-    """Crash each voter after it becomes leader, before one of its first effects.
+    """Crash each voter after it becomes leader, between two of its first effects.
 
     Its entries then reach some of the other voters or none.
     """
--- a/merlinbay/control/simulation/machine.py
+++ b/merlinbay/control/simulation/machine.py
@@ -1,37 +1,41 @@
-"""The clock and disk of a simulated voter: the clock is wrong, the disk may be full or lost."""
+"""The clock and the disk of a simulated voter.
+
+The clock is off and drifts. The disk may be full, or be replaced by an empty one. It only stores records; the
+process checks whether it is full.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from random import Random
 
-SLOW_SYNC_SHARE = 0.02  # of the syncs take up to SLOWEST_SYNC_S
-SYNC_S, SLOWEST_SYNC_S = 0.002, 0.1
+SLOW_SYNC_SHARE = 0.02  # share of syncs that take up to MAX_SLOW_SYNC_S
+MAX_SYNC_S, MAX_SLOW_SYNC_S = 0.002, 0.1
 
 
 @dataclass(frozen=True)
 class SkewedClock:
     """A clock that is off by a constant and runs a little too fast or too slow."""
 
-    offset: float
-    drift: float
+    offset: float  # seconds
+    drift: float  # seconds gained per second
 
     def local(self, time: float) -> float:
-        """Return what the clock shows at a moment of the simulation."""
+        """Return the time that the clock shows at a moment of virtual time."""
         return self.offset + time * (1.0 + self.drift)
 
     def moment(self, local: float) -> float:
-        """Return the moment at which the clock shows a time."""
+        """Return the moment of virtual time at which the clock shows a time."""
         return (local - self.offset) / (1.0 + self.drift)
 
 
 class SimulatedDisk:
-    """Durable records. A snapshot replaces the records before it at once."""
+    """The durable records of a voter. A snapshot replaces all records before it in one step."""
 
     def __init__(self) -> None:
         """Start empty, as the first disk of the machine."""
         self.records: list[bytes] = []
-        self.number = 1
+        self.number = 1  # counts the disks that the machine has had
         self.full = False
 
     def append(self, record: bytes, replaces_all: bool) -> None:
@@ -58,4 +62,4 @@
 def draw_sync_time(random: Random) -> float:
     """Draw how many seconds a sync of the disk takes."""
     slow = random.random() < SLOW_SYNC_SHARE
-    return (SLOWEST_SYNC_S if slow else SYNC_S) * random.random()
+    return (MAX_SLOW_SYNC_S if slow else MAX_SYNC_S) * random.random()
--- a/merlinbay/control/simulation/observer.py
+++ b/merlinbay/control/simulation/observer.py
@@ -1,4 +1,4 @@
-"""Observes voters between their calls, and records changes for the checks."""
+"""Observes voters whose effects are all carried out, and records what changed for the checks."""
 
 from __future__ import annotations
 
@@ -17,29 +17,31 @@
 from merlinbay.control.simulation.ports import CoreUnderTest, LogExtent, VoterPort
 from merlinbay.control.simulation.process import SimulatedProcess
 
-NOTHING = LogExtent(0, 0, 0)
+EMPTY_EXTENT = LogExtent(0, 0, 0)
 
 
 @dataclass
 class ObservedStart:
-    """The last observation of one start of one voter."""
+    """The last observation of a voter since one of its starts."""
 
     voter: VoterPort
     revision: int = 0
-    extent: LogExtent = NOTHING
-    committed: int = 0
-    entries: dict[int, tuple[int, bool]] = field(default_factory=dict)  # term and whether committed
+    extent: LogExtent = EMPTY_EXTENT
+    committed: int = 0  # the highest commit index seen
+    entries: dict[int, tuple[int, bool]] = field(
+        default_factory=dict
+    )  # by index: the term, and whether it is committed
 
 
 class Observer:
-    """Remembers the last observation of each voter, so that only changes are recorded."""
+    """Keeps the last observation of each voter and records only what changed since then."""
 
     def __init__(self, core: CoreUnderTest, history: History) -> None:
         """Start without observations."""
         self.core = core
         self.history = history
         self.seen: dict[str, ObservedStart] = {}
-        self.led: set[tuple[str, int]] = set()
+        self.led: set[tuple[str, int]] = set()  # voters and the terms that they led
 
     def observe(self, host: SimulatedProcess, time: float) -> str:
         """Record the changes at a voter; return a line for the trace if it began to lead."""
@@ -49,7 +51,7 @@
         if seen is None or seen.voter is not voter:
             seen = self.seen[host.name] = ObservedStart(voter)
         self._observe_state(host.name, seen, time)
-        extent = self.core.extent(voter) or NOTHING
+        extent = self.core.extent(voter) or EMPTY_EXTENT
         if extent != seen.extent:
             self._observe_log(host, seen, extent, time)
         term = self.core.leading_term(voter)
@@ -88,19 +90,26 @@
         )
         previous = log.previous_term
         for entry in log.entries:
-            mark = (entry.term, entry.index <= extent.commit_index)
-            if seen.entries.get(entry.index) != mark:
-                seen.entries[entry.index] = mark
+            observed = (entry.term, entry.index <= extent.commit_index)
+            if seen.entries.get(entry.index) != observed:
+                seen.entries[entry.index] = observed
                 self.history.entries.append(
                     EntrySeen(
-                        time, host.name, entry.index, entry.term, entry.content, previous, mark[1], log.term
+                        time,
+                        host.name,
+                        entry.index,
+                        entry.term,
+                        entry.content,
+                        previous,
+                        observed[1],
+                        log.term,
                     )
                 )
             previous = entry.term
         seen.committed = max(seen.committed, extent.commit_index)
 
     def finish(self, hosts: list[SimulatedProcess]) -> None:
-        """Record the final state of voters."""
+        """Record the final state of the voters that run; the others are missing in the history."""
         self.history.expected_finals = len(hosts)
         for host in hosts:
             if host.voter is not None:
--- a/merlinbay/control/simulation/open_requests.py
+++ b/merlinbay/control/simulation/open_requests.py
@@ -1,4 +1,7 @@
-"""The proposals and reads that a simulated voter has not answered yet."""
+"""The proposals and reads that a simulated voter has not answered yet.
+
+A process adds each request that it passes to the core, and removes all of them when it ends.
+"""
 
 from __future__ import annotations
 
@@ -20,19 +23,22 @@
 
 
 class OpenRequests:
-    """Requests by token; also counts second answers to proposals, which must not happen."""
+    """The open requests by token.
+
+    It also counts repeated answers to a proposal, which a check reports as a fault.
+    """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without requests."""
         self._pending: dict[int, PendingRequest] = {}
         self._answered: dict[int, ProposalAttempt] = {}
 
     def add(self, token: int, reply: ReplyTo, attempt: ProposalAttempt | None = None) -> None:
-        """Wait for the answer to a request."""
+        """Add a request that waits for its answer."""
         self._pending[token] = PendingRequest(reply, attempt)
 
     def answer(self, effect: ProposalDone | ReadDone) -> None:
-        """Record an answer and pass it on."""
+        """Record an answer and pass it to the client, unless the request was answered before."""
         pending = self._pending.pop(effect.token, None)
         if pending is None:
             if effect.token in self._answered:
@@ -45,5 +51,5 @@
         pending.reply(effect)
 
     def clear(self) -> None:
-        """Forget the open requests: the process has ended."""
+        """Remove the open requests, because the process has ended."""
         self._pending.clear()
--- a/merlinbay/control/simulation/ports.py
+++ b/merlinbay/control/simulation/ports.py
@@ -1,4 +1,7 @@
-"""The interface of the simulation to the consensus core, so that tests can use a stand-in."""
+"""The interface between the simulation and the consensus core.
+
+The simulation uses the core only through it, so that tests can run the simulation with a stand-in.
+"""
 
 from __future__ import annotations
 
@@ -19,24 +22,24 @@
         """Return the revision of the last change applied."""
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after a revision, or None if they were compacted."""
+        """Return the changes after a revision, or None if they were compacted."""
 
 
 class VoterPort(Protocol):
-    """A voter of the control log: decisions only, effects are carried out by the host."""
+    """A voter of the control log. It only makes decisions; the host carries out their effects."""
 
     @property
     def keyspace(self) -> KeyspacePort:
         """Return the applied state."""
 
     def receive(self, now: float, sender: str, message: bytes) -> None:
-        """Take a message of another voter."""
+        """Handle a message from another voter."""
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do all work whose deadline has passed."""
 
     def next_deadline(self) -> float:
-        """Return when ``tick`` is due, by this voter's clock."""
+        """Return the time by this voter's clock at which ``tick`` is due."""
 
     def propose(self, now: float, change: Change, token: int) -> None:
         """Propose a change; answered by ``ProposalDone``."""
@@ -51,7 +54,10 @@
         """Hand the leadership to another voter."""
 
     def storage_failed(self, now: float, dropped: Sequence[VoterEffect] = ()) -> None:
-        """Stop taking part: a record could not be stored; the effects from it on are dropped."""
+        """Stop taking part, because a record could not be stored.
+
+        ``dropped`` holds the effects from that record on, which are not carried out.
+        """
 
     def take_effects(self) -> list[VoterEffect]:
         """Return the effects since the last call."""
@@ -59,7 +65,7 @@
 
 @dataclass(frozen=True)
 class ObservedEntry:
-    """An entry as the checks compare it."""
+    """The parts of an entry that the checks compare."""
 
     index: int
     term: int
@@ -79,16 +85,16 @@
 class LogView:
     """A voter's log from ``first_index`` on; earlier entries are compacted."""
 
-    term: int  # of the voter
+    term: int  # the voter's current term
     first_index: int
-    state_digest: str  # of the applied state, ids of changes included
-    previous_term: int | None  # of the entry before the first one
+    state_digest: str  # digest of the applied state, ids of changes included
+    previous_term: int | None  # term of the entry before the first one
     entries: tuple[ObservedEntry, ...]
 
 
 @dataclass(frozen=True)
 class ObservedVote:
-    """A vote that a voter gives; ``voter`` names its disk too."""
+    """A vote that a voter gives. ``voter`` also identifies the voter's disk."""
 
     voter: str
     term: int
@@ -97,7 +103,7 @@
 
 @dataclass(frozen=True)
 class VoterStart:
-    """The arguments of a voter's start."""
+    """The arguments with which a voter is started."""
 
     name: str
     first_voters: tuple[str, ...]  # the voters of the first configuration
@@ -108,13 +114,13 @@
 
 @dataclass(frozen=True)
 class CoreUnderTest:
-    """The code under test: how to start a voter, and how to look into it."""
+    """The code under test: functions that start a voter and read its state."""
 
     start: Callable[[VoterStart], VoterPort]
     snapshot: Callable[[VoterPort], StateSnapshot]
-    leading_term: Callable[[VoterPort], int | None]  # the term that the voter leads by its own account
-    voters: Callable[[VoterPort], frozenset[str]]  # of the voter's configuration
-    admitted: Callable[[VoterPort], bool]  # whether its vote counts, with the disk that it has
-    extent: Callable[[VoterPort], LogExtent | None]  # None: it has no observable log
-    log: Callable[[VoterPort, int], LogView]  # from an index on
-    vote: Callable[[str, bytes], ObservedVote | None]  # the vote in a message of a sender, if it is one
+    leading_term: Callable[[VoterPort], int | None]  # the term in which the voter considers itself leader
+    voters: Callable[[VoterPort], frozenset[str]]  # the members of the voter's configuration
+    admitted: Callable[[VoterPort], bool]  # whether its vote counts with its current disk
+    extent: Callable[[VoterPort], LogExtent | None]  # None if the voter has no observable log
+    log: Callable[[VoterPort, int], LogView]  # the log from an index on
+    vote: Callable[[str, bytes], ObservedVote | None]  # the vote in a sender's message, if it contains one
--- a/merlinbay/control/simulation/process.py
+++ b/merlinbay/control/simulation/process.py
@@ -48,7 +48,7 @@
         """Record the state of a voter whose effects are all carried out."""
 
     def attempted(self, attempt: ProposalAttempt) -> None:
-        """Record that a change was handed to a voter."""
+        """Record that a change was passed to a voter."""
 
     def failed(self, host: SimulatedProcess, problem: str) -> None:
         """Record an exception of the code under test."""
--- a/merlinbay/control/simulation/regions.py
+++ b/merlinbay/control/simulation/regions.py
@@ -1,4 +1,4 @@
-"""The regions of all scenarios."""
+"""The names of the regions, which all scenarios share."""
 
 from __future__ import annotations
 
--- a/merlinbay/control/simulation/scenario.py
+++ b/merlinbay/control/simulation/scenario.py
@@ -1,4 +1,7 @@
-"""The scenario of a run: regions, delays, clients and faults, all drawn from the seed."""
+"""The scenario of a run: regions, delays, clients and faults, all drawn from the seed.
+
+The same seed always gives the same scenario, so the order of the draws must not change.
+"""
 
 from __future__ import annotations
 
@@ -12,33 +15,33 @@
 from merlinbay.control.simulation.network import NetworkSettings
 from merlinbay.control.simulation.regions import REGIONS
 
-SPREAD = {5: (2, 2, 1), 7: (3, 2, 2)}  # voters by region; three of one region are 3 of 7, or 3 of 5 below
-CROWDED = (3, 1, 1)  # 5 voters of which one region has the majority
+SPREAD = {5: (2, 2, 1), 7: (3, 2, 2)}  # voters by region; at most 3 of 7, no majority
+CROWDED = (3, 1, 1)  # voters by region; one region has 3 of 5, the majority
 MAX_CLOCK_OFFSET_S = 3600.0
-MAX_CLOCK_DRIFT = 0.0005  # 500 parts in a million: ten times a bad quartz
+MAX_CLOCK_DRIFT = 0.0005  # 500 parts per million, ten times that of a bad quartz
 HOUR_S = 3600.0
-CUT_OFF_AT_S = 30.0  # seconds until the region of a partition is cut off
-QUIET_S = 60.0  # seconds: a snapshot of 20 KB in chunks of 150 bytes takes some 20 s, and may start again
+CUT_OFF_AT_S = 30.0  # time at which ``draw_partition`` cuts a region off
+QUIET_S = 60.0  # a snapshot of 20 KB in chunks of 150 bytes takes about 20 s and may start again
 KEYS = ("teams/a/quota", "teams/b/quota", "limits/starts", "limits/urgent")
 
 
 @dataclass(frozen=True)
 class ControlScenario:
-    """The input of a run beside the code under test."""
+    """The input of a run, apart from the code under test."""
 
     seed: int
     duration: float  # seconds with clients and faults
-    quiet: float  # seconds without, before the final state is checked
-    regions: dict[str, str]  # of every place
-    voters: tuple[str, ...]  # the first ones
-    spares: tuple[str, ...]
+    quiet: float  # seconds without faults, before the final state is checked
+    regions: dict[str, str]  # by the name of a machine, client or follower
+    voters: tuple[str, ...]  # the voters of the first configuration
+    spares: tuple[str, ...]  # machines that are no voters at first
     clients: tuple[str, ...]
     followers: tuple[str, ...]
-    clocks: dict[str, tuple[float, float]]  # offset and drift
+    clocks: dict[str, tuple[float, float]]  # offset in seconds and drift, by machine
     network: NetworkSettings
     faults: tuple[Fault, ...]
     think_time: float  # mean seconds between two operations of a client
-    batches: bool = False  # hosts handle all inputs that wait at once
+    batches: bool = False  # whether hosts handle all waiting inputs at once
 
     @property
     def machines(self) -> tuple[str, ...]:
@@ -78,7 +81,10 @@
 
 
 def draw_partition(seed: int) -> ControlScenario:
-    """Draw a scenario in which a region is cut off for an hour; at even seeds, one with the majority."""
+    """Draw a scenario in which a region is cut off for an hour.
+
+    With an even seed, this region has the majority of the voters.
+    """
     random = Random(f"control partition {seed}")
     voters, regions = _voters(CROWDED if seed % 2 == 0 else SPREAD[5])
     clients = tuple(f"client-{region}" for region in REGIONS)
@@ -120,18 +126,21 @@
             random.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S),
         )
     )
-    # The core is given a monotonic clock, which is not negative.
+    # The core expects a monotonic clock, which is never negative.
     return offset + 2 * MAX_CLOCK_OFFSET_S, random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
 
 
 def draw_network(random: Random) -> NetworkSettings:
-    """Draw the delays, 2 to 60 ms one way between regions, and how bad the network is."""
-    bad = random.random()
+    """Draw the delays between regions, 2 to 60 ms one way, and the rates of the network's faults."""
+    badness = random.random()
     return NetworkSettings(
-        delays=tuple((one, other, random.uniform(0.002, 0.06)) for one, other in combinations(REGIONS, 2)),
+        delays=tuple(
+            (region, peer_region, random.uniform(0.002, 0.06))
+            for region, peer_region in combinations(REGIONS, 2)
+        ),
         jitter=random.choice((0.05, 0.3)),
-        loss=bad * random.choice((0.0, 0.02, 0.1)),
-        duplication=bad * random.choice((0.0, 0.05, 0.2)),
-        reordering=bad * random.choice((0.0, 0.05, 0.2)),
+        loss=badness * random.choice((0.0, 0.02, 0.1)),
+        duplication=badness * random.choice((0.0, 0.05, 0.2)),
+        reordering=badness * random.choice((0.0, 0.05, 0.2)),
         held_back=random.choice((0.1, 1.0, 5.0)),
     )
--- a/merlinbay/control/simulation/sequences.py
+++ b/merlinbay/control/simulation/sequences.py
@@ -1,4 +1,4 @@
-"""Scenarios made for one rule each: sequences of events that faults at random seldom hit."""
+"""Scenarios that each test one rule with a sequence of events that random faults seldom produce."""
 
 from __future__ import annotations
 
@@ -9,55 +9,59 @@
 from merlinbay.control.simulation.network import NetworkSettings
 from merlinbay.control.simulation.scenario import ControlScenario, draw
 
-CYCLE = 14.0  # seconds from one sequence to the next
-CYCLES = 3
+CYCLE_S = 14.0  # from the start of one sequence to the start of the next
+CYCLES = 3  # sequences in a scenario
 
 
 def _steady(seed: int, faults: list[Fault], think_time: float) -> ControlScenario:
-    """Return the scenario of a seed with a sound network and these faults only."""
+    """Return the scenario of a seed with a network that loses nothing, and with these faults only."""
     drawn = draw(seed)
     network = NetworkSettings(drawn.network.delays, 0.05, 0.0, 0.0, 0.0, 0.0)
-    duration = 2.0 + CYCLES * CYCLE
+    duration = 2.0 + CYCLES * CYCLE_S
     return replace(drawn, duration=duration, network=network, faults=tuple(faults), think_time=think_time)
 
 
 def overwritten_majority(seed: int) -> ControlScenario:
     """Return figure 8 of the Raft paper: a majority stores an entry that a later leader overwrites.
 
-    The leader goes on with one follower only; another one is elected, stores its first entry and crashes; the
-    first one leads again and brings its old entries to a majority, but is cut off before an entry of its new
-    term is there too; the second one comes back.
+    The leader continues with one follower only, or with more where they are no majority. Another voter is
+    elected, stores its first entry and crashes. The first leader leads again and replicates its old entries
+    to a majority, but is cut off before an entry of its new term gets there too. Then the second leader
+    restarts.
     """
     random = Random(f"overwritten majority {seed}")
     machines = draw(seed).machines
     faults: list[Fault] = []
     for number in range(CYCLES):
-        at = 3.0 + number * CYCLE
-        follower = random.sample(machines, max(1, len(machines) // 2 - 1))
-        back = at + random.uniform(1.6, 2.4)
-        lost = back + random.uniform(0.6, 2.2)
+        at = 3.0 + number * CYCLE_S
+        followers = random.sample(machines, max(1, len(machines) // 2 - 1))
+        healed_at = at + random.uniform(1.6, 2.4)
+        cut_again_at = healed_at + random.uniform(0.6, 2.2)
         faults += [
-            Cut(at, back - at, tuple(follower), True, True, True),
+            Cut(at, healed_at - at, tuple(followers), True, True, True),
             CrashLeaders(at + 0.01, tuple((name, 1, 2.5) for name in machines), spares_leader=True),
-            Cut(lost, 4.0, tuple(follower), True, True, True),
+            Cut(cut_again_at, 4.0, tuple(followers), True, True, True),
         ]
     return _steady(seed, faults, think_time=0.1)
 
 
 def handover_and_cut(seed: int) -> ControlScenario:
-    """Return a leader that is cut from the others just after it handed its leadership over."""
+    """Return a scenario whose leaders are cut off just after handing their leadership over."""
     faults: list[Fault] = [MoveLeadership(3.0 + 4.0 * number, 2.0) for number in range(9)]
     return _steady(seed, faults, think_time=0.05)
 
 
 def voters_of_two_leaders(seed: int) -> ControlScenario:
-    """Return chains of changes of voters at a leader that is cut off with half of the machines."""
+    """Return a scenario of changes of voters at a leader that is cut off with half of the machines.
+
+    Some changes follow while two leaders may exist, each with other voters.
+    """
     random = Random(f"voters of two leaders {seed}")
     drawn = draw(seed)
     machines = (*drawn.voters, "spare-1", "spare-2")
     faults: list[Fault] = []
     for number in range(3 * CYCLES):
-        at = 3.0 + number * CYCLE / 3
+        at = 3.0 + number * CYCLE_S / 3
         side = tuple(random.sample(machines, len(machines) // 2))
         choices = tuple(random.random() for _ in range(4))
         faults += [
--- a/merlinbay/control/simulation/shrink.py
+++ b/merlinbay/control/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Reduces a failing scenario to fewer faults and clients that still break the same check."""
+"""Reduces a failing scenario to fewer faults and clients that still violate the same check."""
 
 from __future__ import annotations
 
@@ -8,11 +8,15 @@
 from merlinbay.control.simulation.scenario import ControlScenario
 from merlinbay.control.simulation.simulation import SimulationRun
 
-MAX_RUNS = 200
+MAX_RUNS = 200  # of reduced scenarios
 
 
 def _smaller(scenario: ControlScenario) -> Iterator[ControlScenario]:
-    """Yield scenarios with less in them: without half of the faults, then one, then with fewer clients."""
+    """Yield reduced scenarios.
+
+    First come those without half of the faults, then without one fault, then with fewer clients, and last
+    without followers.
+    """
     faults = scenario.faults
     half = len(faults) // 2
     if half > 1:
@@ -29,18 +33,21 @@
 def shrink(
     run: SimulationRun, play: Callable[[ControlScenario], SimulationRun], max_runs: int = MAX_RUNS
 ) -> SimulationRun:
-    """Return the smallest run found that breaks the check that the given one broke first."""
-    wanted = run.violations[0].check
-    left = max_runs
+    """Return the smallest run found that violates the first check that the given run violates.
+
+    Stops after ``max_runs`` runs, or when no reduction violates the check any more.
+    """
+    check = run.violations[0].check
+    runs_left = max_runs
     progress = True
-    while progress and left > 0:
+    while progress and runs_left > 0:
         progress = False
         for scenario in _smaller(run.scenario):
-            left -= 1
-            tried = play(scenario)
-            if any(violation.check == wanted for violation in tried.violations):
-                run, progress = tried, True
+            runs_left -= 1
+            smaller_run = play(scenario)
+            if any(violation.check == check for violation in smaller_run.violations):
+                run, progress = smaller_run, True
                 break
-            if left <= 0:
+            if runs_left <= 0:
                 break
     return run
--- a/merlinbay/control/simulation/simulation.py
+++ b/merlinbay/control/simulation/simulation.py
@@ -1,4 +1,8 @@
-"""One simulation run: voters, clients and followers in virtual time, from a scenario to a history."""
+"""Runs one simulation: voters, clients and followers in virtual time, from a scenario to a history.
+
+``play`` is called by the tests and by ``bench.control``. An exception of the code under test, or too many
+steps, does not raise: it is recorded in the history as a failure, and the checks report it.
+"""
 
 from __future__ import annotations
 
@@ -25,14 +29,14 @@
 from merlinbay.control.simulation.scheduler import Scheduler, TooManyStepsError
 
 FINAL = "final"  # the client that checks every key after the faults are over
-FINAL_INTERVAL_S = 6.0  # for a change and a read; a spare knows no leader, so some attempts fail
-NEXT_MOVE_AFTER_S = 0.02  # from the answer to a change of voters to the next one
-MAX_STEPS_PER_S = 3000  # of virtual time; a correct run has some 150
+FINAL_INTERVAL_S = 6.0  # time for a change and a read; some attempts fail since a spare knows no leader
+NEXT_MOVE_AFTER_S = 0.02  # pause between the answer to a change of voters and the next change
+MAX_STEPS_PER_S = 3000  # steps per second of virtual time; a correct run takes about 150
 
 
 @dataclass(frozen=True)
 class SimulationRun:
-    """The result of a run. ``fingerprint`` is equal for two runs that went the same way."""
+    """The result of a run. ``fingerprint`` is equal for two runs that took the same course."""
 
     scenario: ControlScenario
     history: History
@@ -43,10 +47,10 @@
 
 
 class ControlSimulation:
-    """The parts of one run."""
+    """One run: creates its parts, connects them, and records the history."""
 
     def __init__(self, scenario: ControlScenario, core: CoreUnderTest) -> None:
-        """Create all parts; ``run`` plays the scenario."""
+        """Create all parts; ``run`` starts them."""
         self.scenario = scenario
         self.core = core
         self.scheduler = Scheduler(int(MAX_STEPS_PER_S * (scenario.duration + scenario.quiet)))
@@ -115,7 +119,7 @@
         self.observer.finish([self.hosts[name] for name in sorted(names)])
 
     def _check_keys_finally(self) -> None:
-        """Write and read every key with a client that goes on after its stop."""
+        """Write and read every key with the final client, which repeats them also after its stop."""
         self.final.stop()
         for number, key in enumerate(KEYS):
             self._finally(
@@ -141,7 +145,10 @@
         return max(leading, key=lambda pair: pair[0])[1] if leading else None
 
     def move_voters(self, choices: tuple[float, ...]) -> None:
-        """Ask the leader to add or remove one voter, and then the next one."""
+        """Ask the leader to add or remove one voter for each choice, one after the other.
+
+        Stops when there is no leader or no voter to add or remove.
+        """
         leader = self.leader()
         if leader is None or leader.voter is None or not choices:
             return
@@ -157,11 +164,14 @@
         leader.change_voters(add, remove, next(self.tokens), answered)
 
     def _choose_voter(self, voters: frozenset[str], choice: float) -> tuple[str | None, str | None]:
-        """Return whom to add or to remove; at least the first number of voters stays."""
-        others = sorted(set(self.scenario.machines) - voters)
+        """Return a voter to add and a voter to remove, of which one or both are None.
+
+        The number of voters never falls below that of the first configuration.
+        """
+        non_voters = sorted(set(self.scenario.machines) - voters)
         surplus = len(voters) - len(self.scenario.voters)
-        if others and (surplus <= 0 or choice < 0.5):
-            return others[int(choice * len(others))], None
+        if non_voters and (surplus <= 0 or choice < 0.5):
+            return non_voters[int(choice * len(non_voters))], None
         if surplus > 0:
             return None, sorted(voters)[int(choice * len(voters))]
         return None, None
@@ -200,7 +210,7 @@
     def request_update(
         self, follower: str, voter: str, revision: int, on_answer: Callable[[StateUpdate], None]
     ) -> None:
-        """Ask a voter for the changes after a revision; it does not answer if it has none."""
+        """Ask a voter for the changes after a revision; it does not answer if there are none."""
 
         def call(running: VoterPort, now: float) -> None:
             if running.keyspace.revision <= revision:
@@ -213,13 +223,13 @@
             self.scheduler.after(delay, lambda: self.hosts[voter].give(call))
 
     def observe(self, host: SimulatedProcess) -> None:
-        """Record what is new at a voter."""
+        """Record what has changed at a voter."""
         line = self.observer.observe(host, self.scheduler.time)
         if line:
             self.trace(line)
 
     def attempted(self, attempt: ProposalAttempt) -> None:
-        """Record that a change was handed to a voter."""
+        """Record that a change was passed to a voter."""
         self.history.attempts.append(attempt)
 
     def failed(self, host: SimulatedProcess, problem: str) -> None:
