--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -1,4 +1,8 @@
-"""A cluster of control processes for tests: real processes, with the rig's proxies between them."""
+"""A cluster of control processes for tests: real processes, with the rig's proxies between them.
+
+``cluster`` starts the processes and ends them on leaving. Conditions are awaited for up to ``WAIT_S``; after
+that, the test fails with the end of every log.
+"""
 
 from __future__ import annotations
 
@@ -30,20 +34,20 @@
 from merlinbay.rig.run import own_net
 from merlinbay.rig.script import LinkFaults
 
-WAIT_S = 60.0  # until something has to have happened, on a machine that is busy with other things
-LOOK_S = 0.05
+WAIT_S = 60.0  # longest wait for a condition, on a machine that is busy with other work
+POLL_INTERVAL_S = 0.05  # between two evaluations of a condition
 OPERATOR_PORT = 8081
-SPARE = 200  # last number of the address of followers in the test's own process
+FOLLOWER_HOST_NUMBER = 200  # last part of the address of followers in the test's own process
 ZONE = Location("region", "zone")
 
 
 Scenario = Callable[[Path], Awaitable[None]]
-SIDE_BY_SIDE = 4  # scenarios at a time: some fifteen processes, 600 MB
+MAX_CONCURRENT_SCENARIOS = 4  # about fifteen processes and 600 MB
 
 
 def run_side_by_side(scenarios: Sequence[Scenario], folder: Path) -> dict[str, BaseException | None]:
-    """Run scenarios, some at a time; return what each failed with, by its name."""
-    found: dict[str, BaseException | None] = {}
+    """Run scenarios, some of them concurrently; return the error or None of each, by its name."""
+    errors: dict[str, BaseException | None] = {}
 
     async def run(scenario: Scenario, limit: trio.Semaphore) -> None:
         name = scenario.__name__
@@ -51,38 +55,38 @@
             try:
                 await scenario(folder / name)
             except Exception as error:
-                found[name] = error
+                errors[name] = error
             else:
-                found[name] = None
+                errors[name] = None
 
     async def run_all() -> None:
-        limit = trio.Semaphore(SIDE_BY_SIDE)
+        limit = trio.Semaphore(MAX_CONCURRENT_SCENARIOS)
         async with trio.open_nursery() as nursery:
             for scenario in scenarios:
                 nursery.start_soon(run, scenario, limit)
 
     trio.run(run_all)
-    return found
+    return errors
 
 
 @dataclass
 class Machine:
-    """One control process."""
+    """One control process, its addresses and its files."""
 
     name: str
-    address: str  # its own
-    shown: str  # where the others reach it: a proxy
+    address: str  # address at which the process itself listens
+    shown: str  # address of the proxy through which the others reach it
     folder: Path
-    text: str
+    text: str  # its configuration file
     process: subprocess.Popen[bytes] | None = None
 
     @property
     def operator(self) -> str:
-        """Return where its operators' calls are taken."""
+        """Return the address for operators' calls."""
         return f"{self.address}:{OPERATOR_PORT}"
 
     def start(self) -> None:
-        """Start it."""
+        """Write the configuration file and start the process."""
         path = self.folder / f"{self.name}.toml"
         path.write_text(self.text)
         with open(self.folder / f"{self.name}.log", "ab") as log:
@@ -94,29 +98,29 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     def lose_disk(self) -> None:
-        """Delete what it has stored."""
+        """Delete the stored data of the process."""
         shutil.rmtree(self.folder / self.name)
 
 
 @dataclass
 class Cluster:
-    """All machines of a test, and calls of them."""
+    """All machines of a test, and the calls that a test makes to them."""
 
     folder: Path
     voters: list[Machine]
     relays: list[Machine]
-    spare_addresses: list[str]  # for followers
+    spare_addresses: list[str]  # addresses for followers in the test's own process
     proxies: Proxies
     nursery: trio.Nursery
     client: httpx.AsyncClient
@@ -130,11 +134,11 @@
         return self.voters + self.relays
 
     def cut(self, sender: Machine, receiver: Machine) -> None:
-        """Carry nothing more from one machine to another."""
+        """Stop all messages from one machine to another."""
         self.proxies.cut.add((self.machines.index(sender), self.machines.index(receiver)))
 
     def heal(self) -> None:
-        """Carry everything again."""
+        """Remove all cuts."""
         self.proxies.cut.clear()
 
     async def call(
@@ -146,30 +150,30 @@
         timeout: float = 5.0,
         redirects: bool = True,
     ) -> tuple[int, dict[str, Any]]:
-        """Make one call; 599 where no answer comes."""
+        """Make one call; return its status and answer, or 599 if no valid answer comes."""
         try:
             url = f"http://{machine.operator}/control/{path}"
-            found = await self.client.request(
+            response = await self.client.request(
                 method, url, json=body, timeout=timeout, follow_redirects=redirects
             )
-            return found.status_code, json.loads(found.content or b"{}")
+            return response.status_code, json.loads(response.content or b"{}")
         except (httpx.HTTPError, ValueError) as error:
             return 599, {"error": repr(error)}
 
     async def status(self, machine: Machine) -> dict[str, Any] | None:
-        """Return a machine's status; None: it does not answer."""
-        code, found = await self.call(machine, "GET", "status", timeout=2.0)
-        return found if code == 200 else None
+        """Return a machine's status, or None if it does not answer."""
+        code, status = await self.call(machine, "GET", "status", timeout=2.0)
+        return status if code == 200 else None
 
-    async def until(self, what: str, holds: Callable[[], Any]) -> Any:
+    async def until(self, description: str, holds: Callable[[], Any]) -> Any:
         """Wait until an asynchronous condition is true and return its value."""
         with trio.move_on_after(WAIT_S):
             while True:
-                found = await holds()
-                if found:
-                    return found
-                await trio.sleep(LOOK_S)
-        raise AssertionError(f"{what}: not within {WAIT_S} s\n{self.logs()}")
+                value = await holds()
+                if value:
+                    return value
+                await trio.sleep(POLL_INTERVAL_S)
+        raise AssertionError(f"{description}: not within {WAIT_S} s\n{self.logs()}")
 
     def logs(self) -> str:
         """Return the end of every log."""
@@ -183,26 +187,29 @@
     async def leader(self, among: list[Machine] | None = None, not_in: tuple[Machine, ...] = ()) -> Machine:
         """Wait for a leader that another voter follows in the same term."""
 
-        async def found() -> Machine | None:
-            candidates = [one for one in among or self.voters if one not in not_in]
-            views = [(one, await self.status(one)) for one in candidates]
-            voting = {one.name: view["voting"] for one, view in views if view is not None}
-            for one in candidates:
-                own = voting.get(one.name)
+        async def followed_leader() -> Machine | None:
+            candidates = [machine for machine in among or self.voters if machine not in not_in]
+            views = [(candidate, await self.status(candidate)) for candidate in candidates]
+            voting = {candidate.name: view["voting"] for candidate, view in views if view is not None}
+            for candidate in candidates:
+                own = voting.get(candidate.name)
                 if own is None or own["state"] != "leader":
                     continue
                 for name, other in voting.items():
-                    if name != one.name and (other["leader"], other["term"]) == (one.name, own["term"]):
-                        return one
+                    if name != candidate.name and (other["leader"], other["term"]) == (
+                        candidate.name,
+                        own["term"],
+                    ):
+                        return candidate
             return None
 
-        leader: Machine = await self.until("a leader", found)
+        leader: Machine = await self.until("a leader", followed_leader)
         return leader
 
     async def change(
         self, key: str, value: object, change_id: str, among: list[Machine] | None = None
     ) -> int:
-        """Have a change applied, repeated with its id until it is; return its revision."""
+        """Repeat a change with the same id until it is applied; return its revision."""
         machines = among or self.voters
         attempt = 0
 
@@ -210,23 +217,23 @@
             nonlocal attempt
             attempt += 1
             body = {"change_id": change_id, "key": key, "value": value}
-            code, found = await self.call(machines[attempt % len(machines)], "POST", "changes", body)
-            assert code in (200, 503, 599), found
-            return int(found["revision"]) if code == 200 else 0
+            code, answer = await self.call(machines[attempt % len(machines)], "POST", "changes", body)
+            assert code in (200, 503, 599), answer
+            return int(answer["revision"]) if code == 200 else 0
 
         revision: int = await self.until(f"change {change_id}", applied)
         return revision
 
     async def local(self, machine: Machine) -> dict[str, Any]:
-        """Return all keys that a machine has: its answer without the age."""
-        code, found = await self.call(machine, "GET", "keys?prefix=")
-        return {"revision": found["revision"], "entries": found["entries"]} if code == 200 else {}
+        """Return all keys of a machine: its answer without the age."""
+        code, answer = await self.call(machine, "GET", "keys?prefix=")
+        return {"revision": answer["revision"], "entries": answer["entries"]} if code == 200 else {}
 
     async def same_state(self, machines: list[Machine], revision: int) -> dict[str, Any]:
-        """Wait until machines have the same keys at a revision or later; return them."""
+        """Wait until the machines have the same keys at the revision or a later one; return them."""
 
         async def same() -> dict[str, Any] | None:
-            states = [await self.local(one) for one in machines]
+            states = [await self.local(machine) for machine in machines]
             ready = states[0] and states[0]["revision"] >= revision
             return states[0] if ready and all(state == states[0] for state in states) else None
 
@@ -240,16 +247,16 @@
         generation: Generation = NO_GENERATION,
         saved: StateSnapshot | None = None,
     ) -> FollowerHost:
-        """Start a follower in this process."""
+        """Start a follower in the test's own process."""
         local_peer = LocalPeer(name, "follower", "test", self.keys, bind=self.spare_addresses[0])
-        known = [
-            Upstream(one.name, f"{one.shown}:{PORT}", ZONE, 1 if one in self.relays else 0)
-            for one in upstreams
+        configured_upstreams = [
+            Upstream(machine.name, f"{machine.shown}:{PORT}", ZONE, 1 if machine in self.relays else 0)
+            for machine in upstreams
         ]
         host = FollowerHost(
             local_peer,
             ZONE,
-            known,
+            configured_upstreams,
             FollowerSettings(move_spread=0.5),
             Random(self.random.random()),
             self.nursery,
@@ -271,39 +278,44 @@
         f'keys = "{keys}"',
     ]
     if index < voters:
-        initial = json.dumps([one.name for one in machines[:voters]])
+        initial = json.dumps([voter.name for voter in machines[:voters]])
         lines += ["[voter]", f'data = "{machine.folder / machine.name}"', f"initial = {initial}"]
         lines.append(f"compact_after = {compact_after}")
     else:
-        lines += [f"upstreams = {json.dumps([one.name for one in machines[:voters]])}", "[relay]"]
-    for number, one in enumerate(machines):
-        lines += [f"[machines.{one.name}]", f'address = "{one.shown}:{PORT}"', f'operator = "{one.operator}"']
+        lines += [f"upstreams = {json.dumps([voter.name for voter in machines[:voters]])}", "[relay]"]
+    for number, listed in enumerate(machines):
+        lines += [
+            f"[machines.{listed.name}]",
+            f'address = "{listed.shown}:{PORT}"',
+            f'operator = "{listed.operator}"',
+        ]
         lines.append(f"tier = {int(number >= voters)}")
     return "\n".join(lines) + "\n"
 
 
 def reserve_net(machines: int) -> tuple[int, socket.socket]:
-    """Return the second number of a net 127.N of which nobody uses anything, and what keeps it reserved.
+    """Return the number N of an unused net 127.N, and the socket that keeps it reserved.
 
-    Guards against other runs on the machine, whose addresses in a net may be others than the rig's.
+    Checks every address that a cluster uses, because other runs on the machine may use other addresses of a
+    net than the rig does.
     """
     for _ in range(100):
         net = own_net()
-        held = socket.socket()
+        reservation = socket.socket()
         try:
-            held.bind((f"127.{net}.9.9", PORT))
+            reservation.bind((f"127.{net}.9.9", PORT))
             for part in (1, 2):
-                for host in [*range(1, machines + 1), SPARE]:
+                for host in [*range(1, machines + 1), FOLLOWER_HOST_NUMBER]:
                     _check_free(f"127.{net}.{part}.{host}")
         except OSError:
-            held.close()
+            reservation.close()
             continue
-        return net, held
-    raise AssertionError("no free loopback net")
+        return net, reservation
+    raise AssertionError("no unused loopback net in 100 attempts")
 
 
 def _check_free(address: str) -> None:
-    """Raise ``OSError`` where somebody uses the address."""
+    """Raise ``OSError`` if another process uses a port of the address."""
     for kind, port in (
         (socket.SOCK_STREAM, PORT),
         (socket.SOCK_DGRAM, PORT),
@@ -317,12 +329,12 @@
 async def cluster(
     folder: Path, voters: int = 3, relays: int = 0, compact_after: int = 4096, start: bool = True
 ) -> AsyncIterator[Cluster]:
-    """Start machines and proxies; all have ended on leaving."""
+    """Start machines and proxies; end all of them on leaving."""
     folder.mkdir(parents=True, exist_ok=True)
     keys = folder / "keys"
     secret = b"s" * 32
     keys.write_text(base64.b64encode(secret).decode() + "\n")
-    net, held = reserve_net(voters + relays)
+    net, reservation = reserve_net(voters + relays)
     names = [f"v{number}" for number in range(voters)] + [f"r{number}" for number in range(relays)]
     machines = [
         Machine(name, f"127.{net}.1.{number}", f"127.{net}.2.{number}", folder, "")
@@ -330,11 +342,11 @@
     ]
     for machine in machines:
         machine.text = _text(machine, machines, voters, keys, compact_after)
-    spare = f"127.{net}.1.{SPARE}"
+    spare = f"127.{net}.1.{FOLLOWER_HOST_NUMBER}"
     random = Random(len(names))
     proxies = Proxies(
-        [one.address for one in machines] + [spare],
-        [one.shown for one in machines] + [f"127.{net}.2.{SPARE}"],
+        [machine.address for machine in machines] + [spare],
+        [machine.shown for machine in machines] + [f"127.{net}.2.{FOLLOWER_HOST_NUMBER}"],
         random,
         LinkFaults(),
     )
@@ -343,9 +355,9 @@
         trio.open_nursery() as nursery,
         httpx.AsyncClient(follow_redirects=True, trust_env=False) as client,
     ):
-        stack.enter_context(held)
+        stack.enter_context(reservation)
         await nursery.start(proxies.run)
-        found = Cluster(
+        running_cluster = Cluster(
             folder,
             machines[:voters],
             machines[voters:],
@@ -359,7 +371,7 @@
         try:
             for machine in machines if start else []:
                 machine.start()
-            yield found
+            yield running_cluster
         finally:
             for machine in machines:
                 machine.kill()
--- a/tests/control_scenarios.py
+++ b/tests/control_scenarios.py
@@ -1,4 +1,7 @@
-"""What is done to clusters of control processes, and what has to hold. Verdicts rest on events, not time."""
+"""Scenarios with faults in a cluster of control processes, and checks of what has to hold in each.
+
+The assertions depend on events and not on how long they take, since the machine may be busy.
+"""
 
 from __future__ import annotations
 
@@ -27,29 +30,32 @@
 
 
 def without(machines: list[Machine], *left_out: Machine) -> list[Machine]:
-    """Return all machines but some."""
-    return [one for one in machines if one not in left_out]
+    """Return the machines that are not in ``left_out``."""
+    return [machine for machine in machines if machine not in left_out]
 
 
 async def leader_killed(folder: Path) -> None:
-    """Acknowledged changes outlive the leader; a repeat is recognised; of two changes of a key one wins."""
-    async with cluster(folder) as found:
-        leader = await found.leader()
-        first = await found.change("teams/a", TEAM, "first")
+    """Check that acknowledged changes survive a killed leader and a repeated one is not applied again.
+
+    Of two concurrent changes of a key with the same expected revision, exactly one is applied.
+    """
+    async with cluster(folder) as test_cluster:
+        leader = await test_cluster.leader()
+        first = await test_cluster.change("teams/a", TEAM, "first")
         leader.kill()
-        rest = without(found.voters, leader)
-        second = await found.change("teams/b", TEAM, "second", rest)
+        remaining = without(test_cluster.voters, leader)
+        second = await test_cluster.change("teams/b", TEAM, "second", remaining)
         assert second > first
-        assert await found.change("teams/a", TEAM, "first", rest) == first
-        answers = await two_changes_at_once(found, rest, first)
+        assert await test_cluster.change("teams/a", TEAM, "first", remaining) == first
+        answers = await two_changes_at_once(test_cluster, remaining, first)
         assert sorted(answers) == [200, 409]
         leader.start()
-        state = await found.same_state(found.voters, second + 1)
-        assert [one["revision"] for one in state["entries"]] == [second + 1, second]
+        state = await test_cluster.same_state(test_cluster.voters, second + 1)
+        assert [entry["revision"] for entry in state["entries"]] == [second + 1, second]
 
 
-async def two_changes_at_once(found: Cluster, machines: list[Machine], revision: int) -> list[int]:
-    """Have two clients change one key from one revision; return the status that each got in the end."""
+async def two_changes_at_once(test_cluster: Cluster, machines: list[Machine], revision: int) -> list[int]:
+    """Let two clients change a key with the same expected revision; return the final status of each."""
     answers: list[int] = []
 
     async def change(number: int) -> None:
@@ -61,10 +67,10 @@
         }
 
         async def decided() -> int:
-            code, _ = await found.call(machines[number], "POST", "changes", body)
+            code, _ = await test_cluster.call(machines[number], "POST", "changes", body)
             return code if code in (200, 409) else 0
 
-        answers.append(await found.until("a decision", decided))
+        answers.append(await test_cluster.until("a decision", decided))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(change, 0)
@@ -73,256 +79,293 @@
 
 
 async def leader_stopped_and_woken(folder: Path) -> None:
-    """Nothing that a stopped leader was asked is lost or applied twice; woken, it follows."""
-    async with cluster(folder) as found:
-        await found.change("teams/a", TEAM, "before")
-        old = await found.leader()
-        before = await found.status(old)
+    """Check that a change sent to a suspended leader is neither lost nor applied twice.
+
+    The resumed leader has to follow the new one.
+    """
+    async with cluster(folder) as test_cluster:
+        await test_cluster.change("teams/a", TEAM, "before")
+        old = await test_cluster.leader()
+        before = await test_cluster.status(old)
         assert before is not None
         old.signal(signal.SIGSTOP)
         late = {"change_id": "late", "key": "teams/late", "value": TEAM}
-        code, _ = await found.call(old, "POST", "changes", late, timeout=1.0)
+        code, _ = await test_cluster.call(old, "POST", "changes", late, timeout=1.0)
         assert code == 599
-        new = await found.leader(not_in=(old,))
-        during = await found.change("teams/a", {"tasks_running": 2}, "during", without(found.voters, old))
+        new = await test_cluster.leader(not_in=(old,))
+        during = await test_cluster.change(
+            "teams/a", {"tasks_running": 2}, "during", without(test_cluster.voters, old)
+        )
         old.signal(signal.SIGCONT)
 
         async def follows() -> bool:
-            own, other = await found.status(old), await found.status(new)
-            if own is None or other is None or own["voting"]["term"] <= before["voting"]["term"]:
+            old_status, new_status = await test_cluster.status(old), await test_cluster.status(new)
+            if (
+                old_status is None
+                or new_status is None
+                or old_status["voting"]["term"] <= before["voting"]["term"]
+            ):
                 return False
-            return bool(own["voting"]["leader"]) and own["voting"]["leader"] == other["voting"]["leader"]
+            return (
+                bool(old_status["voting"]["leader"])
+                and old_status["voting"]["leader"] == new_status["voting"]["leader"]
+            )
 
-        await found.until("the woken leader is in a later term", follows)
-        revision = await found.change("teams/late", TEAM, "late")
-        state = await found.same_state(found.voters, max(revision, during))
-        assert state["revision"] == 3  # one for each id
-        code, answer = await found.call(old, "GET", "keys/teams/a")
+        await test_cluster.until("the resumed leader follows in a later term", follows)
+        revision = await test_cluster.change("teams/late", TEAM, "late")
+        state = await test_cluster.same_state(test_cluster.voters, max(revision, during))
+        assert state["revision"] == 3  # one revision for each change id
+        code, answer = await test_cluster.call(old, "GET", "keys/teams/a")
         assert code == 200
         assert answer["entries"][0]["value"]["tasks_running"] == 2
 
 
 async def leader_cut_one_way(folder: Path) -> None:
-    """Replace a leader that hears the others and is not heard; it acknowledges nothing as the leader."""
-    async with cluster(folder) as found:
-        old = await found.leader()
-        await found.change("teams/a", TEAM, "before")
-        rest = without(found.voters, old)
-        for other in rest:
-            found.cut(old, other)
-        await found.leader(rest)
-        revision = await found.change("teams/b", TEAM, "during", rest)
+    """Check that a leader whose messages no longer arrive is replaced, although it hears the others.
+
+    It steps down, so it acknowledges nothing as the leader.
+    """
+    async with cluster(folder) as test_cluster:
+        old = await test_cluster.leader()
+        await test_cluster.change("teams/a", TEAM, "before")
+        remaining = without(test_cluster.voters, old)
+        for machine in remaining:
+            test_cluster.cut(old, machine)
+        await test_cluster.leader(remaining)
+        revision = await test_cluster.change("teams/b", TEAM, "during", remaining)
 
         async def stepped_down() -> bool:
-            own = await found.status(old)
+            own = await test_cluster.status(old)
             return own is not None and own["voting"]["state"] != "leader"
 
-        await found.until("the cut-off leader steps down", stepped_down)
-        found.heal()
-        await found.same_state(found.voters, revision)
+        await test_cluster.until("the cut-off leader steps down", stepped_down)
+        test_cluster.heal()
+        await test_cluster.same_state(test_cluster.voters, revision)
 
 
 async def side_without_majority(folder: Path) -> None:
-    """Nothing changes there; it serves what it has, says how old, and later both sides have one state."""
-    async with cluster(folder) as found:
-        lonely = await found.leader()
-        before = await found.change("teams/a", TEAM, "before")
-        await found.same_state(found.voters, before)
-        follower = found.follow("follower", [lonely])
+    """Check that the side without a majority applies nothing and serves its old state with its age.
+
+    After the cut is healed, both sides reach the same state.
+    """
+    async with cluster(folder) as test_cluster:
+        isolated = await test_cluster.leader()
+        before = await test_cluster.change("teams/a", TEAM, "before")
+        await test_cluster.same_state(test_cluster.voters, before)
+        follower = test_cluster.follow("follower", [isolated])
 
         async def followed() -> bool:
             return follower.core.revision == before
 
-        await found.until("the follower has it", followed)
-        rest = without(found.voters, lonely)
-        for other in rest:
-            found.cut(old := lonely, other)
-            found.cut(other, old)
-        during = await found.change("teams/b", TEAM, "during", rest)
+        await test_cluster.until("the follower has the first change", followed)
+        remaining = without(test_cluster.voters, isolated)
+        for machine in remaining:
+            test_cluster.cut(old := isolated, machine)
+            test_cluster.cut(machine, old)
+        during = await test_cluster.change("teams/b", TEAM, "during", remaining)
         body = {"change_id": "lonely", "key": "teams/c", "value": TEAM}
 
         async def refused() -> bool:
-            code, answer = await found.call(lonely, "POST", "changes", body, redirects=False)
-            assert code != 200  # 307: it followed another leader when it was cut off
+            code, answer = await test_cluster.call(isolated, "POST", "changes", body, redirects=False)
+            assert code != 200  # 307 if it followed another leader when it was cut off
             assert code == 307 or answer["retry"]
-            own = await found.status(lonely)
+            own = await test_cluster.status(isolated)
             return own is not None and own["voting"]["leader"] == "" and own["age_s"] > 1 and code == 503
 
-        await found.until("the cut-off side knows that it is", refused)
-        code, local = await found.call(lonely, "GET", "keys/teams/a?local=1")
+        await test_cluster.until("the cut-off side reports that it has no leader", refused)
+        code, local = await test_cluster.call(isolated, "GET", "keys/teams/a?local=1")
         assert code == 200
         assert (local["revision"], local["entries"][0]["revision"]) == (before, before)
         assert local["age_s"] > 1
         assert follower.core.revision == before
-        found.heal()
-        state = await found.same_state(found.voters, during)
-        decided = await found.change("teams/c", TEAM, "lonely")
+        test_cluster.heal()
+        state = await test_cluster.same_state(test_cluster.voters, during)
+        decided = await test_cluster.change("teams/c", TEAM, "lonely")
         assert decided <= state["revision"] + 1
 
         async def caught_up() -> bool:
             return follower.core.revision >= decided
 
-        await found.until("the follower catches up", caught_up)
+        await test_cluster.until("the follower catches up", caught_up)
 
 
 async def disk_lost(folder: Path) -> None:
-    """No vote is given twice by a voter that lost its disk; it is readmitted and counts again."""
-    async with cluster(folder) as found:
-        leader = await found.leader()
-        others = without(found.voters, leader)
-        before = await found.change("teams/a", TEAM, "before")
-        await found.same_state(found.voters, before)
-        for one in others:
-            one.kill()
+    """Check that a voter that lost its disk has no vote until it is readmitted.
+
+    It could vote twice in a term otherwise, since it has lost the record of its vote. Once readmitted, its
+    vote counts again.
+    """
+    async with cluster(folder) as test_cluster:
+        leader = await test_cluster.leader()
+        others = without(test_cluster.voters, leader)
+        before = await test_cluster.change("teams/a", TEAM, "before")
+        await test_cluster.same_state(test_cluster.voters, before)
+        for voter in others:
+            voter.kill()
         wiped, intact = others
         wiped.lose_disk()
         wiped.start()
-        looks = 0
+        pre_candidate_polls = 0
 
         async def stands_alone() -> bool:
-            nonlocal looks
-            own = await found.status(leader)
+            nonlocal pre_candidate_polls
+            own = await test_cluster.status(leader)
             assert own is not None
-            heard = [peer["heard_ago_s"] for peer in own["voting"]["peers"] if peer["name"] == wiped.name]
-            assert await found.status(wiped) is None or own["voting"]["state"] != "leader" or looks < 1
-            if heard[0] is not None and heard[0] < 1 and own["voting"]["state"] == "pre_candidate":
-                looks += 1
-            return looks >= 5
+            heard_ago = [peer["heard_ago_s"] for peer in own["voting"]["peers"] if peer["name"] == wiped.name]
+            assert (
+                await test_cluster.status(wiped) is None
+                or own["voting"]["state"] != "leader"
+                or pre_candidate_polls < 1
+            )
+            if heard_ago[0] is not None and heard_ago[0] < 1 and own["voting"]["state"] == "pre_candidate":
+                pre_candidate_polls += 1
+            return pre_candidate_polls >= 5
 
-        await found.until("elections that the wiped voter cannot decide", stands_alone)
+        await test_cluster.until("elections that the wiped voter cannot decide", stands_alone)
         body = {"change_id": "no", "key": "teams/b", "value": TEAM}
-        code, _ = await found.call(leader, "POST", "changes", body)
+        code, _ = await test_cluster.call(leader, "POST", "changes", body)
         assert code != 200
         intact.start()
-        after = await found.change("teams/b", TEAM, "no")
-        await found.same_state(found.voters, after)
-        await readmitted(found, wiped)
+        after = await test_cluster.change("teams/b", TEAM, "no")
+        await test_cluster.same_state(test_cluster.voters, after)
+        await readmitted(test_cluster, wiped)
         intact.kill()
-        last = await found.change("teams/c", TEAM, "last", without(found.voters, intact))
+        last = await test_cluster.change("teams/c", TEAM, "last", without(test_cluster.voters, intact))
         assert last == after + 1
 
 
-async def readmitted(found: Cluster, wiped: Machine) -> None:
-    """Wait until a voter is in the configuration, with nobody joining any more."""
+async def readmitted(test_cluster: Cluster, wiped: Machine) -> None:
+    """Wait until all voters have a wiped voter in their configuration and no voter is joining."""
 
     async def done() -> bool:
-        views = [await found.status(one) for one in found.voters]
+        views = [await test_cluster.status(voter) for voter in test_cluster.voters]
         voting = [view["voting"] for view in views if view is not None]
-        return len(voting) == len(found.voters) and all(
-            wiped.name in one["voters"] and not one["joining"] for one in voting
+        return len(voting) == len(test_cluster.voters) and all(
+            wiped.name in voter_view["voters"] and not voter_view["joining"] for voter_view in voting
         )
 
-    await found.until("the wiped voter votes again", done)
+    await test_cluster.until("the wiped voter votes again", done)
 
 
 async def relay_killed(folder: Path) -> None:
-    """Its followers move to the other relay, and a change is in force at all of them."""
-    async with cluster(folder, relays=2) as found:
-        await found.leader()
-        followers = [found.follow(f"f{number}", found.relays) for number in range(12)]
+    """Check that the followers of a killed relay move to the other one and get later changes."""
+    async with cluster(folder, relays=2) as test_cluster:
+        await test_cluster.leader()
+        followers = [test_cluster.follow(f"f{number}", test_cluster.relays) for number in range(12)]
 
         async def in_force(revision: int) -> bool:
-            return all(one.core.revision >= revision for one in followers)
-
-        first = await found.change("teams/a", TEAM, "first")
-        await found.until("the first change", lambda: in_force(first))
-        upstreams = [one.core.upstream.name for one in followers if one.core.upstream is not None]
-        lost = max(found.relays, key=lambda relay: upstreams.count(relay.name))
+            return all(follower.core.revision >= revision for follower in followers)
+
+        first = await test_cluster.change("teams/a", TEAM, "first")
+        await test_cluster.until("the first change", lambda: in_force(first))
+        upstreams = [
+            follower.core.upstream.name for follower in followers if follower.core.upstream is not None
+        ]
+        lost = max(test_cluster.relays, key=lambda relay: upstreams.count(relay.name))
         lost.kill()
-        second = await found.change("teams/a", {"tasks_running": 2}, "second")
-        await found.until("the second change", lambda: in_force(second))
+        second = await test_cluster.change("teams/a", {"tasks_running": 2}, "second")
+        await test_cluster.until("the second change", lambda: in_force(second))
 
         async def counted() -> bool:
-            views = [await found.status(one) for one in found.voters]
+            views = [await test_cluster.status(voter) for voter in test_cluster.voters]
             counts = [count for view in views if view is not None for count in view["below"][0]]
             return sum(int(number) for revision, number in counts if revision >= second) == len(followers)
 
-        await found.until("all followers are counted", counted)
-        names = {one.core.upstream.name for one in followers if one.core.upstream is not None}
-        assert names <= {one.name for one in found.relays} - {lost.name}
+        await test_cluster.until("all followers are counted", counted)
+        names = {follower.core.upstream.name for follower in followers if follower.core.upstream is not None}
+        assert names <= {relay.name for relay in test_cluster.relays} - {lost.name}
 
 
 async def followers_from_before_and_after(folder: Path) -> None:
-    """One from before compaction gets a snapshot; one with a later revision is never taken back."""
-    async with cluster(folder, compact_after=8) as found:
-        await found.leader()
+    """Check that a follower with a compacted revision gets a snapshot.
+
+    One with a revision later than the voters' keeps its state: it must not go back to an earlier revision,
+    also when the voters restart.
+    """
+    async with cluster(folder, compact_after=8) as test_cluster:
+        await test_cluster.leader()
         for number in range(70):
             value = None if number == 60 else TEAM
-            last = await found.change(f"teams/t{number % 10}", value, f"change-{number}")
-        fresh = found.follow("fresh", found.voters)
+            last = await test_cluster.change(f"teams/t{number % 10}", value, f"change-{number}")
+        fresh = test_cluster.follow("fresh", test_cluster.voters)
 
         async def fresh_has_it() -> bool:
             return fresh.core.revision >= last
 
-        await found.until("a new follower", fresh_has_it)
+        await test_cluster.until("a new follower", fresh_has_it)
         generation = fresh.core.generation
         stale_keys = (KeyValue("teams/t0", b"{}", 1), KeyValue("teams/old", b"{}", 2))
-        stale = found.follow("stale", found.voters, generation, StateSnapshot(2, stale_keys))
+        stale = test_cluster.follow("stale", test_cluster.voters, generation, StateSnapshot(2, stale_keys))
         future_keys = (KeyValue("teams/t1", b"{}", 9999),)
-        future = found.follow("future", found.voters, generation, StateSnapshot(10_000, future_keys))
+        future = test_cluster.follow(
+            "future", test_cluster.voters, generation, StateSnapshot(10_000, future_keys)
+        )
 
         async def settled() -> bool:
             return stale.core.revision >= last and future.core.counters.busy >= 2
 
-        await found.until("both were answered", settled)
+        await test_cluster.until("the answers to both followers", settled)
         assert keys_of(stale) == keys_of(fresh)
         assert stale.core.counters.snapshots == 1
         assert stale.core.get("teams/t0") is None
         assert future.core.revision == 10_000
-        for voter in found.voters:
+        for voter in test_cluster.voters:
             voter.kill()
-        for voter in found.voters:
+        for voter in test_cluster.voters:
             voter.start()
-        again = await found.change("teams/t0", TEAM, "again")
+        again = await test_cluster.change("teams/t0", TEAM, "again")
         assert again == last + 1
-        await found.same_state(found.voters, again)
-        await log_founded_anew(found, [fresh, stale, future])
+        await test_cluster.same_state(test_cluster.voters, again)
+        await log_founded_anew(test_cluster, [fresh, stale, future])
 
 
-async def log_founded_anew(found: Cluster, followers: list[FollowerHost]) -> None:
-    """Found a log of a higher generation on empty disks: followers take its state in place of theirs."""
-    for voter in found.voters:
+async def log_founded_anew(test_cluster: Cluster, followers: list[FollowerHost]) -> None:
+    """Found a log of a higher generation on empty disks; its state must replace that of the followers."""
+    for voter in test_cluster.voters:
         voter.kill()
         voter.lose_disk()
         voter.text = voter.text.replace("[voter]", "[voter]\ngeneration = 2")
-    for voter in found.voters:
+    for voter in test_cluster.voters:
         voter.start()
-    revision = await found.change("limits/new", {"value": 1}, "new")
+    revision = await test_cluster.change("limits/new", {"value": 1}, "new")
     assert revision == 1
 
     async def replaced() -> bool:
-        return all(list(keys_of(one)) == ["limits/new"] for one in followers)
+        return all(list(keys_of(follower)) == ["limits/new"] for follower in followers)
 
-    await found.until("the new log at all followers", replaced)
-    assert {one.core.revision for one in followers} == {revision}
+    await test_cluster.until("the new log at all followers", replaced)
+    assert {follower.core.revision for follower in followers} == {revision}
 
 
 def keys_of(follower: FollowerHost) -> dict[str, tuple[bytes | None, int]]:
-    """Return all keys that a follower has, with value and revision."""
-    return {one.key: (one.value, one.revision) for one in follower.core.snapshot().entries}
+    """Return all keys of a follower, each with its value and revision."""
+    return {entry.key: (entry.value, entry.revision) for entry in follower.core.snapshot().entries}
 
 
 class RefusingEngine(StorageEngine):
-    """A store's file whose disk is full whenever its folder has a file ``full``."""
+    """A storage engine that reports a full disk while its folder contains a file ``full``."""
 
     def append(self, bodies: list[bytes]) -> int:
-        """Write, unless the disk is full."""
-        self._need_room()
+        """Write the bodies, or fail if the disk is full."""
+        self._check_room()
         return super().append(bodies)
 
     def probe(self) -> None:
-        """Fail as long as there is no room."""
-        self._need_room()
+        """Fail while the disk is full."""
+        self._check_room()
         super().probe()
 
-    def _need_room(self) -> None:
+    def _check_room(self) -> None:
         if (self.path.parent / "full").exists():
             raise StoreWriteError("database or disk is full")
 
 
 async def disk_full(folder: Path) -> None:
-    """Replace a leader whose disk is full, which acknowledges nothing; with room again, it catches up."""
-    net, held = reserve_net(0)
+    """Check that a leader whose disk is full acknowledges nothing and is replaced.
+
+    When the disk has room again, the voter catches up.
+    """
+    net, reservation = reserve_net(0)
     keys = Keys((b"k" * 32,))
     names = ["v0", "v1", "v2"]
     addresses = {name: f"127.{net}.3.{number}:{PORT}" for number, name in enumerate(names, 1)}
@@ -365,11 +408,12 @@
         with trio.fail_after(60):
             result = await full.propose(Change("second", "teams/second", b"{}"))
         assert not isinstance(result, ChangeApplied)
-        rest = [name for name in names if name != full.local_peer.name]
-        second = await change("second", rest)
+        remaining = [name for name in names if name != full.local_peer.name]
+        second = await change("second", remaining)
         assert second == first + 1
         with trio.fail_after(60):
-            while full.storage_failures == 0:  # else it led no more when it was asked
+            # If the voter no longer led when the change was proposed, the failure is counted only later.
+            while full.storage_failures == 0:
                 await trio.sleep(0.02)
         assert full.storage_failures == 1
         assert full.durable.failure
@@ -377,11 +421,11 @@
         (folder / full.local_peer.name / "full").unlink()
         with trio.fail_after(60):
             while full.watches.store.revision < second:
-                assert full.watches.store.revision == first  # what was served is not taken back
+                assert full.watches.store.revision == first  # The served state does not go back.
                 await trio.sleep(0.02)
-        assert full.voter.keyspace.digest() == (await leading(rest)).voter.keyspace.digest()
+        assert full.voter.keyspace.digest() == (await leading(remaining)).voter.keyspace.digest()
         nursery.cancel_scope.cancel()
-    held.close()
+    reservation.close()
 
 
 SCENARIOS = [
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -1,4 +1,8 @@
-"""The checks find faults in histories made by hand, and the simulation plays the same each time."""
+"""Tests of the control log's simulation: its checks, its determinism, and the consensus core in it.
+
+Each check must find its fault in a handwritten history and accept a sound one. A seed must give the same run
+each time, since otherwise a failing seed could not be examined.
+"""
 
 from __future__ import annotations
 
@@ -81,37 +85,60 @@
     ("operations", "verdict"),
     [
         ([put(1, 0, 1, 1), read(2, 3, 1, 1)], Verdict.LINEARIZABLE),
-        ([put(1, 0, 1, 1), read(2, 3)], Verdict.VIOLATED),  # the write is lost
-        ([put(1, 0, 1, 1), put(2, 2, 3, 2), read(4, 5, 1, 1)], Verdict.VIOLATED),  # a stale read
-        ([put(1, 0, 5, 1), read(1, 2, 1, 1), read(3, 4)], Verdict.VIOLATED),  # read, then not
-        ([put(1, 0, 5, 1), read(1, 2), read(3, 4, 1, 1)], Verdict.LINEARIZABLE),  # while it is written
+        ([put(1, 0, 1, 1), read(2, 3)], Verdict.VIOLATED),  # the read misses the write
+        ([put(1, 0, 1, 1), put(2, 2, 3, 2), read(4, 5, 1, 1)], Verdict.VIOLATED),  # the last read is stale
+        ([put(1, 0, 5, 1), read(1, 2, 1, 1), read(3, 4)], Verdict.VIOLATED),  # a later read loses the value
+        (
+            [put(1, 0, 5, 1), read(1, 2), read(3, 4, 1, 1)],
+            Verdict.LINEARIZABLE,
+        ),  # both reads overlap the write
         ([put(1, 0), read(1, 2), read(3, 4, 1, 7)], Verdict.LINEARIZABLE),  # an open write takes effect late
-        ([put(1, 5), read(1, 2, 1, 7)], Verdict.VIOLATED),  # it is read before it was called
-        ([put(1, 0), read(1, 2, 1, 7), read(3, 4)], Verdict.VIOLATED),  # it takes effect, then not
-        ([put(1, 0, 1, 2), put(2, 2, 3, 1)], Verdict.VIOLATED),  # revisions against time
-        ([put(1, 0, 9, 1, expected=0), put(2, 0, 9, 2, expected=0)], Verdict.VIOLATED),  # both were first
+        ([put(1, 5), read(1, 2, 1, 7)], Verdict.VIOLATED),  # the value is read before its write was invoked
+        (
+            [put(1, 0), read(1, 2, 1, 7), read(3, 4)],
+            Verdict.VIOLATED,
+        ),  # an open write takes effect, then is lost
+        ([put(1, 0, 1, 2), put(2, 2, 3, 1)], Verdict.VIOLATED),  # revisions contradict real time
+        (
+            [put(1, 0, 9, 1, expected=0), put(2, 0, 9, 2, expected=0)],
+            Verdict.VIOLATED,
+        ),  # both claim to have created the key
         ([put(1, 0, 9, 1, expected=0), put(2, 0, 9, 0, 0, conflict=1)], Verdict.LINEARIZABLE),
-        ([put(1, 0, 1, 1), put(2, 2, 3, 0, 1, conflict=1)], Verdict.VIOLATED),  # no reason to reject
-        ([put(1, 0, 1, 1), put(2, 2, 3, 2, expected=0)], Verdict.VIOLATED),  # the comparison failed
-        ([put(1, 0, 9, 1), read(0, 9, 1, 4)], Verdict.VIOLATED),  # another revision than acknowledged
+        (
+            [put(1, 0, 1, 1), put(2, 2, 3, 0, 1, conflict=1)],
+            Verdict.VIOLATED,
+        ),  # the expected revision was current, yet the change was rejected
+        (
+            [put(1, 0, 1, 1), put(2, 2, 3, 2, expected=0)],
+            Verdict.VIOLATED,
+        ),  # the key existed, yet the change was applied
+        (
+            [put(1, 0, 9, 1), read(0, 9, 1, 4)],
+            Verdict.VIOLATED,
+        ),  # the read has another revision than the write
     ],
 )
 def test_linearizability(operations: list[Operation], verdict: Verdict) -> None:
-    """Orders that real time and the outcomes allow are found, others are not."""
+    """The search accepts exactly the histories with an order that fits real time and all outcomes.
+
+    Otherwise a stale read or a lost write of the core would pass.
+    """
     assert check_key(operations) is verdict
 
 
-def test_a_search_that_is_too_long_is_no_pass() -> None:
-    """Beyond its bound the search says that it does not know."""
+def test_search_beyond_its_bound_is_a_violation() -> None:
+    """A search that reaches its bound returns UNDECIDED, and the check reports it instead of passing."""
     operations = [put(number, 0) for number in range(1, 13)] + [read(1, 2, 99, 1)]
     assert check_key(operations, max_configurations=500) is Verdict.UNDECIDED
     history = History(operations=operations)
-    history.attempts += [ProposalAttempt(0, "a", one.change) for one in operations if one.change is not None]
-    assert [one.check for one in check(history)] == ["linearizable_by_key"]
+    history.attempts += [
+        ProposalAttempt(0, "a", operation.change) for operation in operations if operation.change is not None
+    ]
+    assert [violation.check for violation in check(history)] == ["linearizable_by_key"]
 
 
 def open_final() -> Operation:
-    """Return an operation after the faults that got no answer."""
+    """Return an operation of the final client that got no answer."""
     return replace(put(1, 0), client="final")
 
 
@@ -121,14 +148,14 @@
 
 
 def attempt(number: int, *results: ChangeApplied | ChangeRejected | ChangeUncertain) -> list[ProposalAttempt]:
-    """Return attempts of one change with their results."""
+    """Return one attempt of the same change for each result."""
     change = Change(f"c{number}", KEY, f"v{number}".encode())
     return [ProposalAttempt(0, "a", change, result, 1) for result in results]
 
 
 CONFLICT = ChangeRejected("conflict")
 NOT_LEADER = ChangeRejected("not_leader")
-BAD: list[tuple[str, History]] = [
+FAULTY_HISTORIES: list[tuple[str, History]] = [
     ("the_code_runs_on", History(failures=["a: ValueError"])),
     ("one_leader_per_term", History(leaders=[LeaderSeen(0, "a", 1, 0), LeaderSeen(1, "b", 1, 0)])),
     ("one_vote_per_term", History(votes=[VoteSeen(0, "a/1", 1, "b"), VoteSeen(1, "a/1", 1, "c")])),
@@ -186,7 +213,7 @@
     ),
     (
         "attempts_are_answered_once",
-        History(attempts=[replace(one, answers=2) for one in attempt(1, ChangeApplied(1))]),
+        History(attempts=[replace(answered, answers=2) for answered in attempt(1, ChangeApplied(1))]),
     ),
     ("linearizable_by_key", History(operations=[put(1, 0, 1, 1), read(2, 3)])),
     (
@@ -204,25 +231,28 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "history"), BAD)
-def test_each_check_finds_its_fault(name: str, history: History) -> None:
-    """A history with one fault is found by the check that is for it."""
+@pytest.mark.parametrize(("name", "history"), FAULTY_HISTORIES)
+def test_check_reports_faulty_history(name: str, history: History) -> None:
+    """A check that overlooks the fault it is meant for would let a broken core pass."""
     assert name in {violation.check for violation in check(history)}
 
 
-def test_every_check_has_a_bad_history() -> None:
-    """None is left out above."""
-    assert {name for name, _ in BAD} == {one.__name__ for one in CHECKS}
+def test_every_check_has_a_faulty_history() -> None:
+    """A check that is added without a faulty history would never be shown to find anything."""
+    assert {name for name, _ in FAULTY_HISTORIES} == {rule.__name__ for rule in CHECKS}
 
 
-def test_a_leader_seen_late_is_no_fault() -> None:
-    """A leader that was stopped lacks what was committed in later terms."""
+def test_leader_may_lack_entries_of_later_terms() -> None:
+    """A suspended leader still leads its old term without entries that were committed in later terms.
+
+    The check of leader completeness must not report it.
+    """
     entry = EntrySeen(0, "a", 2, 1, b"x", None, True, voter_term=3)
     assert check(History(entries=[entry], leaders=[LeaderSeen(1, "b", 2, 1)])) == []
 
 
-def test_a_sound_history_passes() -> None:
-    """Rejections that a repeat turned round, and answers given again, are no faults."""
+def test_sound_history_passes() -> None:
+    """No check reports a change that was applied after a rejection, or acknowledged twice alike."""
     history = History(
         operations=[put(1, 0, 1, 1), read(2, 3, 1, 1)],
         attempts=attempt(1, NOT_LEADER, ChangeUncertain(), ChangeApplied(1), ChangeApplied(1)),
@@ -234,16 +264,16 @@
 
 
 class SharedKeyspace:
-    """One keyspace in memory for all voters: correct, and without any need of agreement."""
+    """One keyspace in memory that all stand-ins share, so that they need no consensus."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty keyspace."""
         self.revision = 0
         self.entries: dict[str, KeyValue] = {}
         self.results: dict[str, ChangeApplied | ChangeRejected] = {}
 
     def apply(self, change: Change) -> ChangeApplied | ChangeRejected:
-        """Apply a change once."""
+        """Apply a change, or return its first result if it is repeated."""
         if change.change_id in self.results:
             return self.results[change.change_id]
         entry = self.entries.get(change.key)
@@ -257,7 +287,7 @@
         return result
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed; now and then nothing, as after a compaction."""
+        """Return the changes after a revision, or None at every fifth revision, as after a compaction."""
         if revision % 5 == 4:
             return None
         changed = tuple(entry for entry in self.entries.values() if entry.revision > revision)
@@ -265,36 +295,36 @@
 
 
 class StandIn:
-    """A voter that answers from the shared keyspace at once."""
+    """A voter that answers each request at once from the shared keyspace."""
 
     def __init__(self, keyspace: SharedKeyspace, name: str) -> None:
-        """Join."""
+        """Create a voter that uses the keyspace."""
         self.keyspace = keyspace
         self.name = name
         self.effects: list[VoterEffect] = []
 
     def receive(self, now: float, sender: str, message: bytes) -> None:
-        """Take no notice."""
+        """Ignore the message."""
 
     def tick(self, now: float) -> None:
         """Do nothing."""
 
     def next_deadline(self) -> float:
-        """Never be due."""
+        """Return infinity, since ``tick`` is never due."""
         return math.inf
 
     def propose(self, now: float, change: Change, token: int) -> None:
-        """Apply at once."""
+        """Apply the change at once."""
         self.effects.append(ProposalDone(token, self.keyspace.apply(change)))
 
     def read(self, now: float, key: str, token: int) -> None:
-        """Read at once."""
-        found = self.keyspace.entries.get(key)
-        value = found if found is not None and found.value is not None else None
+        """Read the key at once."""
+        entry = self.keyspace.entries.get(key)
+        value = entry if entry is not None and entry.value is not None else None
         self.effects.append(ReadDone(token, value, self.keyspace.revision))
 
     def change_voters(self, now: float, add: str | None, remove: str | None, token: int) -> None:
-        """Refuse."""
+        """Reject the change as invalid."""
         self.effects.append(ProposalDone(token, ChangeRejected("invalid")))
 
     def transfer_leadership(self, now: float) -> None:
@@ -304,13 +334,13 @@
         """Do nothing."""
 
     def take_effects(self) -> list[VoterEffect]:
-        """Return the answers."""
+        """Return the answers since the last call."""
         effects, self.effects = self.effects, []
         return effects
 
 
 def stand_in(voters: tuple[str, ...]) -> CoreUnderTest:
-    """Return a fresh set of stand-ins."""
+    """Return a core whose voters are stand-ins with one new keyspace."""
     keyspace = SharedKeyspace()
 
     def start(boot: VoterStart) -> VoterPort:
@@ -334,29 +364,38 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_world_breaks_nothing_by_itself(seed: int) -> None:
-    """A correct stand-in for the voters passes all checks, and a seed plays the same twice."""
+def test_simulation_adds_no_violations(seed: int) -> None:
+    """Correct stand-ins pass all checks, and a seed gives the same run twice.
+
+    A violation here would be a fault of the simulation or of a check, not of the consensus core.
+    """
     scenario = draw(seed)
-    one, other = (play(scenario, stand_in(scenario.voters)) for _ in range(2))
-    assert one.violations == [] and one.fingerprint == other.fingerprint
-    assert sum(operation.is_complete for operation in one.history.operations) > 50
+    first, second = (play(scenario, stand_in(scenario.voters)) for _ in range(2))
+    assert first.violations == [] and first.fingerprint == second.fingerprint
+    assert sum(operation.is_complete for operation in first.history.operations) > 50
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_a_seed_breaks_nothing(seed: int) -> None:
-    """The consensus core passes all checks; thousands of seeds: ``python -m bench.control seeds``."""
+def test_consensus_core_passes_all_checks(seed: int) -> None:
+    """The consensus core keeps its guarantees under the random faults of a seed.
+
+    ``python -m bench.control seeds`` runs thousands of seeds.
+    """
     assert play(draw(seed), raft(seed)).violations == []
 
 
-@pytest.mark.parametrize("made", [overwritten_majority, handover_and_cut, voters_of_two_leaders])
-def test_a_sequence_made_for_one_rule_breaks_nothing(made: Callable[[int], ControlScenario]) -> None:
-    """What finds the mutants of a rule passes with the rule."""
-    assert play(made(5), raft(5, one_entry_a_message=True)).violations == []
+@pytest.mark.parametrize("draw_sequence", [overwritten_majority, handover_and_cut, voters_of_two_leaders])
+def test_consensus_core_passes_rare_sequences(draw_sequence: Callable[[int], ControlScenario]) -> None:
+    """The core passes the sequences that detect mutants which random faults seldom detect."""
+    assert play(draw_sequence(5), raft(5, one_entry_a_message=True)).violations == []
+
 
+def test_run_is_the_same_in_any_process() -> None:
+    """A run must not depend on its process, as it would if the order of a set decided something.
 
-def test_a_seed_plays_the_same_in_any_process() -> None:
-    """Neither the order of sets nor anything else of the process decides how a run goes."""
-    said = {
+    A failing seed could then not be repeated. The processes differ in the seed of their string hashes.
+    """
+    outputs = {
         subprocess.run(
             [sys.executable, "-m", "bench.control", "seed", "3"],
             cwd=ROOT,
@@ -367,41 +406,44 @@
         ).stdout
         for number in ("1", "2")
     }
-    assert len(said) == 1 and "the same the second time" in said.pop()
+    assert len(outputs) == 1 and "the same the second time" in outputs.pop()
 
 
 @pytest.mark.parametrize(
-    ("name", "found_by"),
+    ("name", "check_name"),
     [
         ("votes twice in a term", "one_vote_per_term"),
         ("votes for a log that is not up to date", "leader_completeness"),
         ("half is a majority", "one_leader_per_term"),
     ],
 )
-def test_a_broken_rule_is_found(name: str, found_by: str) -> None:
-    """Some of the mutants, each by the check for it; all: ``python -m bench.control mutants``."""
-    mutant = next(one for one in MUTANTS if one.name == name)
+def test_mutant_is_detected(name: str, check_name: str) -> None:
+    """The scenarios reach the faults of some mutants, and the check for each mutant reports it.
+
+    Otherwise the same fault in the core would pass. ``python -m bench.control mutants`` runs all mutants.
+    """
+    mutant = next(mutant for mutant in MUTANTS if mutant.name == name)
     with mutant.applied():
         runs = (play(draw(seed), raft(seed)) for seed in range(16))
-        assert any(violation.check == found_by for run in runs for violation in run.violations)
+        assert any(violation.check == check_name for run in runs for violation in run.violations)
 
 
-def test_a_failing_run_is_reduced() -> None:
-    """Faults that a violation does not need are left out."""
-    mutant = next(one for one in MUTANTS if one.name == "half is a majority")
+def test_failing_run_is_reduced() -> None:
+    """``shrink`` leaves out faults that the violation does not need, and still violates a check."""
+    mutant = next(mutant for mutant in MUTANTS if mutant.name == "half is a majority")
 
-    def broken(scenario: ControlScenario) -> SimulationRun:
+    def play_mutant(scenario: ControlScenario) -> SimulationRun:
         with mutant.applied():
             return play(scenario, raft(3))
 
     scenario = replace(draw(3), quiet=10.0, duration=20.0)
-    run = broken(scenario)
-    smaller = shrink(run, broken, max_runs=12)
+    run = play_mutant(scenario)
+    smaller = shrink(run, play_mutant, max_runs=12)
     assert smaller.violations and len(smaller.scenario.faults) < len(scenario.faults)
 
 
-def test_a_region_cut_off_for_an_hour_comes_back() -> None:
-    """The side without a majority changes nothing meanwhile; then both are one again."""
+def test_region_rejoins_after_an_hour_cut_off() -> None:
+    """The side without a majority must apply nothing while cut off, and then reach the others' state."""
     scenario = draw_partition(1)
     run = play(scenario, raft(1))
     assert run.violations == []
