--- a/merlinbay/control/simulation/machine.py
+++ b/merlinbay/control/simulation/machine.py
@@ -1,7 +1,7 @@
 """The clock and the disk of a simulated voter.
 
-The clock is off and drifts. The disk may be full, or be replaced by an empty one. It only stores records; the
-process checks whether it is full.
+The clock is off and drifts. The disk may be full, or be replaced by an empty one. The process checks whether
+the disk is full before it stores a record.
 """
 
 from __future__ import annotations
--- a/merlinbay/control/simulation/observer.py
+++ b/merlinbay/control/simulation/observer.py
@@ -28,9 +28,8 @@
     revision: int = 0
     extent: LogExtent = EMPTY_EXTENT
     committed: int = 0  # the highest commit index seen
-    entries: dict[int, tuple[int, bool]] = field(
-        default_factory=dict
-    )  # by index: the term, and whether it is committed
+    # By index: the term, and whether the entry is committed.
+    entries: dict[int, tuple[int, bool]] = field(default_factory=dict)
 
 
 class Observer:
--- a/merlinbay/control/simulation/open_requests.py
+++ b/merlinbay/control/simulation/open_requests.py
@@ -38,7 +38,10 @@
         self._pending[token] = PendingRequest(reply, attempt)
 
     def answer(self, effect: ProposalDone | ReadDone) -> None:
-        """Record an answer and pass it to the client, unless the request was answered before."""
+        """Record an answer and pass it to the client.
+
+        If the request is not open, only a repeated answer to a proposal is counted.
+        """
         pending = self._pending.pop(effect.token, None)
         if pending is None:
             if effect.token in self._answered:
--- a/merlinbay/control/simulation/process.py
+++ b/merlinbay/control/simulation/process.py
@@ -92,7 +92,7 @@
         return self.voter is not None and not (self.paused or self.syncing or self.effects)
 
     def now(self) -> float:
-        """Return what the process's clock shows."""
+        """Return the time on the process's clock."""
         return self.clock.local(self.world.scheduler.time)
 
     def start(self) -> None:
@@ -112,7 +112,7 @@
         self._work()
 
     def crash(self, restart_after: float | None) -> None:
-        """End the process; what was not carried out is lost."""
+        """End the process; effects and inputs that were not carried out are lost."""
         if self.voter is None:
             return
         self.world.trace(f"{self.name} crashes with {len(self.effects)} effects left")
--- a/merlinbay/control/simulation/sequences.py
+++ b/merlinbay/control/simulation/sequences.py
@@ -54,7 +54,7 @@
 def voters_of_two_leaders(seed: int) -> ControlScenario:
     """Return a scenario of changes of voters at a leader that is cut off with half of the machines.
 
-    Some changes follow while two leaders may exist, each with other voters.
+    While the cut lasts, a second leader may be asked for changes of voters too.
     """
     random = Random(f"voters of two leaders {seed}")
     drawn = draw(seed)
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -345,8 +345,8 @@
     spare = f"127.{net}.1.{FOLLOWER_HOST_NUMBER}"
     random = Random(len(names))
     proxies = Proxies(
-        [machine.address for machine in machines] + [spare],
-        [machine.shown for machine in machines] + [f"127.{net}.2.{FOLLOWER_HOST_NUMBER}"],
+        [member.address for member in machines] + [spare],
+        [member.shown for member in machines] + [f"127.{net}.2.{FOLLOWER_HOST_NUMBER}"],
         random,
         LinkFaults(),
     )
--- a/tests/control_scenarios.py
+++ b/tests/control_scenarios.py
@@ -273,7 +273,7 @@
 
         await test_cluster.until("all followers are counted", counted)
         names = {follower.core.upstream.name for follower in followers if follower.core.upstream is not None}
-        assert names <= {relay.name for relay in test_cluster.relays} - {lost.name}
+        assert names <= {survivor.name for survivor in test_cluster.relays} - {lost.name}
 
 
 async def followers_from_before_and_after(folder: Path) -> None:
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -422,7 +422,7 @@
 
     Otherwise the same fault in the core would pass. ``python -m bench.control mutants`` runs all mutants.
     """
-    mutant = next(mutant for mutant in MUTANTS if mutant.name == name)
+    mutant = next(candidate for candidate in MUTANTS if candidate.name == name)
     with mutant.applied():
         runs = (play(draw(seed), raft(seed)) for seed in range(16))
         assert any(violation.check == check_name for run in runs for violation in run.violations)
@@ -430,7 +430,7 @@
 
 def test_failing_run_is_reduced() -> None:
     """``shrink`` leaves out faults that the violation does not need, and still violates a check."""
-    mutant = next(mutant for mutant in MUTANTS if mutant.name == "half is a majority")
+    mutant = next(candidate for candidate in MUTANTS if candidate.name == "half is a majority")
 
     def play_mutant(scenario: ControlScenario) -> SimulationRun:
         with mutant.applied():
