--- a/merlinbay/access/settings.py
+++ b/merlinbay/access/settings.py
@@ -20,7 +20,7 @@
     handshakes: Annotated[int, msgspec.Meta(ge=1)] = 64  # TLS handshakes under way
     handshake: Annotated[float, msgspec.Meta(gt=0)] = 2.0  # seconds for one
 
-    def wrong(self) -> str:
+    def validation_error(self) -> str:
         """Return what makes the section unusable, naming the key; empty if nothing does."""
         if not self.open and not self.keys:
             return "access: name the token keys' file in keys, or say open = true"
--- a/merlinbay/control_service/call_messages.py
+++ b/merlinbay/control_service/call_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' calls and of their answers, as JSON."""
+"""The JSON bodies of the operators' calls and of their answers."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 
 
 class VotersRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A change of voters: one is added, removed or replaced."""
+    """A change of voters: adds one, removes one, or replaces one by another."""
 
     add: str | None = None
     remove: str | None = None
 
 
 class VoterListing(msgspec.Struct):
-    """The voters, as the leader has them."""
+    """The voters in the leader's configuration."""
 
     leader: str
     term: int
     voters: tuple[str, ...]
-    joining: tuple[str, ...]  # receive the log and become voters once they have caught up
+    joining: tuple[str, ...]  # machines that receive the log and become voters once they have caught up
 
 
 class AppliedAnswer(msgspec.Struct):
     """A change was applied."""
 
-    revision: int  # at which it was applied
+    revision: int  # the revision at which the change was applied
 
 
 class KeyEntry(msgspec.Struct):
@@ -53,21 +53,21 @@
 
 
 class KeyListing(msgspec.Struct):
-    """Keys at one revision."""
+    """Keys and their values at one revision."""
 
     revision: int
-    age_s: float | None  # for how long they may be out of date; 0: they are the latest; None: never known
+    age_s: float | None  # how long the keys may have been out of date; 0: up to date; None: never confirmed
     entries: list[KeyEntry]
-    whole: bool = True  # all keys; False: only those that changed
+    whole: bool = True  # False if only the changed keys are listed
 
 
 class ErrorAnswer(msgspec.Struct):
-    """Why a call failed."""
+    """The reason why a call failed."""
 
-    error: str  # for people
+    error: str  # text for people
     retry: bool = False  # the same call may succeed later
-    reason: str = ""  # for programs, such as "conflict" or "joining"
-    current_revision: int = 0  # the key's revision, for "conflict"
+    reason: str = ""  # code for programs, such as "conflict" or "joining"
+    current_revision: int = 0  # present revision of the key, if the reason is "conflict"
 
 
 def json_answer(value: msgspec.Struct, status: int = 200) -> Response:
@@ -75,11 +75,11 @@
     return Response(status, msgspec.json.encode(value), [JSON])
 
 
-def error_answer(status: int, error: str, **more: Any) -> Response:
-    """Return an answer that says why a call failed; ``more`` are fields of ``ErrorAnswer``."""
-    return json_answer(ErrorAnswer(error, **more), status)
+def error_answer(status: int, error: str, **fields: Any) -> Response:
+    """Return an answer that says why a call failed; ``fields`` are further fields of ``ErrorAnswer``."""
+    return json_answer(ErrorAnswer(error, **fields), status)
 
 
-def key_entry(found: KeyValue) -> KeyEntry:
+def key_entry(stored: KeyValue) -> KeyEntry:
     """Return a key with its value decoded."""
-    return KeyEntry(found.key, None if found.value is None else decode_value(found.value), found.revision)
+    return KeyEntry(stored.key, None if stored.value is None else decode_value(stored.value), stored.revision)
--- a/merlinbay/control_service/connection.py
+++ b/merlinbay/control_service/connection.py
@@ -1,4 +1,8 @@
-"""One authenticated connection: length-prefixed frames, a bounded send queue, idle and write timeouts."""
+"""One authenticated connection: length-prefixed frames, a bounded send queue, idle and write timeouts.
+
+A connection is created after a handshake and is open while ``run`` is running. It closes on an I/O error, a
+timeout or a rejected frame; the side that opened it connects again.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +18,19 @@
 from merlinbay.control_service.traffic import TrafficCounters
 from merlinbay.fleet.wire import MessageRejectedError
 
-WRITE_BATCH_BYTES = 256 * 1024  # frames joined into one write
-FINISH_TIMEOUT_S = 1.0  # for the frames that are queued when a connection is closed
+WRITE_BATCH_BYTES = 256 * 1024  # limit of messages joined into one write
+FINISH_TIMEOUT_S = 1.0  # time to write the frames still queued when a connection is finished
 
 
 class QueueOverflow(Enum):
-    """What happens when the send queue is full."""
+    """The policy for a full send queue."""
 
     DROP_OLDEST = "drop_oldest"  # for messages that the protocol repeats
     CLOSE = "close"  # for streams that need every message: the peer reconnects and resumes
 
 
 class FramedConnection:
-    """Frames to and from one peer. ``send`` never waits; ``run`` carries frames until the connection ends."""
+    """Frames to and from one peer. ``send`` never waits; ``run`` does the I/O until the connection ends."""
 
     __slots__ = (
         "_buffer",
@@ -71,7 +75,7 @@
         self._buffer = bytearray()
 
     def send(self, message: bytes) -> None:
-        """Queue one message."""
+        """Queue one message. A message over the frame limit closes the connection; so may a full queue."""
         if len(message) + TAG_BYTES > self._limits.frame_bytes:
             self._traffic.messages_dropped += 1
             self.close()
@@ -101,7 +105,7 @@
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Carry frames until either side ends the connection, it is idle too long, or a frame is rejected."""
+        """Send and receive until either side closes, nothing arrives for too long, or a frame is rejected."""
         with self._scope:
             try:
                 async with trio.open_nursery() as nursery:
@@ -161,4 +165,4 @@
 
 
 def _ignore(_: object) -> None:
-    """Stand in for a callback that was not set."""
+    """Do nothing; the default for callbacks that are not set."""
--- a/merlinbay/control_service/dialing.py
+++ b/merlinbay/control_service/dialing.py
@@ -1,4 +1,4 @@
-"""Outgoing connections: one authenticated connection, or one that is reopened whenever it ends."""
+"""Outgoing connections: a single authenticated connection, or one that is reopened whenever it ends."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class ConnectPhase(Enum):
-    """How far an attempt to connect came."""
+    """The phase in which an attempt to connect failed."""
 
     CONNECT = "connect"
     HANDSHAKE = "handshake"
 
 
 class ConnectFailedError(Exception):
-    """No connection was established; ``phase`` and ``cause`` say where and why."""
+    """No connection was established; ``phase`` and ``cause`` say at which step and why."""
 
     def __init__(self, phase: ConnectPhase, cause: str) -> None:
         super().__init__(f"{phase.value}: {cause}")
@@ -67,7 +67,11 @@
 
 @dataclass(slots=True)
 class ReconnectBackoff:
-    """Waits between attempts: doubled after each failure, drawn from the upper half so that many spread."""
+    """Computes the waits between attempts to connect.
+
+    The longest wait doubles after each failure. Each wait is drawn from its upper half, so that many
+    processes that lost the same peer do not reconnect at once.
+    """
 
     limits: TransportLimits
     random: Random
@@ -80,12 +84,12 @@
         return longest * (0.5 + self.random.random() / 2)
 
     def reset(self) -> None:
-        """Start over after a connection that lasted."""
+        """Start again with the shortest wait, after a connection that lasted."""
         self.failures = 0
 
 
 class PeerConnection:
-    """A connection to one peer that is opened again whenever it ends."""
+    """A connection to one peer that is reopened whenever it ends."""
 
     def __init__(self, local_peer: LocalPeer, target: Callable[[], str], random: Random) -> None:
         """``target`` returns the peer's ``host:port`` at each attempt."""
@@ -94,7 +98,7 @@
         self._backoff = ReconnectBackoff(local_peer.limits, random)
 
     def send(self, message: bytes) -> None:
-        """Send a message if connected; else it is lost."""
+        """Send a message if the connection is open; otherwise drop and count it."""
         if self.connection is None:
             self.local_peer.traffic.messages_dropped += 1
         else:
--- a/merlinbay/control_service/durable_log.py
+++ b/merlinbay/control_service/durable_log.py
@@ -1,7 +1,8 @@
 """The records of a voter on its disk, through ``merlinbay.store``: batches, snapshots and compaction.
 
-One record of the store holds one batch of the voter's records, so that a batch is durable wholly or not at
-all. A record that replaces all others also becomes a snapshot of the store; records before it are deleted.
+One record of the store holds one batch of the voter's records, so that a batch is stored either whole or not
+at all. A record that replaces all others also becomes a snapshot of the store; records before it are deleted.
+A write that fails raises ``NotDurableError``; ``recovered`` then waits until the store accepts records again.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from merlinbay.store.log import AppendRejectedError, StoreLog
 from merlinbay.store.records import INITIAL_CHECKSUM, CorruptLogError
 
-RECOVERY_POLL_S = 0.05  # between checks whether the store has recovered
+RECOVERY_POLL_S = 0.05  # interval of the checks whether the store has recovered
 
 
 class BatchRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -35,11 +36,11 @@
 
 
 class NotDurableError(Exception):
-    """Records were not stored: no effect that depends on them may be carried out; the text says why."""
+    """Records were not stored, so no effect that depends on them may be carried out. The text says why."""
 
 
 class DurableLog:
-    """The log of one voter. ``run`` has to be running for ``append`` to return."""
+    """The log of one voter. ``append`` returns only while ``run`` is running."""
 
     def __init__(
         self, path: Path, log: Log, make_engine: Callable[[Path], StorageEngine] = StorageEngine
@@ -53,16 +54,16 @@
 
     @property
     def failure(self) -> str:
-        """Return why the store accepts no records at present; empty if it does."""
+        """Return why the store accepts no records at present; empty if it accepts them."""
         health = self._store.health
         return "" if health.state is StoreState.OPEN else f"{health.state.value}: {health.cause}"
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write the appended batches until cancelled."""
         await self._store.run()
 
     def records(self) -> list[bytes]:
-        """Return the voter's records in order, from the last one that replaced all before it."""
+        """Return the voter's records in order, starting with the last one that replaced all before it."""
         snapshots = self._store.engine.snapshots()
         batch: list[BatchRecord] = []
         after, checksum = 0, INITIAL_CHECKSUM
@@ -74,7 +75,7 @@
         return [record.body for record in _without_replaced(batch)]
 
     async def append(self, records: Sequence[Persist]) -> None:
-        """Store records in their order; returns once they are on the disk. Raises ``NotDurableError``."""
+        """Store records in order and return once they are on the disk. Raises ``NotDurableError``."""
         batch = [BatchRecord(effect.record, effect.replaces_all) for effect in records]
         try:
             await self._store.append(_encode(batch))
@@ -94,7 +95,7 @@
             self._log.event("control_compaction_failed", level="warning", error=str(error))
 
     async def recovered(self) -> bool:
-        """Wait until the store accepts records again; False if operators have to act first."""
+        """Wait until the store accepts records again; return False if operators have to act first."""
         while self._store.health.state is not StoreState.OPEN:
             if self._store.health.state in (StoreState.CORRUPT, StoreState.CLOSED):
                 return False
--- a/merlinbay/control_service/follower_calls.py
+++ b/merlinbay/control_service/follower_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls at a relay or follower: its own state; everything else is redirected to the voters."""
+"""The operators' calls at a relay or follower. It answers from its own state and redirects the rest."""
 
 from __future__ import annotations
 
@@ -28,6 +28,6 @@
         return self._view()
 
     async def keys(self) -> KeyListing:
-        """Return all keys of this process."""
+        """Return all keys of this process's copy."""
         state = self._state()
-        return KeyListing(state.revision, self._view().age_s, [key_entry(one) for one in state.entries])
+        return KeyListing(state.revision, self._view().age_s, [key_entry(entry) for entry in state.entries])
--- a/merlinbay/control_service/follower_host.py
+++ b/merlinbay/control_service/follower_host.py
@@ -1,4 +1,7 @@
-"""A follower on real sockets. Holds no global state: thousands of them share a process in scale runs."""
+"""Runs a follower on real sockets.
+
+It holds no global state, because scale runs have thousands of followers in one process.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 class FollowerHost(UpstreamHost[Follower]):
-    """One follower: ``start`` it in a nursery; ``core`` has its state."""
+    """One follower. ``start`` starts its tasks in the nursery; ``core`` holds its state."""
 
     __slots__ = ("_nursery", "_scope")
 
@@ -43,19 +46,19 @@
         self._scope = trio.CancelScope()
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to watch an upstream."""
         self.core.start(trio.current_time())
         self._carry_out()
         self._nursery.start_soon(self._run_timer)
 
     def stop(self) -> None:
-        """End the watch and the tasks; the state stays readable."""
+        """Close the watch and end the tasks; the state stays readable."""
         self.core.stop(trio.current_time())
         self._carry_out()
         self._scope.cancel()
 
     def kill(self) -> None:
-        """End all tasks without a message to the upstream, as a process that dies."""
+        """End all tasks without a message to the upstream, as if the process had crashed."""
         self._upstream.abort_all()
         self._scope.cancel()
 
--- a/merlinbay/control_service/framing.py
+++ b/merlinbay/control_service/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a stream: a length of four bytes, then the content."""
+"""The frame format on a stream: a length of four bytes, then the content."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class FrameTooLongError(Exception):
-    """The peer announced a frame over the limit."""
+    """The peer announced a frame that is longer than the limit."""
 
 
 def pack_frame(content: bytes) -> bytes:
-    """Return a frame's bytes."""
+    """Return the content with its length prefix."""
     return FRAME_LENGTH.pack(len(content)) + content
 
 
 async def receive_frame(stream: trio.SocketStream, buffer: bytearray, max_bytes: int) -> bytes | None:
-    """Return the next frame's content, None at the end of the stream.
+    """Return the content of the next frame; None at the end of the stream.
 
-    ``buffer`` keeps the bytes received after the frame. Raises ``FrameTooLongError``.
+    ``buffer`` keeps bytes received beyond the frame for the next call. Raises ``FrameTooLongError``.
     """
     if not await _fill(stream, buffer, FRAME_LENGTH.size):
         return None
@@ -38,7 +38,7 @@
 
 
 async def _fill(stream: trio.SocketStream, buffer: bytearray, size: int) -> bool:
-    """Receive until the buffer has ``size`` bytes; False if the stream ends before."""
+    """Receive until the buffer has ``size`` bytes; return False if the stream ends before that."""
     while len(buffer) < size:
         part = await stream.receive_some(RECEIVE_BYTES)
         if not part:
--- a/merlinbay/control_service/handshake.py
+++ b/merlinbay/control_service/handshake.py
@@ -1,4 +1,8 @@
-"""The handshake of a new connection, on both sides."""
+"""The handshake of a new connection, for the side that connects and for the side that accepts.
+
+It runs once per connection, before any other frame. A side that cannot authenticate the other raises
+``MessageRejectedError``; the caller closes the socket.
+"""
 
 from __future__ import annotations
 
@@ -35,13 +39,14 @@
     buffer = bytearray()
     answer = await receive_frame(stream, buffer, HANDSHAKE_FRAME_BYTES)
     if answer is None:
-        raise MessageRejectedError("closed by the other side")
+        raise MessageRejectedError("connection closed by the peer during the handshake")
     welcome, remote_key = open_handshake(local_peer.keys, local_peer.fleet, answer, HandshakeWelcome)
     if welcome.hello_nonce != hello.nonce:
-        raise MessageRejectedError("welcome of another connection")
+        raise MessageRejectedError("welcome message belongs to another connection")
     outgoing = frame_seal(local_peer.keys.keys[0], b"hello", hello.nonce, welcome.nonce)
     incoming = frame_seal(remote_key, b"welcome", hello.nonce, welcome.nonce)
-    # The other side trusts the connection after the first valid frame: an empty one proves the key at once.
+    # The accepting side serves the connection only after a first valid frame, which proves knowledge of the
+    # key. An empty frame is sent at once, so that it need not wait for a message.
     await stream.send_all(pack_frame(outgoing.seal(b"")))
     local_peer.traffic.connections_opened += 1
     return FramedConnection(
@@ -52,14 +57,14 @@
 async def accept_handshake(
     local_peer: LocalPeer, stream: trio.SocketStream, overflow: Callable[[str], QueueOverflow]
 ) -> FramedConnection:
-    """Authenticate the side that connected; ``overflow`` maps its role to a policy.
+    """Authenticate the side that connected. ``overflow`` maps its role to a policy for full send queues.
 
     Raises ``MessageRejectedError``, ``FrameTooLongError``, ``trio.BrokenResourceError``.
     """
     buffer = bytearray()
     first = await receive_frame(stream, buffer, HANDSHAKE_FRAME_BYTES)
     if first is None:
-        raise MessageRejectedError("closed by the other side")
+        raise MessageRejectedError("connection closed by the peer during the handshake")
     hello, remote_key = open_handshake(local_peer.keys, local_peer.fleet, first, HandshakeHello)
     welcome = HandshakeWelcome(local_peer.name, secrets.token_bytes(NONCE_BYTES), hello.nonce)
     await _send(local_peer, stream, welcome)
@@ -67,7 +72,7 @@
     incoming = frame_seal(remote_key, b"hello", hello.nonce, welcome.nonce)
     proof = await receive_frame(stream, buffer, HANDSHAKE_FRAME_BYTES)
     if proof is None or incoming.open(proof):
-        raise MessageRejectedError("no proof of the key")
+        raise MessageRejectedError("expected an empty sealed frame after the welcome message")
     local_peer.traffic.connections_opened += 1
     connection = FramedConnection(
         stream,
--- a/merlinbay/control_service/listening.py
+++ b/merlinbay/control_service/listening.py
@@ -1,4 +1,4 @@
-"""Incoming connections: a listening socket, and an acceptor that authenticates and serves each."""
+"""Incoming connections: a listening socket, and an acceptor that authenticates and serves each connection."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from merlinbay.errors import parse_address
 from merlinbay.fleet.wire import MessageRejectedError
 
-ACCEPT_PAUSE_S = 0.05  # after an accept that failed, most often for want of descriptors
-BACKLOG_CONNECTIONS = 1024  # all followers of a relay may connect at once
+ACCEPT_PAUSE_S = 0.05  # pause after a failed accept, most often caused by a lack of file descriptors
+BACKLOG_CONNECTIONS = 1024  # large, as all followers of a relay may connect at once
 
 
 async def listen_at(target: str) -> trio.socket.SocketType:
@@ -31,7 +31,7 @@
 
 
 class Acceptor:
-    """Accepts connections and has each served by ``serve`` until that returns."""
+    """Accepts and authenticates connections and passes each to ``serve``, until the limit of open ones."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         overflow: Callable[[str], QueueOverflow],
         serve: Callable[[FramedConnection], Awaitable[None]],
     ) -> None:
-        """``overflow`` maps the role of the other side to a policy."""
+        """``overflow`` maps the role of the peer to a policy for full send queues."""
         self._local_peer, self._overflow, self._serve = local_peer, overflow, serve
-        self._open = 0  # connections, those in their handshake included
+        self._open = 0  # number of open connections, including those in the handshake
 
     async def run(self, listening: trio.socket.SocketType) -> None:
         """Accept until cancelled."""
--- a/merlinbay/control_service/node_follower.py
+++ b/merlinbay/control_service/node_follower.py
@@ -1,4 +1,4 @@
-"""The follower of a node whose operator's file has a section ``control``."""
+"""The follower that runs within a node whose operator's file has a section ``control``."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ConfigurationFollower:
-    """Follows the configuration in a node's nursery, from its making on."""
+    """Follows the configuration in a node's nursery, starting when it is created."""
 
     def __init__(
         self, section: ControlSection, name: str, nursery: trio.Nursery, counters: Counters, log: Log
     ) -> None:
-        """Begin to follow. Raises ``ConfigurationError``."""
+        """Read the keys and start to follow. Raises ``ConfigurationError``."""
         self.section, self.counters, self.log = section, counters, log
         self.local_peer = LocalPeer(name, "follower", section.fleet, self._keys(), section.bind)
         self.host = FollowerHost(
@@ -46,11 +46,11 @@
             raise ConfigurationError(f"control.{error}") from None
 
     def reload(self) -> None:
-        """Read the keys again. Raises ``ConfigurationError``; what cannot be used changes nothing."""
+        """Read the keys again. Keeps the old ones and raises ``ConfigurationError`` on failure."""
         self.local_peer.keys = self._keys()
 
     def stop(self) -> None:
-        """End the watch on purpose."""
+        """Close the watch and stop following."""
         self.host.stop()
 
     def _advanced(self, effect: StateAdvanced) -> None:
--- a/merlinbay/control_service/operator_calls.py
+++ b/merlinbay/control_service/operator_calls.py
@@ -1,13 +1,16 @@
-"""The operators' calls of a control process: HTTP, JSON. Writes and reads are the leader's; others redirect.
+"""The operators' calls of a control process: JSON over HTTP.
+
+The leader answers writes and linearizable reads; every other process redirects them. A call with invalid
+arguments is answered with status 400.
 
 ===============================  ======================================================================
-``GET /control/status``          this process's own view
-``GET /control/keys/KEY``        one key, linearizable; ``?local=1``: this process's own, with its age
-``GET /control/keys?prefix=P``   all keys below a prefix, this process's own, with their age
-``GET /control/watch?after=R``   what changed after a revision, as soon as something has; a voter's call
-``POST /control/changes``        propose a change; a repeat has the same ``change_id``
-``GET, POST /control/voters``    the voters, as the leader has them; add and remove one
-``POST /control/transfer``       hand leadership over
+``GET /control/status``          the status of this process
+``GET /control/keys/KEY``        one key, linearizable; ``?local=1``: from this process's copy, with its age
+``GET /control/keys?prefix=P``   all keys below a prefix, from this process's copy, with their age
+``GET /control/watch?after=R``   changes after a revision, as soon as there are any; only at voters
+``POST /control/changes``        propose a change; repeat it with the same ``change_id``
+``GET, POST /control/voters``    list the voters of the leader; add and remove one
+``POST /control/transfer``       transfer the leadership
 ===============================  ======================================================================
 """
 
@@ -26,11 +29,11 @@
 
 
 class InvalidCallError(Exception):
-    """A call with invalid arguments; the text names argument and cause."""
+    """A call has invalid arguments. The text names the argument and the cause."""
 
 
 class OperatorCalls:
-    """The calls that every control process answers. Handles ``/control``."""
+    """Handles the calls below ``/control`` that every control process answers."""
 
     def __init__(self, machines: MachineDirectory) -> None:
         self.machines = machines
@@ -41,7 +44,7 @@
         raise NotImplementedError
 
     async def keys(self) -> KeyListing:
-        """Return all keys of this process."""
+        """Return all keys of this process's copy."""
         raise NotImplementedError
 
     async def request(self, connection: Connection, request: Request) -> Response | None:
@@ -60,17 +63,19 @@
             return error_answer(400, str(error), reason="invalid")
 
     async def _keys_below(self, prefix: str, exact: bool) -> KeyListing:
-        found = await self.keys()
-        kept = [
-            one for one in found.entries if one.key == prefix or (not exact and one.key.startswith(prefix))
+        listing = await self.keys()
+        matching = [
+            entry
+            for entry in listing.entries
+            if entry.key == prefix or (not exact and entry.key.startswith(prefix))
         ]
-        return KeyListing(found.revision, found.age_s, sorted(kept, key=lambda one: one.key))
+        return KeyListing(listing.revision, listing.age_s, sorted(matching, key=lambda entry: entry.key))
 
     async def voters_call(self, request: Request, parts: list[str], options: dict[str, str]) -> Response:
-        """Answer a call that needs a voter: redirect to the voters in turn."""
+        """Answer a call that needs a voter by redirecting it, to each voter in turn."""
         voters = self.machines.voters_operators()
         if not voters:
-            return error_answer(503, "no voter's operator address is known here", retry=False)
+            return error_answer(503, "this process knows no operators' address of a voter", retry=False)
         return self.redirect(voters[next(self._next_voter) % len(voters)], request)
 
     def redirect(self, operator: str, request: Request) -> Response:
@@ -79,4 +84,4 @@
         return Response(307, b"", [(b"location", location)])
 
     def client_disconnected(self, connection: Connection) -> None:
-        """Do nothing when the caller disconnects: a proposed change is decided all the same."""
+        """Do nothing: a proposed change is decided even after its caller has disconnected."""
--- a/merlinbay/control_service/peers.py
+++ b/merlinbay/control_service/peers.py
@@ -1,4 +1,9 @@
-"""Connections to other voters: kept to those of the configuration, to others while messages are sent."""
+"""Connections of a voter to other voters.
+
+Connections to the voters of the configuration are kept open. A connection to any other voter is opened by the
+first message to it and closed when no message has been sent for a while. Messages that cannot be sent are
+dropped and counted; the consensus protocol repeats them.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +16,13 @@
 from merlinbay.control_service.dialing import PeerConnection
 from merlinbay.control_service.local_peer import LocalPeer
 
-UNUSED_TIMEOUT_S = 60.0  # a connection to a voter of no configuration is closed after so long
+UNUSED_TIMEOUT_S = 60.0  # a connection to a machine that is no voter is closed after this time
 SWEEP_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True)
 class VoterPeer:
-    """One other voter."""
+    """The connection to one other voter."""
 
     connection: PeerConnection
     used_at_s: float  # when the last message was sent
@@ -25,41 +30,41 @@
 
 
 class VoterPeers:
-    """The connections of a voter, by the name of the other one."""
+    """The connections of a voter, by the name of the other voter."""
 
     def __init__(self, local_peer: LocalPeer, address_of: Callable[[str], str], random: Random) -> None:
-        """``address_of`` is called at every attempt to connect; it returns empty if no address is known."""
+        """``address_of`` is called at every attempt to connect; an empty result means no known address."""
         self._local_peer, self._address_of, self._random = local_peer, address_of, random
         self._peers: dict[str, VoterPeer] = {}
-        self._wanted: tuple[str, ...] = ()
+        self._kept_names: tuple[str, ...] = ()
         self._received_at_s: dict[str, float] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Keep connections until cancelled."""
+        """Maintain the connections until cancelled."""
         async with trio.open_nursery() as self._nursery:
             while True:
                 await trio.sleep(SWEEP_INTERVAL_S)
                 self._sweep()
 
     def keep(self, names: tuple[str, ...]) -> None:
-        """Stay connected to these voters, so that the first message of an election need not wait."""
-        if names == self._wanted or self._nursery is None:
+        """Stay connected to these voters, so that the first message of an election is sent without delay."""
+        if names == self._kept_names or self._nursery is None:
             return
-        self._wanted = names
+        self._kept_names = names
         for name in names:
             if name not in self._peers and name != self._local_peer.name:
                 self._open(name)
 
     def _sweep(self) -> None:
-        oldest_s = trio.current_time() - UNUSED_TIMEOUT_S
+        expired_before_s = trio.current_time() - UNUSED_TIMEOUT_S
         for name, peer in list(self._peers.items()):
-            if peer.used_at_s < oldest_s and name not in self._wanted:
+            if peer.used_at_s < expired_before_s and name not in self._kept_names:
                 peer.scope.cancel()
                 del self._peers[name]
 
     def send(self, name: str, message: bytes) -> None:
-        """Send a message; it is lost if the connection is not open."""
+        """Send a message; it is dropped if the connection is not open."""
         peer = self._peers.get(name) or self._open(name)
         if peer is not None:
             peer.used_at_s = trio.current_time()
@@ -79,13 +84,13 @@
             await peer.connection.run()
 
     def record_received(self, name: str) -> None:
-        """Record that a message of a voter was received."""
+        """Record that a message from a voter was received."""
         self._received_at_s[name] = trio.current_time()
 
     def received_ago_s(self, name: str) -> float | None:
         """Return how long ago a voter's last message was received; None if never."""
-        at = self._received_at_s.get(name)
-        return None if at is None else trio.current_time() - at
+        received_at_s = self._received_at_s.get(name)
+        return None if received_at_s is None else trio.current_time() - received_at_s
 
     def is_connected(self, name: str) -> bool:
         """Return whether the connection to a voter is open."""
--- a/merlinbay/control_service/process.py
+++ b/merlinbay/control_service/process.py
@@ -1,4 +1,7 @@
-"""One control process: reads its file, starts its parts and the operators' calls, runs until SIGTERM."""
+"""One control process: reads its file, starts its parts and the operators' calls, and runs until SIGTERM.
+
+An invalid file, or an address that cannot be bound, ends it with one line on standard error and exit code 2.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +22,9 @@
 from merlinbay.limits import ResourceLimits
 from merlinbay.log import Log
 
-# The body holds a value of 64 KiB, escaped.
+# A request body holds a value of at most 64 KiB, which grows when it is escaped.
 CALL_LIMITS = replace(ResourceLimits(), body_bytes=256 * 1024, client_connections=128)
-SHUTDOWN_S = 1.0  # after SIGTERM, for the election of a new leader and for followers to move
+SHUTDOWN_S = 1.0  # time after SIGTERM to elect a new leader and to move followers elsewhere
 
 
 async def run(file: ControlFile, counters: Counters, log: Log) -> None:
@@ -57,8 +60,8 @@
 
 async def _handle_signals(file: ControlFile, parts: ProcessParts, counters: Counters, log: Log) -> None:
     """Reload the keys on SIGHUP, print the counters on SIGUSR1; return after SIGTERM or SIGINT."""
-    taken = signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT
-    with trio.open_signal_receiver(*taken) as signals:
+    handled_signals = signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT
+    with trio.open_signal_receiver(*handled_signals) as signals:
         async for number in signals:
             if number == signal.SIGUSR1:
                 _print_counters(file, parts, counters)
@@ -97,7 +100,7 @@
 def serve(path: str, role: str = "") -> int:
     """Run the process of a file; return the exit code, 2 if the file is invalid.
 
-    ``role``: the expected role; empty: any.
+    ``role`` is the role that the file must describe; empty accepts any.
     """
     counters = Counters()
     try:
@@ -110,16 +113,16 @@
         print(f"merlinbay: {text if text.startswith(path) else f'{path}: {text}'}", file=sys.stderr)
         return 2
     except BaseExceptionGroup as group:
-        bad, rest = group.split(ConfigurationError)
-        if bad is None or rest is not None:
+        configuration_errors, rest = group.split(ConfigurationError)
+        if configuration_errors is None or rest is not None:
             raise
-        print(f"merlinbay: {path}: {_first(bad)}", file=sys.stderr)
+        print(f"merlinbay: {path}: {_first_error(configuration_errors)}", file=sys.stderr)
         return 2
     return 0
 
 
-def _first(group: BaseExceptionGroup[ConfigurationError]) -> BaseException:
-    found: BaseException = group
-    while isinstance(found, BaseExceptionGroup):
-        found = found.exceptions[0]
-    return found
+def _first_error(group: BaseExceptionGroup[ConfigurationError]) -> BaseException:
+    error: BaseException = group
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
--- a/merlinbay/control_service/relay_host.py
+++ b/merlinbay/control_service/relay_host.py
@@ -1,4 +1,4 @@
-"""A relay on real sockets: a follower upstream, a server of watches downstream. Holds no global state."""
+"""Runs a relay on real sockets: a follower upstream, a watch server downstream. Holds no global state."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RelayHost(UpstreamHost[Relay]):
-    """One relay: ``await nursery.start(host.run, listening)``."""
+    """One relay. Start it with ``await nursery.start(host.run, listening)``."""
 
     __slots__ = ("_downstream",)
 
@@ -64,27 +64,27 @@
             task_status.started()
 
     def drain(self) -> None:
-        """Send all watches to other upstreams: the process is going to end."""
+        """Direct all watches to other upstreams, as the process is about to end."""
         self.core.drain(trio.current_time())
         self._carry_out()
 
     def opened(self, connection: int) -> None:
-        """Take a new downstream stream."""
+        """Pass a new downstream stream to the core."""
         self.core.opened(connection, trio.current_time())
         self._carry_out()
 
     def received(self, connection: int, frame: bytes) -> None:
-        """Take a frame from downstream."""
+        """Pass a frame from downstream to the core."""
         self.core.received(connection, frame, trio.current_time())
         self._carry_out()
 
     def written(self, connection: int, size: int) -> None:
-        """Take it that a frame of ``size`` bytes was written."""
+        """Tell the core that a frame of ``size`` bytes was written."""
         self.core.written(connection, size, trio.current_time())
         self._carry_out()
 
     def closed(self, connection: int) -> None:
-        """Take it that a downstream stream has ended."""
+        """Tell the core that a downstream stream has ended."""
         self.core.closed(connection, trio.current_time())
         self._carry_out()
 
--- a/merlinbay/control_service/schema.py
+++ b/merlinbay/control_service/schema.py
@@ -1,4 +1,4 @@
-"""Types of the configuration's values by key prefix. A value is checked before its change is proposed."""
+"""The types of the configuration's values, by key prefix. Values are checked before a change is proposed."""
 
 from __future__ import annotations
 
@@ -8,41 +8,45 @@
 import msgspec
 
 KEY_BYTES = 256
-VALUE_BYTES = 64 * 1024  # a change is one frame of every follower; larger things belong elsewhere
+VALUE_BYTES = (
+    64 * 1024
+)  # every change is sent to every follower as one frame, so large data is not stored here
 KEY_PART = re.compile(r"[A-Za-z0-9._-]{1,64}")
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class InvalidValueError(Exception):
-    """A key or value that is not taken; one line with key and cause."""
+    """A key or value is rejected. The text is one line with the key and the cause."""
 
 
 class TeamSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """``teams/NAME``: what a team may use."""
+    """``teams/NAME``: the limits of one team."""
 
     tasks_running: Count
     accelerators: Count = 0
-    task_starts_per_second: Amount = 0.0  # 0: no limit of its own
-    share: Annotated[float, msgspec.Meta(gt=0)] = 1.0  # of what is contended, against other teams
-    urgent: bool = False  # may submit work that starts before other work
+    task_starts_per_second: Amount = 0.0  # 0: the team has no limit of its own
+    share: Annotated[float, msgspec.Meta(gt=0)] = (
+        1.0  # the team's weight against other teams where a resource is contended
+    )
+    urgent: bool = False  # the team may submit work that starts before other work
 
 
 class LimitSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """``limits/NAME``: one limit of the whole installation."""
+    """``limits/NAME``: one limit that applies to the whole installation."""
 
     value: Amount
     unit: str = ""
 
 
 class FreeSetting(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """``configuration/PART/NAME``: a setting whose reader knows its type."""
+    """``configuration/PART/NAME``: a setting whose exact type is known to the code that reads it."""
 
     value: bool | int | float | str | list[str]
 
 
 class ControlMachine(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """``machines/NAME``: where a control machine is reached, for those that are added later."""
+    """``machines/NAME``: the addresses of a control machine that is added after the first start."""
 
     address: str
     operator: str = ""
@@ -57,7 +61,7 @@
     "configuration": FreeSetting,
     "machines": ControlMachine,
 }
-DEEPEST = {"configuration": 4}  # parts of a key below its prefix; one for the others
+MAX_PARTS = {"configuration": 4}  # limit of parts of a key after its prefix; one for other prefixes
 
 
 def check_key(key: str) -> type[msgspec.Struct]:
@@ -65,27 +69,31 @@
     prefix, *parts = key.split("/")
     if prefix not in SCHEMA:
         raise InvalidValueError(f"{key}: unknown prefix {prefix!r}; known: {', '.join(sorted(SCHEMA))}")
-    if not 1 <= len(parts) <= DEEPEST.get(prefix, 1) or len(key) > KEY_BYTES:
+    if not 1 <= len(parts) <= MAX_PARTS.get(prefix, 1) or len(key) > KEY_BYTES:
         raise InvalidValueError(f"{key}: too few or too many parts")
     if not all(KEY_PART.fullmatch(part) for part in parts):
-        raise InvalidValueError(f"{key}: a part is 1 to 64 letters, digits, dots, dashes or underscores")
+        raise InvalidValueError(
+            f"{key}: a part is expected to be 1 to 64 letters, digits, dots, dashes or underscores"
+        )
     return SCHEMA[prefix]
 
 
 def encode_value(key: str, value: Any) -> bytes:
-    """Return a checked value as the log keeps it: JSON. Raises ``InvalidValueError``."""
-    kind = check_key(key)
+    """Check a value and return it as JSON, as the log stores it. Raises ``InvalidValueError``."""
+    value_type = check_key(key)
     try:
-        encoded = msgspec.json.encode(msgspec.convert(value, kind))
+        encoded = msgspec.json.encode(msgspec.convert(value, value_type))
     except (msgspec.ValidationError, ValueError) as error:
         raise InvalidValueError(f"{key}: {error}") from None
     if len(encoded) > VALUE_BYTES:
-        raise InvalidValueError(f"{key}: {len(encoded)} bytes; {VALUE_BYTES} at most")
+        raise InvalidValueError(
+            f"{key}: the value has {len(encoded)} bytes; at most {VALUE_BYTES} are allowed"
+        )
     return encoded
 
 
 def decode_value(value: bytes) -> Any:
-    """Return a kept value for people: its JSON, or its text where it is none."""
+    """Return a stored value for display: decoded from JSON, or as text if it is not JSON."""
     try:
         return msgspec.json.decode(value)
     except msgspec.DecodeError:
--- a/merlinbay/control_service/sealing.py
+++ b/merlinbay/control_service/sealing.py
@@ -1,8 +1,9 @@
-"""Authentication of a connection: a handshake under the fleet's keys, then frames under its own. No I/O.
+"""Authentication of a connection: a handshake under the fleet's keys, then frames under its own keys. No I/O.
 
 The handshake is two sealed messages (``merlinbay.fleet.wire``) that carry a nonce each. Both sides derive one
-key per direction from the nonces; a frame's tag covers its position in the stream, so that no frame can be
-replayed or reordered, within the connection or on another one. Contents are not encrypted.
+key per direction from the nonces. A frame's tag covers its position in the stream, so that no frame can be
+replayed or reordered, within the connection or on another one. A message that fails a check raises
+``MessageRejectedError``. Contents are not encrypted.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class HandshakeHello(msgspec.Struct, frozen=True, tag_field="k", tag="control_hello"):
-    """First message of the side that connects."""
+    """The first message of the handshake, from the side that connects."""
 
     name: str
     role: str
@@ -30,7 +31,7 @@
 
 
 class HandshakeWelcome(msgspec.Struct, frozen=True, tag_field="k", tag="control_welcome"):
-    """The answer; ``hello_nonce`` binds it to this connection."""
+    """The answer of the side that accepts; ``hello_nonce`` binds it to this connection."""
 
     name: str
     nonce: bytes
@@ -38,7 +39,7 @@
 
 
 def seal_handshake(keys: Keys, fleet: str, message: HandshakeHello | HandshakeWelcome) -> bytes:
-    """Return a handshake message as bytes."""
+    """Return a handshake message, encoded and sealed."""
     return wire.seal(keys, fleet, msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
@@ -55,16 +56,16 @@
         try:
             message = msgspec.convert(content, kind, builtin_types=(bytes,))
         except msgspec.ValidationError:
-            raise MessageRejectedError("unexpected handshake message") from None
+            raise MessageRejectedError("unexpected type of handshake message") from None
         if len(message.nonce) != NONCE_BYTES:
-            raise MessageRejectedError("nonce of a wrong length")
+            raise MessageRejectedError("handshake nonce has the wrong length")
         return message, key
     raise rejection
 
 
 @dataclass(slots=True)
 class FrameSeal:
-    """Tags the frames of one direction in their order."""
+    """Computes and checks the tags of the frames of one direction, in their order."""
 
     key: bytes
     position: int = 0
@@ -75,18 +76,18 @@
         return tag
 
     def seal(self, payload: bytes) -> bytes:
-        """Return the next frame's content."""
+        """Return the content of the next frame: the tag, then the payload."""
         return self._tag(payload) + payload
 
     def open(self, content: bytes) -> bytes:
-        """Return the payload of the next frame. Raises ``MessageRejectedError``."""
+        """Check the tag of the next frame and return its payload. Raises ``MessageRejectedError``."""
         payload = content[TAG_BYTES:]
         if not hmac.compare_digest(self._tag(payload), content[:TAG_BYTES]):
-            raise MessageRejectedError("frame with a wrong tag")
+            raise MessageRejectedError("frame has an invalid tag")
         return payload
 
 
 def frame_seal(key: bytes, direction: bytes, hello_nonce: bytes, welcome_nonce: bytes) -> FrameSeal:
-    """Derive the key of one direction: ``hello`` from the side that connected, ``welcome`` to it."""
+    """Derive the key of one direction: ``hello`` is from the side that connected, ``welcome`` is to it."""
     context = b"merlinbay control frames " + direction + hello_nonce + welcome_nonce
     return FrameSeal(hmac.digest(key, context, "sha256"))
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -1,4 +1,8 @@
-"""The file of one control process, as types: one TOML file, one line where something is wrong with it."""
+"""The settings of a control process, read from its TOML file, and the ``control`` section of a node.
+
+The file is read once, when the process starts. An invalid file raises ``ConfigurationError`` with one line
+that names the file, the key and the cause.
+"""
 
 from __future__ import annotations
 
@@ -21,78 +25,82 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # of one event a second; what is beyond it is counted
+    lines: Annotated[int, msgspec.Meta(ge=1)] = (
+        20  # written of each event per second; further lines are counted
+    )
 
 
 class MachineSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Where a control machine is reached."""
+    """The addresses and the place of one control machine."""
 
-    address: str  # host:port of voters, relays and followers
-    operator: str = ""  # host:port of the operators' calls
+    address: str  # host:port that voters, relays and followers connect to
+    operator: str = ""  # host:port that answers the operators' calls
     region: Name = "region"
     zone: Name = "zone"
-    tier: Annotated[int, msgspec.Meta(ge=0, le=4)] = 0  # 0: a voter; a relay: one above its upstreams
+    tier: Annotated[int, msgspec.Meta(ge=0, le=4)] = (
+        0  # 0 for a voter; a relay is one tier above its upstreams
+    )
 
     def upstream(self, name: str) -> Upstream:
-        """Return the machine as followers and relays know it."""
+        """Return the machine as an upstream of followers and relays."""
         return Upstream(name, self.address, Location(self.region, self.zone), self.tier)
 
 
 class VoterSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a voter needs: a disk that lasts, the voters of the beginning, and its times."""
+    """The settings of a voter: its persistent disk, the initial voters and its timeouts."""
 
-    data: str  # a folder that lasts
-    initial: list[Name]  # voters of the first start: the same at each voter, also one that is added later
-    heartbeat: Seconds = 0.2
-    election: Seconds = 0.7  # without a heartbeat; drawn from it to twice it
-    compact_after: Annotated[int, msgspec.Meta(ge=8)] = 4096  # changes between two snapshots
-    generation: Annotated[int, msgspec.Meta(ge=1)] = 1  # raised where a new log is founded on empty disks
+    data: str  # a folder on a persistent disk
+    initial: list[Name]  # voters of the first start; the same list at every voter, even one added later
+    heartbeat: Seconds = 0.2  # interval between two heartbeats of the leader
+    election: Seconds = 0.7  # election timeout without a heartbeat; drawn between this value and twice it
+    compact_after: Annotated[int, msgspec.Meta(ge=8)] = 4096  # number of changes between two snapshots
+    generation: Annotated[int, msgspec.Meta(ge=1)] = 1  # raised when a new log is created on empty disks
 
 
 class RelaySection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a relay needs beside its upstreams."""
+    """The settings of a relay, beside its upstreams."""
 
-    coalesce: Seconds = 0.1  # changes are gathered for so long before they are passed on
-    followers: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 1000
+    coalesce: Seconds = 0.1  # how long changes are gathered before they are forwarded together
+    followers: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 1000  # maximum number of watches
 
 
 class ControlSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Section ``control`` of a node's operator's file: the node follows the configuration."""
+    """Section ``control`` of a node's operator's file. With it, the node follows the configuration."""
 
     fleet: Name = "fleet"
     region: Name = "region"
     zone: Name = "zone"
-    bind: str = ""  # the local address of its own connections
-    keys: str  # a file of one or two keys, as for the fleet's view
-    machines: dict[str, MachineSection]  # relays or voters that it may watch
+    bind: str = ""  # local address of outgoing connections
+    keys: str  # path of a file with one or two keys, in the format of the fleet view's keys
+    machines: dict[str, MachineSection]  # relays or voters that the node may watch
 
-    def wrong(self) -> str:
-        """Return what is wrong with the section beyond its types: key and cause; empty: nothing."""
+    def validation_error(self) -> str:
+        """Return the key and the cause of an error that the types do not catch; empty if there is none."""
         if not self.machines:
             return "machines: at least one relay or voter is needed"
         return _bad_machine(self.machines)
 
 
 class ControlFile(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The file of one control process."""
+    """The settings file of one control process."""
 
     name: Name
-    fleet: Name = "fleet"  # a process of another fleet is refused
+    fleet: Name = "fleet"  # peers of another fleet are rejected
     region: Name = "region"
     zone: Name = "zone"
-    listen: str = ""  # host:port of voters, relays and followers; a follower needs none
-    advertise: str = ""  # where the others reach it, if that differs
-    bind: str = ""  # the local address of its own connections; empty: that of listen
-    operator: str = ""  # host:port of the operators' calls; empty: none
-    keys: str  # a file of one or two keys, base64, one a line, as for the fleet's view
-    machines: dict[str, MachineSection] = {}  # the control machines by name
+    listen: str = ""  # host:port that peers connect to; a follower needs none
+    advertise: str = ""  # host:port that others use to reach this process, if it differs from listen
+    bind: str = ""  # local address of outgoing connections; empty: the address of listen
+    operator: str = ""  # host:port that answers the operators' calls; empty: calls are not served
+    keys: str  # path of a file with one or two base64 keys, one per line, as for the fleet view
+    machines: dict[str, MachineSection] = {}  # all control machines, by name
     upstreams: list[Name] = []  # machines that a relay or follower may watch
     voter: VoterSection | None = None
     relay: RelaySection | None = None
     log: EventLogSection = msgspec.field(default_factory=EventLogSection)
 
     def role(self) -> ProcessRole:
-        """Return the role that the file describes; a voter serves watches as well."""
+        """Return the role that the file describes. A voter serves watches too."""
         if self.voter is not None:
             return "voter"
         return "relay" if self.relay is not None else "follower"
@@ -102,12 +110,12 @@
         return [self.machines[name].upstream(name) for name in self.upstreams]
 
     def bind_address(self) -> str:
-        """Return the local address of its own connections."""
+        """Return the local address of outgoing connections; empty if the system chooses it."""
         return self.bind or (parse_address(self.listen)[0] if self.listen else "")
 
 
 def load_keys(path: str) -> Keys:
-    """Read the keys. Raises ``ConfigurationError``."""
+    """Read the keys from a file. Raises ``ConfigurationError``."""
     try:
         return Keys.load(path)
     except ValueError as error:
@@ -128,9 +136,9 @@
 
 
 def _problem(file: ControlFile) -> str:
-    """Return key and cause of what is wrong beyond the types; empty: nothing."""
+    """Return the key and the cause of an error that the types do not catch; empty if there is none."""
     if file.voter is not None and file.relay is not None:
-        return "relay: a voter serves watches without this section"
+        return "relay: a voter serves watches without this section; remove it"
     if file.role() != "follower" and not file.listen:
         return f"listen: needed by a {file.role()}"
     if file.voter is None and not file.upstreams:
@@ -141,9 +149,9 @@
     if file.voter is None:
         return ""
     if file.voter.election < 2 * file.voter.heartbeat:
-        return "voter.election: less than two heartbeats: one that is late would start an election"
+        return "voter.election: less than two heartbeats; one late heartbeat would start an election"
     if not file.voter.initial or len(set(file.voter.initial)) < len(file.voter.initial):
-        return "voter.initial: the voters of the first start have to be named, each once"
+        return "voter.initial: must name the voters of the first start, each exactly once"
     return ""
 
 
--- a/merlinbay/control_service/status.py
+++ b/merlinbay/control_service/status.py
@@ -1,4 +1,4 @@
-"""The status of a control process as operators see it; the command line combines several of them."""
+"""The status of a control process for operators. The command line combines several processes."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another voter, as seen by this one."""
+    """The connection state of another voter, at this voter."""
 
     name: str
-    connected: bool  # messages can be sent to it
-    heard_ago_s: float | None  # since its last message was received; None: never
+    connected: bool  # whether messages can be sent to it
+    heard_ago_s: float | None  # time since its last message was received; None: never received
 
 
 class VotingStatus(msgspec.Struct, frozen=True):
-    """A voter's part in the log."""
+    """The state of a voter's replica of the log."""
 
     state: str  # follower, pre_candidate, candidate, leader, storage_failed
     term: int
     leader: str
     commit_index: int
     voters: tuple[str, ...]
-    joining: tuple[str, ...]  # that catch up to become voters
+    joining: tuple[str, ...]  # machines that catch up with the log to become voters
     peers: tuple[PeerStatus, ...]
-    storage: str  # why nothing can be stored; empty: it can
+    storage: str  # why the disk accepts no records; empty: it accepts them
 
 
 class ProcessStatus(msgspec.Struct, frozen=True):
-    """One control process."""
+    """The status of one control process."""
 
     name: str
     role: str
     region: str
     zone: str
     revision: int
-    age_s: float | None  # for how long its data may be out of date; None: it never had any
+    age_s: float | None  # how long its data may have been out of date; None: it never had any
     upstream: str = ""
     watches: int = 0
-    below: Summary = Summary()  # what the followers below have in force
+    below: Summary = Summary()  # the revisions that the followers below have in force
     voting: VotingStatus | None = None
-    operators: dict[str, str] = {}  # of the control machines: name to address of the operators' calls
-    counters: dict[str, int] = {}  # since the start
+    operators: dict[str, str] = {}  # addresses of the operators' calls, by machine name
+    counters: dict[str, int] = {}  # counts since the start of the process
 
 
 def rounded(seconds: float) -> float | None:
-    """Return a time for JSON, which has no infinity."""
+    """Return a time for JSON: rounded to milliseconds; None for infinity, which JSON lacks."""
     return round(seconds, 3) if math.isfinite(seconds) else None
 
 
 def voter_counters(host: VoterHost) -> dict[str, int]:
-    """Return a voter's counters by name: connections, log, watches."""
+    """Return a voter's counters by name: its connections, its log and its watches."""
     return {
         **host.local_peer.traffic.figures(),
         "storage_failures": host.storage_failures,
@@ -67,7 +67,7 @@
 
 
 def relay_counters(host: RelayHost) -> dict[str, int]:
-    """Return a relay's counters by name: connections, watches, its own watch."""
+    """Return a relay's counters by name: its connections, the watches it serves and its own watch."""
     return {
         **host.local_peer.traffic.figures(),
         **_prefixed("watch", msgspec.structs.asdict(host.core.server.counters)),
@@ -76,24 +76,24 @@
 
 
 def follower_counters(host: FollowerHost) -> dict[str, int]:
-    """Return a follower's counters by name: connections, its watch."""
+    """Return a follower's counters by name: its connections and its watch."""
     return {
         **host.local_peer.traffic.figures(),
         **_prefixed("follow", msgspec.structs.asdict(host.core.counters)),
     }
 
 
-def _prefixed(prefix: str, figures: dict[str, int]) -> dict[str, int]:
-    return {f"{prefix}_{name}": value for name, value in figures.items()}
+def _prefixed(prefix: str, counters: dict[str, int]) -> dict[str, int]:
+    return {f"{prefix}_{name}": value for name, value in counters.items()}
 
 
 def voting_status(host: VoterHost) -> VotingStatus:
     """Return the state of a voter's replica of the log."""
     voter = host.voter
-    others = [name for name in voter.voters if name != voter.name]
+    other_voters = [name for name in voter.voters if name != voter.name]
     peers = [
         PeerStatus(name, host.peers.is_connected(name), _rounded_or_none(host.peers.received_ago_s(name)))
-        for name in others
+        for name in other_voters
     ]
     return VotingStatus(
         voter.role.value,
--- a/merlinbay/control_service/upstream_host.py
+++ b/merlinbay/control_service/upstream_host.py
@@ -1,4 +1,4 @@
-"""What followers and relays have in common on real sockets: the watch at an upstream, and its timer."""
+"""The common part of followers and relays on real sockets: the watch at an upstream, and its timer."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class UpstreamCore(Protocol):
-    """A follower or relay without I/O."""
+    """The interface of a follower or relay core, which does no I/O."""
 
     def upstream_connected(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt is open."""
+        """Handle that the stream of an attempt is open."""
 
     def upstream_received(self, attempt: int, frame: bytes, now: float) -> None:
-        """Take a frame from upstream."""
+        """Handle a frame from upstream."""
 
     def upstream_closed(self, attempt: int, now: float) -> None:
-        """Take it that the stream of an attempt has ended or could not be opened."""
+        """Handle that the stream of an attempt has ended or could not be opened."""
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Perform the actions that are due."""
 
     def next_deadline(self) -> float:
-        """Return when ``tick`` is due; infinity if never."""
+        """Return the time at which ``tick`` is due; infinity if never."""
 
     def take_effects(self) -> Sequence[RelayEffect]:
         """Return the effects since the last call."""
@@ -44,7 +44,7 @@
 
 
 class UpstreamHost(Generic[CoreT]):
-    """Carries out the effects of one core; ``on_advance`` is called at each new revision."""
+    """Drives one core and carries out its effects; ``on_advance`` is called at each new revision."""
 
     __slots__ = ("_timer", "_upstream", "core", "local_peer", "on_advance")
 
@@ -64,17 +64,17 @@
         self._carry_out()
 
     def upstream_connected(self, attempt: int) -> None:
-        """Take it that the upstream stream is open."""
+        """Tell the core that the upstream stream is open."""
         self.core.upstream_connected(attempt, trio.current_time())
         self._carry_out()
 
     def upstream_received(self, attempt: int, frame: bytes) -> None:
-        """Take a frame from upstream."""
+        """Pass a frame from upstream to the core."""
         self.core.upstream_received(attempt, frame, trio.current_time())
         self._carry_out()
 
     def upstream_closed(self, attempt: int) -> None:
-        """Take it that the upstream stream has ended or could not be opened."""
+        """Tell the core that the upstream stream has ended or could not be opened."""
         self.core.upstream_closed(attempt, trio.current_time())
         self._carry_out()
 
--- a/merlinbay/control_service/voter_calls.py
+++ b/merlinbay/control_service/voter_calls.py
@@ -1,4 +1,8 @@
-"""The operators' calls at a voter. The leader answers writes and linearizable reads; others redirect."""
+"""The operators' calls at a voter.
+
+The leader answers writes and linearizable reads; the other voters redirect them to the leader. While no leader
+is known, such a call is answered with status 503 and may be repeated.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +29,12 @@
 from merlinbay.control_service.voter_host import VoterHost
 from merlinbay.http.connection import Request, Response
 
-WATCH_TIMEOUT_S = 20.0  # a call for changes is answered after so long, also without any
+WATCH_TIMEOUT_S = 20.0  # a watch call is answered after this time even if nothing has changed
 CHANGE_ID_BYTES = 128
 
 
 class VoterCalls(OperatorCalls):
-    """The calls of a voter."""
+    """The operators' calls that a voter answers."""
 
     def __init__(self, host: VoterHost, machines: MachineDirectory, file: ControlFile) -> None:
         super().__init__(machines)
@@ -43,12 +47,12 @@
         return voter_status(self.host, self._file.region, self._file.zone, operators)
 
     async def keys(self) -> KeyListing:
-        """Return all keys that this voter has."""
+        """Return all keys of this voter's copy."""
         age = rounded(self.host.watches.age())
         return await self.host.watches.read_local(lambda keyspace: _all_keys(keyspace, age))
 
     async def voters_call(self, request: Request, parts: list[str], options: dict[str, str]) -> Response:
-        """Answer as the leader, or send the caller there."""
+        """Answer the call as the leader, or redirect it to the leader."""
         match request.method, parts:
             case "GET", ["keys", *_] if parts[1:]:
                 return await self._read("/".join(parts[1:]), request)
@@ -65,50 +69,52 @@
                     return self._to_leader(self.host.voter.leader, request)
                 self.host.transfer_leadership()
                 return json_answer(AppliedAnswer(self.host.watches.store.revision))
-        return error_answer(404, "no such call")
+        return error_answer(404, "unknown path or method")
 
     async def _read(self, key: str, request: Request) -> Response:
-        done = await self.host.read(key)
-        if done.failed:
-            return self._to_leader(done.leader, request)
-        found = [] if done.value is None else [key_entry(done.value)]
-        return json_answer(KeyListing(done.revision, 0.0, found))
-
-    async def _change(self, wanted: ChangeRequest, request: Request) -> Response:
-        if not 1 <= len(wanted.change_id.encode()) <= CHANGE_ID_BYTES:
-            raise InvalidCallError(f"change_id: 1 to {CHANGE_ID_BYTES} bytes")
-        value = None if wanted.value is None else encode_value(wanted.key, wanted.value)
-        change = Change(wanted.change_id, wanted.key, value, wanted.expected_revision)
+        answer = await self.host.read(key)
+        if answer.failed:
+            return self._to_leader(answer.leader, request)
+        entries = [] if answer.value is None else [key_entry(answer.value)]
+        return json_answer(KeyListing(answer.revision, 0.0, entries))
+
+    async def _change(self, proposed: ChangeRequest, request: Request) -> Response:
+        if not 1 <= len(proposed.change_id.encode()) <= CHANGE_ID_BYTES:
+            raise InvalidCallError(f"change_id: a length of 1 to {CHANGE_ID_BYTES} bytes is expected")
+        value = None if proposed.value is None else encode_value(proposed.key, proposed.value)
+        change = Change(proposed.change_id, proposed.key, value, proposed.expected_revision)
         return self._result(await self.host.propose(change), request)
 
     async def _list_voters(self, request: Request) -> Response:
-        """Answer only as the leader: a voter that was removed may lack later configurations."""
+        """List the voters. Only the leader answers, as a removed voter may lack later configurations."""
         confirmed = await self.host.read("machines")
         if confirmed.failed:
             return self._to_leader(confirmed.leader, request)
         voter = self.host.voter
         return json_answer(VoterListing(voter.name, voter.term, voter.voters, voter.joining))
 
-    async def _voters(self, wanted: VotersRequest, request: Request) -> Response:
+    async def _voters(self, proposed: VotersRequest, request: Request) -> Response:
         """Change the voters. A repeated call has no further effect."""
-        if wanted.add is None and wanted.remove is None:
-            raise InvalidCallError("nobody to add or to remove")
-        confirmed = await self.host.read(f"machines/{wanted.add}")
+        if proposed.add is None and proposed.remove is None:
+            raise InvalidCallError("add or remove is expected to name a voter")
+        confirmed = await self.host.read(f"machines/{proposed.add}")
         if confirmed.failed:
             return self._to_leader(confirmed.leader, request)
-        # Checked after the read: only the leader surely has an address that was set just before.
-        if wanted.add is not None and not self.machines.address_of(wanted.add):
-            raise InvalidCallError(f"no address of {wanted.add} is known: set machines/{wanted.add} first")
+        # Checked after the read: only a confirmed leader is sure to have an address that was set just before.
+        if proposed.add is not None and not self.machines.address_of(proposed.add):
+            raise InvalidCallError(
+                f"no address of {proposed.add} is known: set machines/{proposed.add} first"
+            )
         voter = self.host.voter
-        if wanted.add in voter.joining:
-            return error_answer(503, f"{wanted.add} is joining", retry=True, reason="joining")
-        add = None if wanted.add in voter.voters and wanted.add != wanted.remove else wanted.add
-        remove = wanted.remove if wanted.remove in voter.voters else None
+        if proposed.add in voter.joining:
+            return error_answer(503, f"{proposed.add} is joining", retry=True, reason="joining")
+        add = None if proposed.add in voter.voters and proposed.add != proposed.remove else proposed.add
+        remove = proposed.remove if proposed.remove in voter.voters else None
         if add is not None or remove is not None:
             return self._result(await self.host.change_voters(add, remove), request)
         if voter.commit_index < voter.last_index:
             return error_answer(
-                503, "the last change of voters is not committed", retry=True, reason="joining"
+                503, "the last change of voters is not committed yet", retry=True, reason="joining"
             )
         return json_answer(AppliedAnswer(self.host.watches.store.revision))
 
@@ -116,7 +122,12 @@
         if isinstance(result, ChangeApplied):
             return json_answer(AppliedAnswer(result.revision))
         if not isinstance(result, ChangeRejected):
-            return error_answer(503, "undecided: repeat it with its id", retry=True, reason="uncertain")
+            return error_answer(
+                503,
+                "the change may or may not be applied: repeat it with the same change_id",
+                retry=True,
+                reason="uncertain",
+            )
         match result.reason:
             case "conflict":
                 error = f"the key is at revision {result.current_revision}"
@@ -126,7 +137,7 @@
             case "not_leader":
                 return self._to_leader(result.leader, request)
             case _:
-                error = f"not taken now: {result.reason} {result.detail}".strip()
+                error = f"the change cannot be accepted now: {result.reason} {result.detail}".strip()
                 return error_answer(503, error, retry=True, reason=result.reason)
 
     def _to_leader(self, leader: str, request: Request) -> Response:
@@ -147,11 +158,11 @@
 
 def _all_keys(keyspace: Keyspace, age: float | None) -> KeyListing:
     state = keyspace.state()
-    return KeyListing(state.revision, age, [key_entry(one) for one in state.entries])
+    return KeyListing(state.revision, age, [key_entry(entry) for entry in state.entries])
 
 
 def _changed(keyspace: Keyspace, after: int, age: float | None) -> KeyListing:
     delta = keyspace.delta_after(min(after, keyspace.revision))
     if delta is None:
         return _all_keys(keyspace, age)
-    return KeyListing(delta.revision, age, [key_entry(one) for one in delta.entries], whole=False)
+    return KeyListing(delta.revision, age, [key_entry(entry) for entry in delta.entries], whole=False)
--- a/merlinbay/control_service/voter_host.py
+++ b/merlinbay/control_service/voter_host.py
@@ -1,7 +1,8 @@
-"""A voter on real sockets and a disk: one task drives the core and carries out its effects in order.
+"""Runs a voter on real sockets and a disk: one task drives the core and carries out its effects in order.
 
 Inputs that arrive while the disk writes are passed to the core afterwards, so that no voter, client or watch
-sees state that is in memory and not yet on the disk.
+sees state that is in memory and not yet on the disk. If the disk fails, the effects that depend on unstored
+records are dropped; once the disk accepts records again, the core is rebuilt from it.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 from merlinbay.control_service.watch_service import WatchService
 from merlinbay.log import Log
 
-MAX_INPUTS = 8192  # messages of voters that wait while the disk writes; more are dropped
+MAX_INPUTS = 8192  # limit of inputs queued while the disk writes; further messages of voters are dropped
 
 VoterInput = Callable[[Voter, float], None]
 
@@ -49,7 +50,7 @@
 
 
 class VoterHost:
-    """One voter, and the watches that it serves: ``await nursery.start(host.run, listening)``."""
+    """A voter and the watches it serves; start it with ``await nursery.start(host.run, listening)``."""
 
     def __init__(
         self,
@@ -70,14 +71,14 @@
         self.voter = self._build()
         self.peers = VoterPeers(local_peer, address_of, make_random())
         self.watches = WatchService(
-            self.voter.keyspace, generation, watch_settings, make_random(), others, self._awaken
+            self.voter.keyspace, generation, watch_settings, make_random(), others, self._wake_driver
         )
         self.storage_failures = 0
-        self.advanced = trio.Event()  # set at each new revision, and replaced
+        self.advanced = trio.Event()  # set at each new revision, then replaced by a new event
         self._role = self.voter.role
         self._inputs: deque[VoterInput] = deque()
         self._wake = trio.Event()
-        self._pending: dict[int, AwaitedAnswer] = {}  # by token
+        self._pending: dict[int, AwaitedAnswer] = {}  # proposals and reads without an answer, by token
         self._last_token = 0
         self._rebuild = False
 
@@ -95,7 +96,7 @@
         listening: trio.socket.SocketType,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Vote, and serve watches, until cancelled."""
+        """Run the voter and serve watches until cancelled."""
         acceptor = Acceptor(self.local_peer, _overflow, self._serve)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.durable.run)
@@ -120,9 +121,9 @@
 
     def _put(self, item: VoterInput) -> None:
         self._inputs.append(item)
-        self._awaken()
+        self._wake_driver()
 
-    def _awaken(self) -> None:
+    def _wake_driver(self) -> None:
         self._wake.set()
 
     async def _drive(self, nursery: trio.Nursery) -> None:
@@ -168,10 +169,10 @@
     async def _await_storage(self) -> None:
         if await self.durable.recovered():
             self._rebuild = True
-            self._awaken()
+            self._wake_driver()
 
     def _restart_core(self) -> None:
-        """Build the core anew from what is on the disk, as after a crash."""
+        """Rebuild the core from the records on the disk, as after a crash."""
         self._rebuild = False
         self.voter = self._build()
         self.log.event("control_storage_recovered", revision=self.voter.keyspace.revision)
@@ -225,7 +226,7 @@
         answer = await self._ask(make)
         if isinstance(answer, ProposalDone):
             return answer.result
-        return ChangeRejected("invalid", "answered as a read")
+        return ChangeRejected("invalid", "expected the result of a change, received that of a read")
 
     async def read(self, key: str) -> ReadDone:
         """Read a key linearizably."""
--- a/merlinbay/control_service/watch_service.py
+++ b/merlinbay/control_service/watch_service.py
@@ -1,4 +1,4 @@
-"""The watches that a voter serves. Inputs wait until the voter's own records are on the disk."""
+"""The watches that a voter serves. Inputs are queued until the voter's own records are on the disk."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 class ServedKeyspace:
     """The keyspace that watches are served from. Its revision never decreases.
 
-    A voter that is rebuilt from its disk may know a lower commit index than it has served: the former
-    keyspace is served until the voter has caught up.
+    A voter that is rebuilt from its disk may know a lower commit index than it has served. The previous
+    keyspace is then served until the voter has caught up.
     """
 
     def __init__(self, keyspace: Keyspace) -> None:
         self.current = keyspace
 
     def offer(self, keyspace: Keyspace) -> None:
-        """Serve a keyspace unless it is behind."""
+        """Serve this keyspace from now on, unless it is behind the current one."""
         if keyspace.revision >= self.current.revision:
             self.current = keyspace
 
     @property
     def revision(self) -> int:
-        """Return the revision of the state."""
+        """Return the revision of the served state."""
         return self.current.revision
 
     def delta_after(self, revision: int) -> Delta | None:
-        """Return what changed after ``revision``; None if that was compacted or lies in the future."""
+        """Return the changes after ``revision``; None if it was compacted or is not reached yet."""
         return self.current.delta_after(revision)
 
     def snapshot(self) -> StateSnapshot:
-        """Return the whole state."""
+        """Return the whole served state."""
         return self.current.state()
 
 
 class WatchService:
-    """A watch server with its streams; ``turn`` processes the inputs that wait."""
+    """A watch server with its streams; ``turn`` processes the queued inputs."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         others: Iterable[str],
         wake: Callable[[], None],
     ) -> None:
-        """``wake`` is called when an input waits; ``turn`` has to follow."""
+        """``wake`` is called when an input is queued; the caller then has to call ``turn``."""
         self.store = ServedKeyspace(keyspace)
         now = trio.current_time()
         self.server = WatchServer(self.store, generation, settings, random, now, others)
@@ -86,7 +86,7 @@
             self.streams.carry_out(effect)
 
     async def read_local(self, read: Callable[[Keyspace], T]) -> T:
-        """Read from the keyspace at a moment when all that it holds is on the disk."""
+        """Read from the keyspace when everything that it holds is on the disk."""
         answers: list[T] = []
         done = trio.Event()
 
@@ -99,7 +99,7 @@
         return answers[0]
 
     def drain(self) -> None:
-        """Send all watches to other upstreams: the process is going to end."""
+        """Direct all watches to other upstreams, as the process is about to end."""
         self._put(self.server.drain)
 
     def age(self) -> float:
@@ -107,7 +107,7 @@
         return self.server.staleness(trio.current_time())
 
     def next_deadline(self) -> float:
-        """Return when ``turn`` is due."""
+        """Return the time at which ``turn`` is due."""
         return self.server.next_deadline()
 
     def summary(self) -> Summary:
@@ -119,17 +119,17 @@
         self._wake()
 
     def opened(self, connection: int) -> None:
-        """Take a new stream."""
+        """Queue the event that a new stream was opened."""
         self._put(lambda now: self.server.opened(connection, now))
 
     def received(self, connection: int, frame: bytes) -> None:
-        """Take a frame."""
+        """Queue a received frame."""
         self._put(lambda now: self.server.received(connection, frame, now))
 
     def written(self, connection: int, size: int) -> None:
-        """Take it that a frame of ``size`` bytes was written."""
+        """Queue the event that a frame of ``size`` bytes was written."""
         self._put(lambda now: self.server.written(connection, size, now))
 
     def closed(self, connection: int) -> None:
-        """Take it that a stream has ended."""
+        """Queue the event that a stream has ended."""
         self._put(lambda now: self.server.closed(connection, now))
--- a/merlinbay/control_service/watch_streams.py
+++ b/merlinbay/control_service/watch_streams.py
@@ -1,4 +1,8 @@
-"""The streams of the watch protocol: one upstream of a follower or relay, many downstream of a server."""
+"""The streams of the watch protocol: one upstream of a follower or relay, many downstream of a server.
+
+The streams report their events to a host and carry out the effects of its core. A stream that fails or cannot be
+opened is reported as closed; a stream that the core closed itself is not reported.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +26,20 @@
 
 
 class UpstreamEvents(Protocol):
-    """Receives the events of upstream streams, by the number of the attempt."""
+    """Receives the events of upstream streams, identified by the number of the attempt to connect."""
 
     def upstream_connected(self, attempt: int) -> None:
-        """Take it that the stream is open."""
+        """Handle that the stream is open."""
 
     def upstream_received(self, attempt: int, frame: bytes) -> None:
-        """Take a frame."""
+        """Handle a received frame."""
 
     def upstream_closed(self, attempt: int) -> None:
-        """Take it that the stream has ended or could not be opened."""
+        """Handle that the stream has ended or could not be opened."""
 
 
 class UpstreamStreams:
-    """Opens, writes and ends the streams that a follower asks for."""
+    """Opens, writes and closes the streams that a follower requests."""
 
     __slots__ = ("_connections", "_events", "_local_peer", "_nursery", "_scopes")
 
@@ -56,7 +60,7 @@
             self._close(effect.attempt)
 
     def abort_all(self) -> None:
-        """End all streams at once."""
+        """Close all streams immediately, without writing what is queued."""
         for scope in self._scopes.values():
             scope.cancel()
         self._scopes.clear()
@@ -86,28 +90,28 @@
 
     def _ended(self, attempt: int) -> None:
         self._connections.pop(attempt, None)
-        if self._scopes.pop(attempt, None) is not None:  # else it was closed on purpose
+        if self._scopes.pop(attempt, None) is not None:  # otherwise the core closed it
             self._events.upstream_closed(attempt)
 
 
 class DownstreamEvents(Protocol):
-    """Receives the events of downstream streams, by number."""
+    """Receives the events of downstream streams, identified by the number of the connection."""
 
     def opened(self, connection: int) -> None:
-        """Take a new stream."""
+        """Handle a new stream."""
 
     def received(self, connection: int, frame: bytes) -> None:
-        """Take a frame."""
+        """Handle a received frame."""
 
     def written(self, connection: int, size: int) -> None:
-        """Take it that a frame of ``size`` bytes was written."""
+        """Handle that a frame of ``size`` bytes was written."""
 
     def closed(self, connection: int) -> None:
-        """Take it that a stream has ended."""
+        """Handle that a stream has ended."""
 
 
 class DownstreamStreams:
-    """Numbers the accepted streams, writes to them and ends them."""
+    """Numbers the accepted streams, writes to them and closes them."""
 
     def __init__(self, events: DownstreamEvents) -> None:
         self._events = events
@@ -115,7 +119,7 @@
         self._last = 0
 
     async def serve(self, connection: FramedConnection) -> None:
-        """Carry one stream to its end."""
+        """Serve one stream until it ends."""
         self._last += 1
         number = self._last
         self._connections[number] = connection
@@ -125,7 +129,7 @@
         try:
             await connection.run()
         finally:
-            if self._connections.pop(number, None) is not None:  # else it was closed on purpose
+            if self._connections.pop(number, None) is not None:  # otherwise the core closed it
                 self._events.closed(number)
 
     def _received(self, number: int, frame: bytes) -> None:
@@ -148,21 +152,21 @@
 
 
 class DeadlineTimer:
-    """Calls ``tick`` whenever the deadline that ``next_deadline`` returns has come."""
+    """Calls ``tick`` whenever the deadline that ``next_deadline`` returns has passed."""
 
-    __slots__ = ("_nap", "_next_deadline", "_tick")
+    __slots__ = ("_deadline_scope", "_next_deadline", "_tick")
 
     def __init__(self, next_deadline: Callable[[], float], tick: Callable[[], None]) -> None:
         self._next_deadline, self._tick = next_deadline, tick
-        self._nap = trio.CancelScope()
+        self._deadline_scope = trio.CancelScope()
 
     def changed(self) -> None:
-        """Read the deadline again."""
-        self._nap.deadline = self._next_deadline()
+        """Update the deadline, after it may have changed."""
+        self._deadline_scope.deadline = self._next_deadline()
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Call ``tick`` at each deadline until cancelled."""
         while True:
-            with trio.CancelScope(deadline=self._next_deadline()) as self._nap:
+            with trio.CancelScope(deadline=self._next_deadline()) as self._deadline_scope:
                 await trio.sleep_forever()
             self._tick()
--- a/merlinbay/control_service/wiring.py
+++ b/merlinbay/control_service/wiring.py
@@ -1,4 +1,7 @@
-"""Builds the parts of a control process from its file: voter, relay or follower."""
+"""Builds the parts of a control process from its file: voter, relay or follower.
+
+It is called once, when the process starts. A part that cannot be built raises ``ConfigurationError``.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 from merlinbay.errors import ConfigurationError
 from merlinbay.log import Log
 
-DATABASE_NAME = "control.db"  # in the folder ``voter.data``
+DATABASE_NAME = "control.db"  # file name in the folder ``voter.data``
 
 
 def make_random() -> Random:
@@ -40,9 +43,9 @@
 
 
 def generation(file: ControlFile, section: VoterSection) -> Generation:
-    """Return the generation that a voter serves: the same at all voters of one founding."""
-    founders = ",".join(sorted(section.initial))
-    log_id = hashlib.blake2b(f"{file.fleet}/{section.generation}/{founders}".encode(), digest_size=8)
+    """Return the generation that a voter serves. It is the same at all voters of one log."""
+    initial_voters = ",".join(sorted(section.initial))
+    log_id = hashlib.blake2b(f"{file.fleet}/{section.generation}/{initial_voters}".encode(), digest_size=8)
     return Generation(section.generation, log_id.hexdigest())
 
 
@@ -50,7 +53,9 @@
     """Return the settings of the voter's core."""
     return VoterSettings(
         initial_voters=tuple(section.initial),
-        placements={name: VoterPlacement(one.region, one.zone) for name, one in file.machines.items()},
+        placements={
+            name: VoterPlacement(machine.region, machine.zone) for name, machine in file.machines.items()
+        },
         election_timeout_s=section.election,
         heartbeat_interval_s=section.heartbeat,
         lease_s=section.election,
@@ -67,13 +72,13 @@
     local_peer: LocalPeer
     calls: OperatorCalls
     start: Callable[[trio.Nursery], None]
-    leave: Callable[[], None]  # hands leadership and watches over before the process ends
+    leave: Callable[[], None]  # transfers leadership and watches before the process ends
 
 
 async def voter_parts(
     file: ControlFile, section: VoterSection, local_peer: LocalPeer, log: Log
 ) -> ProcessParts:
-    """Wire a voter. Raises ``ConfigurationError``."""
+    """Build the parts of a voter. Raises ``ConfigurationError``."""
     listening = await _listen(file)
     path = Path(section.data) / DATABASE_NAME
     try:
@@ -108,15 +113,15 @@
 
 
 async def relay_parts(file: ControlFile, local_peer: LocalPeer, nursery: trio.Nursery) -> ProcessParts:
-    """Wire a relay. Raises ``ConfigurationError``."""
+    """Build the parts of a relay. Raises ``ConfigurationError``."""
     assert file.relay is not None
     listening = await _listen(file)
     settings = RelaySettings(
         server=WatchServerSettings(coalesce=file.relay.coalesce, max_watches=file.relay.followers)
     )
     upstreams = file.watched()
-    tier = 1 + max(one.tier for one in upstreams)
-    others = [name for name, one in file.machines.items() if one.tier == tier and name != file.name]
+    tier = 1 + max(upstream.tier for upstream in upstreams)
+    others = [name for name, machine in file.machines.items() if machine.tier == tier and name != file.name]
     host = RelayHost(
         local_peer,
         Location(file.region, file.zone),
@@ -139,7 +144,7 @@
 
 
 def follower_parts(file: ControlFile, local_peer: LocalPeer, nursery: trio.Nursery) -> ProcessParts:
-    """Wire a follower."""
+    """Build the parts of a follower."""
     host = FollowerHost(
         local_peer,
         Location(file.region, file.zone),
--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -65,11 +65,11 @@
     drmaa, fleet, control = operator.drmaa, operator.fleet, operator.control
     if operator.dnssd is not None:
         _check_address("dnssd.nameserver", operator.dnssd.nameserver)
-    if drmaa.front and (wrong := drmaa.access.wrong()):
+    if drmaa.front and (wrong := drmaa.access.validation_error()):
         raise ConfigurationError(f"drmaa.{wrong}")
     if wrong := fleet.validation_error():
         raise ConfigurationError(f"fleet.{wrong}")
-    if control is not None and (wrong := control.wrong()):
+    if control is not None and (wrong := control.validation_error()):
         raise ConfigurationError(f"control.{wrong}")
     for key in ("listen", "advertise", "control"):
         if text := getattr(fleet, key):
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -202,7 +202,7 @@
     with pytest.raises(ConfigurationError) as found:
         read(str(path))
     assert f"{path}: drmaa.{says}" in str(found.value)
-    assert AccessSettings(open=True).wrong() == ""
+    assert AccessSettings(open=True).validation_error() == ""
 
 
 # Over sockets.
