--- a/merlinbay/control_service/voter_calls.py
+++ b/merlinbay/control_service/voter_calls.py
@@ -1,7 +1,7 @@
 """The operators' calls at a voter.
 
-The leader answers writes and linearizable reads; the other voters redirect them to the leader. While no leader
-is known, such a call is answered with status 503 and may be repeated.
+The leader answers writes and linearizable reads; the other voters redirect them to the leader. While no
+leader is known, such a call is answered with status 503 and may be repeated.
 """
 
 from __future__ import annotations
@@ -124,7 +124,7 @@
         if not isinstance(result, ChangeRejected):
             return error_answer(
                 503,
-                "the change may or may not be applied: repeat it with the same change_id",
+                "the result of the change is unknown: repeat the call with the same change_id, if any",
                 retry=True,
                 reason="uncertain",
             )
--- a/merlinbay/control_service/watch_streams.py
+++ b/merlinbay/control_service/watch_streams.py
@@ -1,7 +1,7 @@
 """The streams of the watch protocol: one upstream of a follower or relay, many downstream of a server.
 
-The streams report their events to a host and carry out the effects of its core. A stream that fails or cannot be
-opened is reported as closed; a stream that the core closed itself is not reported.
+The streams report their events to a host and carry out the effects of its core. A stream that fails or that
+cannot be opened is reported as closed; a stream that the core closed itself is not reported.
 """
 
 from __future__ import annotations
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -1,4 +1,4 @@
-"""Processes of the replicated configuration: their disk, their connections, and faults between them."""
+"""Control processes: frame authentication, durable log, settings, connections, and scenarios with faults."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 OTHER_KEY = Keys((b"o" * 16,))
 
 
-def test_a_frame_is_taken_once_and_in_its_place() -> None:
-    """Frames that are repeated, moved, altered or of another connection are refused."""
+def test_frames_are_accepted_once_and_in_order() -> None:
+    """Guards against replay: repeated, reordered, altered or foreign frames raise an error."""
     sender = frame_seal(b"key", b"hello", b"1", b"2")
     first, second = sender.seal(b"a"), sender.seal(b"b")
     assert frame_seal(b"key", b"hello", b"1", b"2").open(first) == b"a"
@@ -45,17 +45,20 @@
         with pytest.raises(MessageRejectedError):
             for frame in frames:
                 receiver.open(frame)
-    for other in (
+    for foreign_seal in (
         frame_seal(b"key", b"welcome", b"1", b"2"),
         frame_seal(b"key", b"hello", b"1", b"3"),
         frame_seal(b"other", b"hello", b"1", b"2"),
     ):
         with pytest.raises(MessageRejectedError):
-            other.open(first)
+            foreign_seal.open(first)
 
 
-def test_records_come_back_in_order_from_the_last_that_replaced_all(tmp_path: Path) -> None:
-    """Batches, a replacement within a batch, compaction and reopening."""
+def test_records_are_read_in_order_from_the_last_full_replacement(tmp_path: Path) -> None:
+    """Guards against lost or replaced records after batches, replacements, compaction and reopening.
+
+    One of the replacements lies within a batch.
+    """
 
     async def run() -> None:
         path = tmp_path / "log"
@@ -87,15 +90,15 @@
         ("configuration/a", {"value": "x" * 70_000}, "at most"),
     ],
 )
-def test_a_value_is_checked_before_it_is_proposed(key: str, value: object, cause: str) -> None:
-    """Each refusal names its key and cause."""
+def test_invalid_keys_and_values_are_rejected(key: str, value: object, cause: str) -> None:
+    """Guards against invalid values in the log; the error names the key and the cause."""
     with pytest.raises(schema.InvalidValueError, match=cause) as caught:
         schema.encode_value(key, value)
     assert str(caught.value).startswith(key)
 
 
-def test_a_checked_value_reads_back() -> None:
-    """Defaults are filled in, so that a later default changes no stored value."""
+def test_stored_values_include_defaults() -> None:
+    """Guards against stored values that change when a default changes: defaults are stored with the value."""
     stored = schema.encode_value("teams/a", {"tasks_running": 5})
     assert schema.decode_value(stored)["share"] == 1.0
 
@@ -120,8 +123,8 @@
         ("name = \n", "line 1"),
     ],
 )
-def test_a_wrong_file_is_one_line_with_file_key_and_cause(tmp_path: Path, text: str, cause: str) -> None:
-    """Operators see where to look."""
+def test_invalid_file_gives_one_line_with_file_key_and_cause(tmp_path: Path, text: str, cause: str) -> None:
+    """Guards against errors that do not tell an operator which key of which file is invalid."""
     path = tmp_path / "control.toml"
     path.write_text(text)
     with pytest.raises(ConfigurationError) as caught:
@@ -132,7 +135,7 @@
 
 
 def test_the_example_file_describes_a_voter() -> None:
-    """The file that operators copy is one that a process takes."""
+    """Guards against an example file that a process rejects, as operators copy it."""
     file = settings.read(str(Path(__file__).parent.parent / "deploy" / "control.toml"))
     assert file.role() == "voter"
     assert set(file.voter.initial if file.voter else []) < set(file.machines)
@@ -146,7 +149,7 @@
         self.address = ""
 
     async def serve(self, connection: FramedConnection) -> None:
-        """Send back until the end."""
+        """Send messages back until the connection ends."""
         connection.on_message = connection.send
         await connection.run()
 
@@ -158,8 +161,12 @@
         await Acceptor(self.local_peer, lambda role: QueueOverflow.CLOSE, self.serve).run(listening)
 
 
-def test_messages_go_both_ways_and_wrong_keys_none() -> None:
-    """Also with two keys while one replaces the other; sizes around the batch and up to the limit."""
+def test_messages_are_exchanged_and_wrong_keys_are_rejected() -> None:
+    """Guards against peers with a wrong key or fleet, and against lost messages during a key change.
+
+    Each side has both keys, in another order, as while one key replaces the other. The message sizes
+    lie around that of a batch and go up to the frame limit.
+    """
 
     async def run() -> None:
         limits = TransportLimits(frame_bytes=300_000, keepalive_s=0.05)
@@ -175,12 +182,12 @@
             for size in (1, 299_984, 3):
                 connection.send(b"m" * size)
             assert [len(await receive.receive()) for _ in range(3)] == [1, 299_984, 3]
-            for wrong in (
+            for rejected_peer in (
                 LocalPeer("client", "follower", "fleet", OTHER_KEY),
                 LocalPeer("client", "follower", "other", KEY),
             ):
                 with pytest.raises(ConnectFailedError):
-                    await connect(wrong, echo.address, QueueOverflow.CLOSE)
+                    await connect(rejected_peer, echo.address, QueueOverflow.CLOSE)
             assert echo.local_peer.traffic.connections_refused == 2
             assert client.traffic.messages_received == 3
             nursery.cancel_scope.cancel()
@@ -188,8 +195,11 @@
     trio.run(run)
 
 
-def test_a_full_queue_drops_the_oldest_or_ends_the_connection() -> None:
-    """Consensus messages are repeated by their protocol; a watch has to start again."""
+def test_full_queue_drops_the_oldest_message_or_closes_the_connection() -> None:
+    """Guards against unbounded queues and against gaps in a watch.
+
+    Consensus messages may be dropped, as their protocol repeats them; a watch has to reconnect and resume.
+    """
 
     async def run() -> None:
         limits = TransportLimits(queue_frames=2)
@@ -213,8 +223,8 @@
     trio.run(run)
 
 
-def test_a_peer_that_says_nothing_is_cut_and_keepalives_say_something() -> None:
-    """A silent connection ends; one without messages carries empty frames."""
+def test_silent_peer_is_disconnected_and_keepalives_prevent_it() -> None:
+    """Guards against connections to dead peers: they close without frames, and idle peers send empty ones."""
 
     async def run() -> None:
         echo = Echo(KEY, TransportLimits(idle_timeout_s=0.5))
@@ -237,20 +247,23 @@
 
 
 class GatedEngine(StorageEngine):
-    """A store's file whose writes wait for a gate."""
+    """A storage engine whose writes wait until the test sets ``gate``."""
 
     gate = threading.Event()
     writing = threading.Event()
 
     def append(self, bodies: list[bytes]) -> int:
-        """Write once the gate is open."""
+        """Write once ``gate`` is set."""
         self.writing.set()
         assert self.gate.wait(60)
         return super().append(bodies)
 
 
-def test_nothing_is_seen_before_it_is_on_the_disk(tmp_path: Path) -> None:
-    """A voter alone commits by its own record: no answer and no read may come before that is written."""
+def test_no_answer_or_read_shows_state_before_it_is_on_the_disk(tmp_path: Path) -> None:
+    """Guards against answers and reads that show a change which a crash would lose.
+
+    A single voter commits by its own record alone. The test holds back the write of that record.
+    """
 
     async def run() -> None:
         gate, writing = GatedEngine.gate, GatedEngine.writing
@@ -265,23 +278,23 @@
             lambda: Random(1),
             Log(10),
         )
-        seen: list[str] = []
+        completed: list[str] = []
 
-        async def applied(identity: str) -> bool:
-            return isinstance(await host.propose(Change(identity, "teams/a", b"{}")), ChangeApplied)
+        async def applied(change_id: str) -> bool:
+            return isinstance(await host.propose(Change(change_id, "teams/a", b"{}")), ChangeApplied)
 
         async def propose() -> None:
             assert await applied("second")
-            seen.append("answer")
+            completed.append("answer")
 
         async def read() -> None:
             assert await host.watches.read_local(lambda keyspace: keyspace.revision) == 2
-            seen.append("read")
+            completed.append("read")
 
         async with trio.open_nursery() as nursery:
             await nursery.start(host.run, await listen_at("127.0.0.1:0"))
             with trio.fail_after(60):
-                while not await applied("first"):  # once it is, all that the election wrote is on the disk
+                while not await applied("first"):  # the records of the election precede it on the disk
                     await trio.sleep(0.02)
             gate.clear()
             writing.clear()
@@ -289,10 +302,10 @@
             await trio.to_thread.run_sync(writing.wait, 60)
             nursery.start_soon(read)
             await trio.testing.wait_all_tasks_blocked(0.05)
-            assert seen == []
+            assert completed == []
             gate.set()
             with trio.fail_after(60):
-                while len(seen) < 2:
+                while len(completed) < 2:
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
@@ -301,13 +314,13 @@
 
 @pytest.fixture(scope="module")
 def outcomes(tmp_path_factory: pytest.TempPathFactory) -> dict[str, BaseException | None]:
-    """Run all scenarios; return what each failed with."""
+    """Run all scenarios; return the failure of each, None if it passed."""
     return run_side_by_side(SCENARIOS, tmp_path_factory.mktemp("control"))
 
 
 @pytest.mark.parametrize("name", [scenario.__name__ for scenario in SCENARIOS])
-def test_what_a_scenario_wants_holds(outcomes: dict[str, BaseException | None], name: str) -> None:
-    """Several real processes with faults between them; each scenario says what has to hold."""
+def test_scenario(outcomes: dict[str, BaseException | None], name: str) -> None:
+    """Checks one scenario of real processes with faults between them; its docstring says what has to hold."""
     failure = outcomes[name]
     if failure is not None:
         raise failure
