--- a/merlinbay/control_service/schema.py
+++ b/merlinbay/control_service/schema.py
@@ -8,9 +8,8 @@
 import msgspec
 
 KEY_BYTES = 256
-VALUE_BYTES = (
-    64 * 1024
-)  # every change is sent to every follower as one frame, so large data is not stored here
+# Every change is sent to every follower as one frame, so large data has to be stored elsewhere.
+VALUE_BYTES = 64 * 1024
 KEY_PART = re.compile(r"[A-Za-z0-9._-]{1,64}")
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
@@ -26,9 +25,7 @@
     tasks_running: Count
     accelerators: Count = 0
     task_starts_per_second: Amount = 0.0  # 0: the team has no limit of its own
-    share: Annotated[float, msgspec.Meta(gt=0)] = (
-        1.0  # the team's weight against other teams where a resource is contended
-    )
+    share: Annotated[float, msgspec.Meta(gt=0)] = 1.0  # weight against other teams under contention
     urgent: bool = False  # the team may submit work that starts before other work
 
 
--- a/merlinbay/control_service/settings.py
+++ b/merlinbay/control_service/settings.py
@@ -25,9 +25,7 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines: Annotated[int, msgspec.Meta(ge=1)] = (
-        20  # written of each event per second; further lines are counted
-    )
+    lines: Annotated[int, msgspec.Meta(ge=1)] = 20  # limit per event and second; further ones are counted
 
 
 class MachineSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -37,9 +35,7 @@
     operator: str = ""  # host:port that answers the operators' calls
     region: Name = "region"
     zone: Name = "zone"
-    tier: Annotated[int, msgspec.Meta(ge=0, le=4)] = (
-        0  # 0 for a voter; a relay is one tier above its upstreams
-    )
+    tier: Annotated[int, msgspec.Meta(ge=0, le=4)] = 0  # 0: voter; relay: one above its upstreams
 
     def upstream(self, name: str) -> Upstream:
         """Return the machine as an upstream of followers and relays."""
--- a/merlinbay/control_service/traffic.py
+++ b/merlinbay/control_service/traffic.py
@@ -15,9 +15,7 @@
     bytes_received: int = 0
     messages_dropped: int = 0  # messages from full queues, or to peers that are not connected
     connections_opened: int = 0
-    connections_refused: int = (
-        0  # handshakes that failed, frames that were rejected, and connections over the limit
-    )
+    connections_refused: int = 0  # failed handshakes, rejected frames, connections over the limit
 
     def figures(self) -> dict[str, int]:
         """Return the counters by name."""
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -138,7 +138,7 @@
         nursery.start_soon(watch)
         await control_cluster.change("teams/w", {"tasks_running": 1}, "watched")
     lines = [json.loads(line) for line in answers[0].splitlines()]
-    assert [(line["key"], line["revision"]) for line in lines] == [("limits/a", 3), ("teams/w", 4)]
+    assert [(change["key"], change["revision"]) for change in lines] == [("limits/a", 3), ("teams/w", 4)]
     assert lines[0]["value"] is None
 
 
@@ -291,7 +291,7 @@
     """Replace the key without a restart: both keys are accepted for a while, then only the new one."""
     keys = control_cluster.folder / "keys"
     old, new = keys.read_text().strip(), base64.b64encode(b"n" * 32).decode()
-    running = [machine.process for machine in control_cluster.voters if machine.process is not None] + [node]
+    running = [voter.process for voter in control_cluster.voters if voter.process is not None] + [node]
     for text in (f"{new}\n{old}\n", f"{new}\n"):
         keys.write_text(text)
         for process in running:
--- a/tests/test_control_service.py
+++ b/tests/test_control_service.py
@@ -164,7 +164,7 @@
 def test_messages_are_exchanged_and_wrong_keys_are_rejected() -> None:
     """Guards against peers with a wrong key or fleet, and against lost messages during a key change.
 
-    Each side has both keys, in another order, as while one key replaces the other. The message sizes
+    Each side has the same two keys in another order, as while one replaces the other. The message sizes
     lie around that of a batch and go up to the frame limit.
     """
 
