--- a/merlinbay/operator_file.py
+++ b/merlinbay/operator_file.py
@@ -68,11 +68,11 @@
     drmaa, fleet, control = operator.drmaa, operator.fleet, operator.control
     if operator.dnssd is not None:
         _check_address("dnssd.nameserver", operator.dnssd.nameserver)
-    if drmaa.front and (problem := drmaa.access.wrong()):
+    if drmaa.front and (problem := drmaa.access.validation_error()):
         raise ConfigurationError(f"drmaa.{problem}")
     if problem := fleet.validation_error():
         raise ConfigurationError(f"fleet.{problem}")
-    if control is not None and (problem := control.wrong()):
+    if control is not None and (problem := control.validation_error()):
         raise ConfigurationError(f"control.{problem}")
     for key in ("listen", "advertise", "control"):
         if text := getattr(fleet, key):
