--- a/merlinbay/control_service/dialing.py
+++ b/merlinbay/control_service/dialing.py
@@ -79,9 +79,9 @@
 
     def next_s(self) -> float:
         """Return the next wait in seconds."""
-        longest = min(self.limits.first_backoff_s * 2.0**self.failures, self.limits.longest_backoff_s)
+        longest_s = min(self.limits.first_backoff_s * 2.0**self.failures, self.limits.longest_backoff_s)
         self.failures = min(self.failures + 1, 16)
-        return longest * (0.5 + self.random.random() / 2)
+        return longest_s * (0.5 + self.random.random() / 2)
 
     def reset(self) -> None:
         """Start again with the shortest wait, after a connection that lasted."""
