--- a/merlinbay/clock.py
+++ b/merlinbay/clock.py
@@ -31,5 +31,5 @@
         self.unix_start_s, self.trio_start_s = now_us / 1e6, trio.current_time()
 
     def wall_offset_us(self) -> int:
-        """Return how far the machine's wall clock has moved away from this clock, which was set by it."""
+        """Return how far the wall clock is ahead of this clock; negative if it is behind."""
         return int(time.time() * 1e6) - self.now_us()
--- a/merlinbay/core/attempt_lifecycle.py
+++ b/merlinbay/core/attempt_lifecycle.py
@@ -143,7 +143,7 @@
         if attempt is None:
             self._relay(message)
             return
-        attempt.has_started = True  # the callback about the start may come later, or never
+        attempt.has_started = True  # The callback about the start may come later, or not at all.
         self.batch.add(ExecutionProgressed(attempt.request_number, attempt.number, message.share))
 
     def _on_suspended(self, message: AttemptSuspended) -> None:
@@ -197,6 +197,7 @@
         report: dict[str, float] | None = None,
     ) -> None:
         """End an attempt, exactly once; the first successful attempt answers its request."""
+        # An attempt whose start was reported may have run, even if its server rejects it afterwards.
         if outcome in NEVER_RAN and not never_ran(outcome, attempt.has_started):
             outcome = Outcome.RESET
         request = self.requests.close_attempt(attempt)
--- a/merlinbay/core/controls.py
+++ b/merlinbay/core/controls.py
@@ -47,7 +47,7 @@
     def _find(
         self, message: AttemptRecalled | AttemptControlled | AttemptStatusUnknown
     ) -> tuple[OpenRequest, ServerAttempt] | None:
-        """Return the request and open attempt of a message, or None if there is none or it is answered."""
+        """Return the unanswered request and the open attempt of a message, or None if there are none."""
         attempt = self.requests.find_attempt(message.name, message.server)
         if attempt is None:
             return None
--- a/merlinbay/core/interfaces.py
+++ b/merlinbay/core/interfaces.py
@@ -41,7 +41,7 @@
     """Watches the endpoint list."""
 
     def subscribe(self, patience_us: int = 0) -> None:
-        """Start to watch the list, also again after a failure or a change of discovery's address.
+        """Start to watch the list; called again after a failure or a change of discovery's address.
 
         ``patience_us`` is the timeout of the first answer; 0 stands for the default.
         """
--- a/merlinbay/core/messages.py
+++ b/merlinbay/core/messages.py
@@ -133,7 +133,7 @@
 class DiscoveryReloaded(msgspec.Struct, frozen=True):
     """A new configuration is in use."""
 
-    notified_after_us: int  # time until everything that its discovery has now counts as notified
+    notified_after_us: int  # time until all that its discovery lists at present counts as notified
     has_moved: bool = True  # whether it names another discovery, which must be called
 
 
@@ -155,7 +155,7 @@
 
     server: str
     is_disabled: bool
-    # Called with whether the server is known. None: the other process relayed this and replies itself.
+    # Called with whether the server is known; None if the other process relayed this, as it replies itself.
     reply: Callable[[bool], None] | None
 
 
--- a/merlinbay/core/request_lifecycle.py
+++ b/merlinbay/core/request_lifecycle.py
@@ -18,7 +18,7 @@
 from merlinbay.decision.events import ClientDisconnected, RequestReceived
 from merlinbay.limits import ResourceLimits
 
-MIN_BUDGET_US = 1000
+MIN_BUDGET_US = 1000  # minimum time from arrival to deadline, after the response margin is subtracted
 
 
 class RequestLifecycle:
@@ -63,7 +63,7 @@
         self._close_in_module(request)
 
     def mark_recalled(self, request: OpenRequest) -> None:
-        """Close a request that its client has recalled before it started, without an answer."""
+        """Mark a request as answered that its client has recalled before it started; no answer is sent."""
         request.is_answered = True
 
     def fail_overdue(self, request: OpenRequest) -> None:
--- a/merlinbay/handover/messages.py
+++ b/merlinbay/handover/messages.py
@@ -1,6 +1,6 @@
 """Messages between two processes of a node: one packet each, encoded as MessagePack.
 
-Tags and encoded names are those of earlier versions, whose processes a new one may replace.
+Tags and encoded names never change, because the other process may run an earlier version.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from merlinbay.decision.handover_snapshot import HandoverSnapshot
 from merlinbay.handover.snapshot_codec import EncodedEndpoint, EncodedSnapshot, to_encoded
 
-PROTOCOL_VERSION = 1  # a process of another version is not replaced but stopped
+PROTOCOL_VERSION = 1  # processes of different versions do not hand over; the old one is stopped
 CHUNK_ITEMS = 200  # entries of the endpoint list, or endpoints of the snapshot, per packet
 
 
@@ -43,20 +43,20 @@
 
 
 class CallbackForward(msgspec.Struct, tag="Unclaimed", frozen=True):
-    """A call-back for a request that the sending process does not know."""
+    """A callback for a request that the sending process does not know."""
 
     message: AttemptStarted | AttemptProgress | AttemptFinished
 
 
 class MaintenanceForward(msgspec.Struct, tag="Banned", frozen=True):
-    """An operator's order that disables a server for maintenance or enables it again."""
+    """An operator's command that disables a server for maintenance or enables it again."""
 
     server: str
     is_disabled: bool = msgspec.field(name="on")
 
 
 class StandbyForward(msgspec.Struct, tag="Away", frozen=True):
-    """An operator's order that puts the node on standby or makes it active again."""
+    """An operator's command that puts the node on standby or makes it active again."""
 
     is_standby: bool = msgspec.field(name="away")
 
--- a/merlinbay/handover/predecessor.py
+++ b/merlinbay/handover/predecessor.py
@@ -95,7 +95,7 @@
             return
 
         def send_state(snapshot: HandoverSnapshot) -> None:
-            # The core calls this function. Bans that are set from now on are relayed after the state.
+            # The dispatcher calls this function. Later maintenance commands are relayed after the state.
             version, entries = endpoint_list()
             now_us = self._clock.now_us()
             for message in messages.state_messages(
--- a/merlinbay/handover/relayed_messages.py
+++ b/merlinbay/handover/relayed_messages.py
@@ -1,4 +1,4 @@
-"""Handles the messages that both sides of a handover send: connections, call-backs and operators' orders."""
+"""Handles the messages that both sides of a handover send: connections, callbacks and operators' commands."""
 
 from __future__ import annotations
 
--- a/merlinbay/handover/successor.py
+++ b/merlinbay/handover/successor.py
@@ -80,7 +80,7 @@
         return None
 
     async def follow(self) -> None:
-        """Tell the predecessor that this process accepts clients, and handle its messages until it ends."""
+        """Report to the predecessor that this process accepts clients; handle its messages until it ends."""
         link = self.predecessor
         if link is None:
             return
--- a/merlinbay/handover/takeover.py
+++ b/merlinbay/handover/takeover.py
@@ -45,7 +45,7 @@
         steering.on_operator_request = self._relay_standby
 
     def relay_callback(self, message: Callback) -> bool:
-        """Relay a call-back for an unknown request; return whether it was queued for another process."""
+        """Relay a callback for an unknown request; return whether it was queued for another process."""
         return self._relay(messages.CallbackForward(message))
 
     def relay_maintenance(self, server: str, on: bool) -> None:
--- a/merlinbay/handover/wiring.py
+++ b/merlinbay/handover/wiring.py
@@ -29,7 +29,10 @@
     log: Log,
     clock: Clock,
 ) -> Takeover:
-    """Return both sides of the handover. Nodes that share a ``$TMPDIR`` differ by name and address."""
+    """Return both sides of the handover.
+
+    The path depends on the node's name and address, because nodes may share ``$TMPDIR``.
+    """
     key = zlib.crc32(f"{name} {listen[0]}:{listen[1]}".encode())
     path = Path(tempfile.gettempdir()) / f"merlinbay-{key:08x}.sock"
     return Takeover(path, inbox, listener, steering, limits, counters, log, clock)
--- a/merlinbay/http/client.py
+++ b/merlinbay/http/client.py
@@ -101,8 +101,8 @@
     ) -> ClientConnection:
         """Open a connection. Raises ``RequestNotSentError`` if it cannot be established.
 
-        ``timeout`` is in seconds; ``body_bytes`` limits the body of a response. The limits for
-        servers apply where they are 0.
+        ``timeout`` is in seconds; ``body_bytes`` limits the body of a response. A value of 0 stands for
+        the limit that applies to servers.
         """
         timeout = timeout or limits.connect_timeout_s
         host, _, port = addr.rpartition(":")
--- a/merlinbay/http/client_steering.py
+++ b/merlinbay/http/client_steering.py
@@ -1,6 +1,6 @@
 """Directs clients to other nodes while this node is in standby, without losing requests.
 
-The operator's call and the handover set the state; draining goes on until it is revoked.
+Operators' commands and the handover set the state; draining goes on until one of them ends it.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
         self.listener, self.limits = listener, limits
         self.is_draining = False  # whether clients should use other nodes
         self.changed = trio.Event()  # set when ``is_draining`` changes
+        # Relays an operator's command to the node's other process; set by the handover.
         self.on_operator_request: Callable[[bool], None] = lambda is_draining: None
 
     def accepts_clients(self) -> bool:
--- a/merlinbay/http/connection.py
+++ b/merlinbay/http/connection.py
@@ -1,8 +1,8 @@
 """One accepted connection, which carries one request at a time.
 
-It owns the socket and the tasks that read and write. The listener creates it and tells it when to close; the
-handler answers its requests, at once or later. An error ends this connection only, and the handler is told if
-a request was in progress.
+It owns the socket and the tasks that read and write. The listener creates it and decides when it closes; the
+handler answers its requests, at once or later. An error ends this connection only. If a request was in
+progress, the handler's ``client_disconnected`` is called.
 """
 
 from __future__ import annotations
--- a/merlinbay/http/late_responses.py
+++ b/merlinbay/http/late_responses.py
@@ -1,4 +1,4 @@
-"""Passes a response that comes after its handler has returned to the task that writes it."""
+"""Passes late responses, which come after the handler has returned, to the task that writes them."""
 
 from __future__ import annotations
 
--- a/merlinbay/http/pool.py
+++ b/merlinbay/http/pool.py
@@ -32,7 +32,7 @@
 
 
 def may_always_keep(reply: Reply) -> bool:
-    """Keep the connection after any response."""
+    """Return True: the connection may be kept after any response."""
     return True
 
 
--- a/merlinbay/http/server.py
+++ b/merlinbay/http/server.py
@@ -166,7 +166,7 @@
         receiving = [connection for connection in self.connections if connection.is_receiving_request]
         if len(receiving) > self.limits.client_connections * 3 // 4:
             # Closes connections of clients that send a part of a request and stay. This leaves a quarter of
-            # the places for call-backs and usual clients, whose requests arrive whole. While slow writers
+            # the places for callbacks and usual clients, whose requests arrive whole. While slow writers
             # are few, they keep their connections.
             return self._idle_for_long(receiving), self.limits.evict_batch
         if len(unserved) <= self.limits.client_connections // 3:
@@ -202,7 +202,7 @@
     def close_idle(self, idle_for_s: float = 0.0, including_callbacks: bool = False) -> None:
         """Close connections that have been idle for ``idle_for_s``, and the others after their next response.
 
-        Connections that carry call-backs stay open unless they are included, because the call-backs that end
+        Connections that carry callbacks stay open unless they are included, because the callbacks that end
         requests still arrive on them. The listener goes on accepting.
         """
         self.set_closes_after_response(True)
--- a/merlinbay/http/socket_reader.py
+++ b/merlinbay/http/socket_reader.py
@@ -21,7 +21,7 @@
         self.reads: deque[tuple[int, float]] = deque()  # total bytes received after each read, and its time
 
     async def receive(self, sock: StreamSocket, plain_socket: socket.socket | None) -> bytes:
-        """Read some bytes, from the plain socket if there is one. Returns none at the end of the stream."""
+        """Read bytes, from the plain socket if there is one. Returns no bytes at the end of the stream."""
         if plain_socket is None:
             data = await sock.recv(self.receive_bytes)
         else:
@@ -35,7 +35,8 @@
         # other tasks run before it returns, and one of them may close the connection as idle although a
         # whole request was read. Here the other tasks run before the next read instead.
         if self._has_read_without_wait:
-            self._has_read_without_wait = False  # If cancelled below, the next read has no checkpoint.
+            # Resets the flag first: if the checkpoint is cancelled, the next read has none.
+            self._has_read_without_wait = False
             await trio.lowlevel.checkpoint()
         self._has_read_without_wait = True
         while True:
--- a/merlinbay/limits.py
+++ b/merlinbay/limits.py
@@ -21,19 +21,21 @@
 
     # Client connections
     accept_backlog: int = 1024  # length of the queue of connections that wait for ``accept``
-    accept_retry_pause_s: float = 0.02  # pause after an ``accept`` that failed for lack of descriptors
+    # Pause after an ``accept`` that failed, for example for lack of descriptors, or while no place is free.
+    accept_retry_pause_s: float = 0.02
     client_connections: int = 400  # maximum number of open connections
-    # Number of idle connections with served requests that stay free when no other balancer serves.
+    # While a node without other balancers shuts down, it keeps this many connections idle for its clients.
+    # Only connections that have served a request count.
     spare_client_connections: int = 3
     client_idle_timeout_s: float = 75.0  # idle time after which a client connection is closed
     # Time from the accept, or from the first byte of a later request, to the last byte of the request.
     read_request_timeout_s: float = 2.0
     write_response_timeout_s: float = 5.0  # time for the client to read a part of a response
-    linger_s: float = 0.3  # maximum time of reading on after the response to a malformed request
-    linger_bytes: int = 256 * 1024  # maximum number of bytes that are read in that time
+    linger_s: float = 0.3  # maximum time to wait for the client to close after the last response
+    linger_bytes: int = 256 * 1024  # maximum number of bytes that are read and dropped in ``linger_s``
     sweep_interval_s: float = 0.25  # interval between checks for expired connections
     evict_idle_after_s: float = 0.1  # idle time after which a connection may be closed to make room
-    evict_batch: int = 16  # number of unused connections that one check may close to make room
+    evict_batch: int = 16  # maximum number of unused connections closed at once to make room
 
     # Requests
     inbox_messages: int = 4096  # messages that wait for the dispatcher; when it is full, senders wait
@@ -41,17 +43,18 @@
     # Number of names of finished requests that are kept, so that none of them is dispatched again.
     finished_request_names: int = 1024
     response_margin_us: int = 20_000  # time between the end of a request and its client's deadline
-    # Time after its deadline at which a request fails that the balancer has left open.
+    # Time from a request's deadline until it is failed if the decision module has left it open.
     deadline_recheck_us: int = 5_000
 
     # Connections to servers
     server_connections: int = 400  # maximum number of open connections
-    # Maximum number of exchanges in progress, including rejected ones and cancels.
+    # Maximum number of exchanges in progress: attempts, also those that servers reject, cancels and health
+    # checks.
     server_tasks: int = 4000
     connect_timeout_s: float = 0.12
     pool_idle_timeout_s: float = 8.0  # shorter than the keep-alive timeout of the servers
     pool_reuse_pause_s: float = 0.05  # pause between a response and the next use of its connection
-    late_response_timeout_s: float = 1.0  # time after the deadline of a request to wait for a late 202
+    late_response_timeout_s: float = 1.0  # time after an attempt's deadline to wait for a late 202
     cancel_timeout_s: float = 2.0  # time for a DELETE and its response
     health_check_timeout_s: float = 1.0
 
@@ -89,26 +92,26 @@
     stop_responses_for_us: int = 300_000  # time for open requests to end after admission has ended
     # Time after the last response in which late requests are rejected before connections close.
     stop_rejecting_for_s: float = 0.1
-    stop_close_timeout_s: float = 0.15  # time for connections to close cleanly after that
+    stop_close_timeout_s: float = 0.15  # time for connections to close cleanly once rejection has ended
     stop_timeout_s: float = 3.65  # time after SIGTERM by which the process ends, before SIGKILL
     stop_retry_after_us: int = 100_000  # ``Retry-After`` of requests that a stopping node rejects
 
-    # Standby, in which the node goes on serving
-    standby_arrivals_for_s: float = 0.5  # time after the operator's call in which new clients still connect
-    standby_close_after_s: float = 1.4  # time after the operator's call at which idle connections are closed
+    # Standby, in which the node goes on serving; it begins with the operator's command ``standby``
+    standby_arrivals_for_s: float = 0.5  # time after ``standby`` in which new clients still connect
+    standby_close_after_s: float = 1.4  # time after ``standby`` at which idle connections are closed
     standby_idle_after_s: float = 0.2  # time without a request after which a connection counts as idle
     standby_check_interval_s: float = 0.1  # interval between checks for idle connections
 
     # Handover to the next process
     accept_fd: int = -1  # descriptor of a listening socket that the platform hands down; -1 means none
     handover_timeout_s: float = 1.0  # time for the predecessor to send its state
-    handover_packet_bytes: int = 192 * 1024  # between two processes; Linux limits a socket to 212,992
+    handover_packet_bytes: int = 192 * 1024  # maximum size; Linux limits a socket's buffer to 212,992
     handover_notified_in_us: int = 1_500_000  # time after a handover until the list counts as notified
     handover_check_interval_s: float = 0.02  # interval between checks for connections not yet handed over
 
     # Operators, log, DRMAA
     admin_connections: int = 16  # maximum number of connections that have not sent their line yet
-    admin_line_bytes: int = 1024  # maximum size of the line of an operator's call
+    admin_line_bytes: int = 1024  # maximum size of an operator's command line
     admin_call_timeout_s: float = 5.0  # time from the accept to the response
     log_lines_per_s: int = 20
     finished_output_bytes: int = 16 * 1024 * 1024  # total size of the kept outputs of finished DRMAA jobs
@@ -137,7 +140,7 @@
         # not be refused while descriptors are free.
         client_connections=usable * 65 // 100,
         server_connections=usable * 35 // 100,
-        # Requests must not hold every client connection, because then no call-back could arrive to end them.
+        # Requests must not hold every client connection, because then no callback could arrive to end them.
         max_open_requests=min(max_open_requests, usable * 55 // 100 * 3 // 4),
         finished_output_bytes=memory_mb * 1024 * 1024 // 12,
         drmaa_waits=usable * 55 // 100 // 8,
--- a/merlinbay/node_components.py
+++ b/merlinbay/node_components.py
@@ -38,7 +38,10 @@
     takeover: Takeover | None = None  # handover to and from another process of the node
 
     def reload(self) -> None:
-        """Reload keys and certificates. Raises ``ConfigurationError``."""
+        """Reload keys and certificates. Raises ``ConfigurationError``.
+
+        The component whose files are not valid keeps its old ones. Those before it are reloaded by then.
+        """
         for component in (self.drmaa, self.fleet, self.control):
             if component is not None:
                 component.reload()
--- a/merlinbay/node_signals.py
+++ b/merlinbay/node_signals.py
@@ -1,6 +1,7 @@
 """The signals of a node: SIGHUP reloads, SIGUSR1 prints counters, SIGTERM and SIGINT shut down gracefully.
 
-A reload that fails is logged and changes nothing. A shutdown that takes too long is ended at its deadline.
+A reload that fails is logged and does not move discovery. A shutdown that takes too long is ended at its
+deadline.
 """
 
 from __future__ import annotations
@@ -57,7 +58,11 @@
                     self.nursery.start_soon(self.shut_down)
 
     async def _reload(self) -> None:
-        """Reload the configuration. If it cannot be used, this is logged and nothing changes."""
+        """Apply the new source of the endpoint list, and reload keys and certificates.
+
+        Other settings keep their values until a restart. If the configuration cannot be used, this is logged,
+        and the source of the endpoint list stays.
+        """
         try:
             new = reload(self.config)
             self.optional.reload()
--- a/merlinbay/platform/admin_listener.py
+++ b/merlinbay/platform/admin_listener.py
@@ -2,7 +2,7 @@
 
 It is served for as long as the node runs. Maintenance commands go to the dispatcher as messages; standby
 commands go to ``ClientSteering``. A reply is ``SUCCESS``, or ``FAILURE`` and the reason. A connection that
-takes too long is closed without a reply.
+takes too long is closed without a reply, and so is the oldest incomplete one if there are too many.
 """
 
 from __future__ import annotations
@@ -64,7 +64,8 @@
                     await trio.sleep(self.limits.accept_retry_pause_s)
                     continue
                 if len(self.reading) >= self.limits.admin_connections:
-                    # Closes the oldest one, so that silent callers do not keep others from being served.
+                    # Closes the connection whose line has been incomplete the longest, so that silent callers
+                    # do not keep others from being served.
                     oldest = next(iter(self.reading))
                     del self.reading[oldest]
                     oldest.cancel()
@@ -84,7 +85,10 @@
                 self.reading.pop(scope, None)
 
     async def _read_line(self, sock: trio.socket.SocketType) -> bytes | None:
-        """Return the command line, which may end with the stream, or None if nothing was sent."""
+        """Return the command line, which may end with the stream, or None if nothing was sent.
+
+        A line that is too long is returned empty, or cut off if no end of line was read.
+        """
         data, remaining_bytes = b"", self.limits.linger_bytes
         while remaining_bytes > 0 and (chunk := await sock.recv(self.limits.receive_bytes)):
             remaining_bytes -= len(chunk)
--- a/merlinbay/platform/client_adapter.py
+++ b/merlinbay/platform/client_adapter.py
@@ -149,8 +149,8 @@
             self.counters.add("requests_keyless")
             self.log.event("request_keyless", level="warning", job_class=spec.job_class, kept="unrepeated")
         if connection.has_served_request and self.is_short_of_connections():
-            # Rejects the request before the last connection that has served one is in use. A client without
-            # such a connection gets no new one from a node that shuts down, and would treat the node as down
+            # Rejects the request before all connections that have served a request are in use. A client that
+            # finds none idle gets no new one from a node that shuts down, and would treat the node as down
             # although it still serves.
             self.counters.add("jobs_spared")
             return rejection(self.limits.stop_retry_after_us)
--- a/merlinbay/platform/discovery.py
+++ b/merlinbay/platform/discovery.py
@@ -55,9 +55,9 @@
 class Discovery:
     """Watches the endpoint list while subscribed; a failed poll ends the watch and is reported.
 
-    If nodes have to subscribe, the decision module decides when the next watch begins. If the list is pushed
-    to an agent on the node's own machine (``is_pushed``), whose list counts as notified at once, a watch
-    begins at the start, and again shortly after each failure.
+    If nodes have to subscribe, the decision module decides when the next watch begins. Otherwise
+    (``is_pushed``) the list is pushed to an agent on the node's own machine. The agent's list counts as
+    notified at once, so a watch begins at the start, and again shortly after each failure.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._watch_scope = trio.CancelScope()
 
     def subscribe(self, first_poll_timeout_us: int = 0) -> None:
-        """Start a watch, also again after a failure or at another address.
+        """Start a watch; called again after a failure or a change of the address.
 
         A timeout of 0 stands for the default.
         """
@@ -111,7 +111,7 @@
         return self.is_at_former_address
 
     def confirm_after(self, notified_in_us: int) -> None:
-        """Poll right after this time, when everything that discovery has now counts as notified."""
+        """Schedule a poll right after this time, by which all that is listed now counts as notified."""
         self.confirm_at_s.append(trio.current_time() + notified_in_us / 1e6)
 
     @property
--- a/merlinbay/platform/endpoint_list.py
+++ b/merlinbay/platform/endpoint_list.py
@@ -33,7 +33,10 @@
         return entry is not None and entry.state == "up"
 
     def apply(self, version: int, full: bool, entries: list[ServiceEntry]) -> ListChange | None:
-        """Apply a whole list or changes; return what has changed, or None if the version is the same."""
+        """Apply a whole list or changes, and return what has changed.
+
+        Entries are applied even if the version is still the same; the result is None then.
+        """
         up_before = [name for name in self.entries if self.is_up(name)]
         old_version, self.version = self.version, version
         if full:
--- a/merlinbay/platform/servers.py
+++ b/merlinbay/platform/servers.py
@@ -52,7 +52,7 @@
             self.report_not_sent(attempt)
 
     def cancel(self, attempt: ServerAttempt) -> None:
-        """Close the connection if the 202 has not arrived; delete the job if it has."""
+        """Close the connection if no reply has arrived; otherwise delete the job at its server."""
         scope = self.sending.pop(attempt, None)
         if scope is not None:
             scope.cancel()
--- a/merlinbay/simhost.py
+++ b/merlinbay/simhost.py
@@ -1,8 +1,8 @@
 """The simulator's wire: decodes lines of JSON as events and encodes actions, with a balancer per instance.
 
 This module maps the names of the wire and decides nothing. Unknown names and fields are ignored. A malformed
-setting or an exception becomes a fault of its instance. Input that is not a sequence of closed batches ends
-the process with status 2.
+setting or an exception becomes a fault of its instance. A batch is opened by a ``Mark`` line and closed by a
+``Commit`` line; any other sequence of lines ends the process with status 2.
 """
 
 from __future__ import annotations
@@ -208,7 +208,7 @@
             elif line.what in DECODERS and self.balancers.get(instance) is not None:
                 try:
                     event = DECODERS[line.what](line)
-                except (TypeError, ValueError):  # A malformed event is skipped, as for an unknown request.
+                except (TypeError, ValueError):  # Skipped, as is an event for an unknown request.
                     continue
                 if event is not None:
                     pending.setdefault(instance, []).append(event)
--- a/merlinbay/site_settings.py
+++ b/merlinbay/site_settings.py
@@ -1,7 +1,7 @@
 """The only module that maps the names of the site's settings to the names used in the program.
 
-The ``conf`` on the simulator's wire and the ``settings`` of the
-configuration file use the same ones. A missing or malformed setting raises ``ValueError`` with its key.
+The ``conf`` on the simulator's wire and the ``settings`` of the configuration file use the same names. A
+required setting that is missing, or a malformed one, raises ``ValueError`` with its key.
 """
 
 from __future__ import annotations
@@ -214,6 +214,6 @@
 
 
 def _field_that_means(meaning: str, fields: list[str], extra: SettingsTable) -> str:
-    """Return the custom report field, ``x0`` or ``x1``, that means this by ``extra``, or an empty string."""
+    """Return the custom report field (``x0`` or ``x1``) to which ``extra`` gives this meaning, or ""."""
     names = {"x0": "reportX0", "x1": "reportX1"}
     return next((field for field in names if field in fields and extra.value(names[field]) == meaning), "")
