--- a/merlinbay/__main__.py
+++ b/merlinbay/__main__.py
@@ -13,7 +13,7 @@
     if len(sys.argv) > 1:
         from merlinbay.cli.main import main as command_line
 
-        command_line(prog_name="merlinbay")
+        command_line(prog_name="merlinbay")  # does not return: it ends the process
     from merlinbay.node import serve
 
     return serve()
--- a/merlinbay/core/timers.py
+++ b/merlinbay/core/timers.py
@@ -1,4 +1,7 @@
-"""The dispatcher's timers: deadlines of requests and attempts, and timers of the decision module."""
+"""The dispatcher's timers: deadlines of requests and attempts, and timers of the decision module.
+
+Only the dispatcher's task uses them. It waits for the next due time, and ``Deadlines`` handles due timers.
+"""
 
 from __future__ import annotations
 
--- a/merlinbay/handover/predecessor.py
+++ b/merlinbay/handover/predecessor.py
@@ -115,7 +115,10 @@
         self._log.event("successor_gone")
 
     async def hand_over(self) -> bool:
-        """Transfer all client connections to the successor; return whether it was ready throughout."""
+        """Transfer all client connections to the successor; return whether it was ready throughout.
+
+        Otherwise the caller shuts down as without a successor.
+        """
         if not self._is_successor_ready:
             return False
         self._log.event("hands_over", connections=len(self._listener.connections))
--- a/merlinbay/handover/relayed_messages.py
+++ b/merlinbay/handover/relayed_messages.py
@@ -1,4 +1,7 @@
-"""Handles the messages that both sides of a handover send: connections, callbacks and operators' commands."""
+"""Handles the messages that both sides of a handover send: connections, callbacks and operators' commands.
+
+Each side calls it for the packets that follow the exchange of the state.
+"""
 
 from __future__ import annotations
 
--- a/merlinbay/handover/snapshot_codec.py
+++ b/merlinbay/handover/snapshot_codec.py
@@ -1,4 +1,8 @@
-"""The encoded form of a handover snapshot, with the field names that processes of other versions use."""
+"""The encoded form of a handover snapshot, with the field names that processes of other versions use.
+
+The predecessor encodes its snapshot, and the successor decodes it. A snapshot with missing or wrong fields
+does not get here, because its packet is rejected when it is received.
+"""
 
 from __future__ import annotations
 
--- a/merlinbay/node.py
+++ b/merlinbay/node.py
@@ -1,4 +1,4 @@
-"""One node: builds its components from the configuration and runs them until it is told to stop.
+"""One node: builds its components from the configuration and runs them until it is shut down.
 
 It owns the listener, the dispatcher, discovery and the optional components. A configuration that cannot be
 used ends the process with status 2.
@@ -66,7 +66,7 @@
         self.client_adapter.accepts_clients = self.steering.accepts_clients
 
     async def run(self) -> None:
-        """Run until the node is told to stop and its last request is answered."""
+        """Run until the node is shut down and its last request is answered."""
         config = self.config
         client_socket = await bind(self.listener.bind(*config.listen), config.listen)
         admin_socket = None
@@ -103,7 +103,9 @@
     async def _inherit(self) -> Inherited | None:
         """Ask a running process of the same node for its state. Return None if there is no predecessor."""
         config = self.config
-        if config.limits.accept_fd < 0 or config.operator is not None:  # Fronts do not hand their state over.
+        # Two processes can serve one address only through an inherited listening socket. Nodes with an
+        # operator's file are left out because fronts do not hand their state over.
+        if config.limits.accept_fd < 0 or config.operator is not None:
             return None
         from merlinbay.handover.wiring import wire as wire_handover
 
@@ -213,7 +215,7 @@
 
 
 async def run(config: Config, counters: Counters) -> None:
-    """Run one node until it is told to stop and its last request is answered."""
+    """Run one node until it is shut down and its last request is answered."""
     await Node(config, counters).run()
 
 
