--- a/merlinbay/__init__.py
+++ b/merlinbay/__init__.py
@@ -1,3 +1,3 @@
-"""merlinbay: a dispatcher that translates between client fronts and pools of real servers."""
+"""merlinbay: a load balancer node that dispatches the requests of clients to pools of servers."""
 
 __version__ = "0.2.0"
--- a/merlinbay/handover/__init__.py
+++ b/merlinbay/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacement of a node's process by another one, which takes over clients, bans and the learned state."""
+"""Replacement of a node's process by another that takes over clients, disabled servers and learned state."""
--- a/merlinbay/handover/successor.py
+++ b/merlinbay/handover/successor.py
@@ -53,8 +53,8 @@
             inherited = await self._receive_state(link)
             if inherited is not None:
                 self.predecessor = link
-                banned = len(inherited.snapshot.disabled_since_us)
-                self._log.event("inherited", entries=len(inherited.entries), banned=banned)
+                disabled_count = len(inherited.snapshot.disabled_since_us)
+                self._log.event("inherited", entries=len(inherited.entries), banned=disabled_count)
                 return inherited
         # A predecessor that hangs must not block the start, so without an answer this process starts alone.
         self._log.event("not_inherited", level="warning", path=self._path)
